--- a/foxtail-core/src/main/java/org/foxtailplank/job/AdviceTerms.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/AdviceTerms.java
@@ -1,10 +1,10 @@
 package org.foxtailplank.job;
 
 /**
- * How the placement advice of a queue answers.
+ * Response time and ticket validity of a queue's placement advice service.
  *
- * @param baseMs time of an answer, in milliseconds
- * @param perWorkerMs further time for each worker asked about, in milliseconds
- * @param validMs how long a ticket holds, in milliseconds
+ * @param baseMs fixed part of the response time, in milliseconds
+ * @param perWorkerMs additional response time per worker in the request, in milliseconds
+ * @param validMs validity period of a ticket, in milliseconds
  */
 public record AdviceTerms(long baseMs, long perWorkerMs, long validMs) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobBook.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobBook.java
@@ -24,77 +24,79 @@
 import org.foxtailplank.job.JournalRecord.WaveDue;
 
 /**
- * All jobs that the journal tells of; each node keeps one and answers callers from it.
+ * Registry of all jobs, replayed from the journal. Each node holds one and serves callers from it.
  *
- * <p>Records of a job may come before the one that tells of the job, since the journal has two
- * partitions, each with an order of its own. They are kept until the job is known: without that a
- * new owner would not know of a start, and start the task a second time.
+ * <p>The journal has several partitions without a common order, so records of a job may arrive
+ * before the record that introduces the job. They are buffered until the job is known; otherwise a
+ * new owner could miss a start and run the task a second time.
  */
 public final class JobBook {
     /**
-     * Jobs at most of which records are kept that came before them. Records of jobs that were
-     * forgotten are never taken up; the oldest are dropped. A busy journal tells of some 50 jobs a
-     * second, and what is told of them in a partition while another one is away for two minutes
-     * must not be lost: a start that is dropped is one that a new owner repeats.
+     * Maximum number of unknown jobs with buffered records; the oldest are evicted. Large enough
+     * for all jobs of a partition outage of two minutes, since a new owner would repeat a lost
+     * start.
      */
-    private static final int MOST_EARLY = 10_000;
+    private static final int MAX_BUFFERED_JOBS = 10_000;
 
     private final Map<String, JobEntry> mJobs = new LinkedHashMap<>();
-    private final Map<Long, Set<String>> mRebooted = new HashMap<>();
-    private final Map<Long, Long> mWavesDue = new HashMap<>();
+    private final Map<Long, Set<String>> mRebootedVms = new HashMap<>();
+    private final Map<Long, Long> mWaveDueMs = new HashMap<>();
     private final Set<Long> mCompletedWaves = new HashSet<>();
-    private final Map<String, List<JournalRecord>> mEarly = new LinkedHashMap<>();
-    private final long mKeepEndedMs;
+    private final Map<String, List<JournalRecord>> mBufferedRecords = new LinkedHashMap<>();
+    private final long mEndedRetentionMs;
 
     /**
-     * An empty book.
+     * Creates an empty registry.
      *
-     * @param keepEndedMs how long an ended job can be asked for, in milliseconds
+     * @param endedRetentionMs how long an ended job can be queried, in milliseconds
      */
-    public JobBook(long keepEndedMs) {
-        mKeepEndedMs = keepEndedMs;
+    public JobBook(long endedRetentionMs) {
+        mEndedRetentionMs = endedRetentionMs;
     }
 
-    /** Takes one record in; returns the job that it newly tells of. */
+    /** Applies one record and returns the job it introduces, if any. */
     public Optional<JobEntry> apply(JournalRecord record) {
         if (record instanceof JobAccepted r) {
-            return accepted(r.order());
+            return applyAccepted(r.order());
         }
         if (record instanceof JobRestated r) {
-            return restated(r);
+            return applySnapshot(r);
         }
         if (record instanceof JobCancelled r) {
-            job(r.job()).ifPresentOrElse(j -> j.cancel(r.atMs()), () -> keep(r.job(), r));
+            job(r.job()).ifPresentOrElse(j -> j.cancel(r.atMs()), () -> buffer(r.job(), r));
         } else if (record instanceof RunsEnded r) {
             for (EndedRun run : r.runs()) {
                 String id = run.task().job();
                 job(id).ifPresentOrElse(
-                                j -> j.ended(run), () -> keep(id, new RunsEnded(List.of(run))));
+                                j -> j.recordEnd(run),
+                                () -> buffer(id, new RunsEnded(List.of(run))));
             }
         } else if (record instanceof RunsStarted r) {
             for (StartedRun run : r.runs()) {
                 String id = run.task().job();
                 job(id).ifPresentOrElse(
-                                j -> j.started(run), () -> keep(id, new RunsStarted(List.of(run))));
+                                j -> j.recordStart(run),
+                                () -> buffer(id, new RunsStarted(List.of(run))));
             }
         } else if (record instanceof JobsBegun r) {
             for (String id : r.jobs()) {
                 job(id).ifPresentOrElse(
-                                JobEntry::begun, () -> keep(id, new JobsBegun(List.of(id))));
+                                JobEntry::markStarted,
+                                () -> buffer(id, new JobsBegun(List.of(id))));
             }
         } else if (record instanceof VmRebooted r) {
-            mRebooted.computeIfAbsent(r.wave(), w -> new HashSet<>()).add(r.vm());
+            mRebootedVms.computeIfAbsent(r.wave(), w -> new HashSet<>()).add(r.vm());
         } else if (record instanceof WaveDue r) {
-            mWavesDue.merge(r.wave(), r.dueMs(), Math::min);
+            mWaveDueMs.merge(r.wave(), r.dueMs(), Math::min);
         } else if (record instanceof WaveCompleted r) {
             mCompletedWaves.add(r.wave());
         } else if (!(record instanceof OwnerAlive || record instanceof OwnerLeft)) {
-            throw new IllegalStateException("no rule for " + record.getClass());
+            throw new IllegalStateException("unsupported journal record " + record.getClass());
         }
         return Optional.empty();
     }
 
-    private Optional<JobEntry> accepted(JobOrder order) {
+    private Optional<JobEntry> applyAccepted(JobOrder order) {
         if (mJobs.containsKey(order.id())) {
             return Optional.empty();
         }
@@ -104,44 +106,44 @@
     private JobEntry add(JobEntry entry) {
         String id = entry.order().id();
         mJobs.put(id, entry);
-        List<JournalRecord> early = mEarly.remove(id);
-        if (early != null) {
-            early.forEach(this::apply);
+        List<JournalRecord> buffered = mBufferedRecords.remove(id);
+        if (buffered != null) {
+            buffered.forEach(this::apply);
         }
         return entry;
     }
 
-    /** Keeps a record for a job that isn't known yet. */
-    private void keep(String id, JournalRecord record) {
-        mEarly.computeIfAbsent(id, i -> new ArrayList<>()).add(record);
-        if (mEarly.size() > MOST_EARLY) {
-            mEarly.remove(mEarly.keySet().iterator().next());
+    /** Buffers a record of a job that isn't known yet. */
+    private void buffer(String id, JournalRecord record) {
+        mBufferedRecords.computeIfAbsent(id, i -> new ArrayList<>()).add(record);
+        if (mBufferedRecords.size() > MAX_BUFFERED_JOBS) {
+            mBufferedRecords.remove(mBufferedRecords.keySet().iterator().next());
         }
     }
 
-    private Optional<JobEntry> restated(JobRestated record) {
+    private Optional<JobEntry> applySnapshot(JobRestated record) {
         Optional<JobEntry> known = job(record.order().id());
-        // A node that read on after a gap knows the job and lacks what the gap told of it.
+        // After a gap in the journal, a known job may lack records that the snapshot contains.
         JobEntry entry = known.orElseGet(() -> new JobEntry(record.order()));
-        record.starts().forEach(entry::started);
-        record.ends().forEach(entry::ended);
+        record.starts().forEach(entry::recordStart);
+        record.ends().forEach(entry::recordEnd);
         if (record.cancelledMs() > 0) {
             entry.cancel(record.cancelledMs());
         }
         return known.isPresent() ? Optional.empty() : Optional.of(add(entry));
     }
 
-    /** What the journal tells of waves, to be written again. */
+    /** Takes a snapshot of the state of all waves as records to be written to the journal. */
     public List<JournalRecord> restateWaves() {
         List<JournalRecord> records = new ArrayList<>();
         mCompletedWaves.forEach(w -> records.add(new WaveCompleted(w)));
-        mRebooted.forEach(
+        mRebootedVms.forEach(
                 (wave, vms) -> {
                     if (!mCompletedWaves.contains(wave)) {
                         vms.forEach(v -> records.add(new VmRebooted(wave, v)));
                     }
                 });
-        mWavesDue.forEach(
+        mWaveDueMs.forEach(
                 (wave, due) -> {
                     if (!mCompletedWaves.contains(wave)) {
                         records.add(new WaveDue(wave, due));
@@ -150,9 +152,9 @@
         return records;
     }
 
-    /** When a wave's time is over, in milliseconds since 1970; empty if no owner has said so. */
+    /** Deadline of a wave, in milliseconds since the epoch; empty if no owner has recorded it. */
     public Optional<Long> waveDueMs(long wave) {
-        return Optional.ofNullable(mWavesDue.get(wave));
+        return Optional.ofNullable(mWaveDueMs.get(wave));
     }
 
     public Optional<JobEntry> job(String id) {
@@ -163,9 +165,9 @@
         return mJobs.values();
     }
 
-    /** VMs that have begun their reboot for a wave. */
+    /** VMs whose reboot for a wave has begun. */
     public Set<String> rebooted(long wave) {
-        return mRebooted.getOrDefault(wave, Set.of());
+        return mRebootedVms.getOrDefault(wave, Set.of());
     }
 
     /** Whether every VM of a wave has begun its reboot. */
@@ -173,7 +175,7 @@
         return mCompletedWaves.contains(wave);
     }
 
-    /** Accepted jobs of a queue for which no task has started. */
+    /** Number of accepted jobs of a queue of which no task has started. */
     public int pending(String route) {
         int count = 0;
         for (JobEntry j : mJobs.values()) {
@@ -184,8 +186,8 @@
         return count;
     }
 
-    /** Forgets jobs that ended so long ago that nobody may ask for them any more. */
+    /** Removes ended jobs whose retention period is over. */
     public void forgetEnded(long nowMs) {
-        mJobs.values().removeIf(j -> j.endedMs() > 0 && j.endedMs() + mKeepEndedMs < nowMs);
+        mJobs.values().removeIf(j -> j.endedMs() > 0 && j.endedMs() + mEndedRetentionMs < nowMs);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobEntry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobEntry.java
@@ -9,53 +9,54 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the journal tells of one job. */
+/** State of one job, replayed from the journal. */
 public final class JobEntry {
     private final JobOrder mOrder;
-    private final BitSet mDone = new BitSet();
+    private final BitSet mDoneTasks = new BitSet();
     private final Map<Integer, Set<Integer>> mFailedAttempts = new HashMap<>();
     private final Map<Integer, JournalRecord.StartedRun> mLastStarts = new HashMap<>();
     private final Set<Long> mEndedAttempts = new HashSet<>();
-    private final int mTasks;
+    private final int mTaskCount;
 
     private long mCancelledMs;
-    private long mStatedMs;
-    private boolean mBegun;
+    private long mSnapshotMs;
+    private boolean mStarted;
     private boolean mFailed;
     private long mEndedMs;
 
     JobEntry(JobOrder order) {
         mOrder = order;
-        mStatedMs = order.acceptedMs();
-        mTasks = order.tasksPerRun() * order.timetable().runs();
+        mSnapshotMs = order.acceptedMs();
+        mTaskCount = order.tasksPerRun() * order.timetable().runs();
     }
 
     public JobOrder order() {
         return mOrder;
     }
 
-    /** When a record last told all of it, in milliseconds since 1970. */
+    /** When the last snapshot was taken, in milliseconds since the epoch. */
     public long statedMs() {
-        return mStatedMs;
+        return mSnapshotMs;
     }
 
-    /** All that is known of it, as one record; it counts as told from now on. */
+    /** Takes a snapshot of the complete state as one record. */
     public JournalRecord.JobRestated restate(long nowMs) {
-        mStatedMs = nowMs;
+        mSnapshotMs = nowMs;
         List<JournalRecord.EndedRun> ends = new ArrayList<>();
-        mDone.stream().forEach(p -> ends.add(end(mOrder.task(p), 0, RunOutcome.DONE)));
+        mDoneTasks.stream().forEach(p -> ends.add(endedRun(mOrder.task(p), 0, RunOutcome.DONE)));
         mFailedAttempts.forEach(
                 (p, attempts) ->
-                        attempts.forEach(a -> ends.add(end(mOrder.task(p), a, RunOutcome.FAILED))));
+                        attempts.forEach(
+                                a -> ends.add(endedRun(mOrder.task(p), a, RunOutcome.FAILED))));
         return new JournalRecord.JobRestated(
                 mOrder, List.copyOf(mLastStarts.values()), ends, mCancelledMs);
     }
 
-    private JournalRecord.EndedRun end(TaskName task, int attempt, RunOutcome outcome) {
+    private JournalRecord.EndedRun endedRun(TaskName task, int attempt, RunOutcome outcome) {
         return new JournalRecord.EndedRun(task, attempt, outcome, mEndedMs);
     }
 
-    /** Where the job stands. */
+    /** Current phase of the job. */
     public JobPhase phase() {
         if (mCancelledMs > 0) {
             return JobPhase.CANCELLED;
@@ -63,23 +64,23 @@
         if (mFailed) {
             return JobPhase.FAILED;
         }
-        if (!mOrder.isStanding() && mDone.cardinality() == mTasks) {
+        if (!mOrder.isStanding() && mDoneTasks.cardinality() == mTaskCount) {
             return JobPhase.COMPLETED;
         }
-        return mBegun ? JobPhase.RUNNING : JobPhase.QUEUED;
+        return mStarted ? JobPhase.RUNNING : JobPhase.QUEUED;
     }
 
-    /** Whether a task is known to have ended done. */
+    /** Whether a task has ended with {@link RunOutcome#DONE}. */
     public boolean isDone(TaskName task) {
-        return mDone.get(mOrder.position(task));
+        return mDoneTasks.get(mOrder.position(task));
     }
 
-    /** Numbers of the runs of a task that have failed. */
+    /** Numbers of the failed attempts of a task. */
     public Set<Integer> failedAttempts(TaskName task) {
         return Set.copyOf(mFailedAttempts.getOrDefault(mOrder.position(task), Set.of()));
     }
 
-    /** When the job reached its last phase, in milliseconds since 1970; 0 while it has not. */
+    /** When the job reached a final phase, in milliseconds since the epoch; 0 before that. */
     public long endedMs() {
         return mEndedMs;
     }
@@ -92,72 +93,72 @@
     }
 
     /**
-     * A start was written down. The job has not begun by that: the order may never arrive, and a
-     * caller that were told so would think it at work while it waits.
+     * Records a start. The job stays queued until a worker reports that the task has started, since
+     * the start order may never arrive.
      */
-    void started(JournalRecord.StartedRun run) {
+    void recordStart(JournalRecord.StartedRun run) {
         if (mOrder.has(run.task())) {
             mLastStarts.merge(
                     mOrder.position(run.task()), run, (a, b) -> a.attempt() > b.attempt() ? a : b);
         }
     }
 
-    /** A worker has said that a first task has started. */
-    void begun() {
-        mBegun = true;
+    /** Marks the job as started, once a worker has reported the start of a task. */
+    void markStarted() {
+        mStarted = true;
     }
 
-    /** Whether a first task is known to have started. */
+    /** Whether a worker has reported the start of a task. */
     public boolean hasBegun() {
-        return mBegun;
+        return mStarted;
     }
 
-    /** The last start of each task that was started; its run may have ended since. */
+    /** The last recorded start of each started task; that run may have ended since. */
     public Collection<JournalRecord.StartedRun> lastStarts() {
         return mLastStarts.values();
     }
 
-    /** Whether the journal tells that a run has ended done or failed. */
+    /** Whether the end of a run is recorded, or its task is done. */
     public boolean hasEnded(JournalRecord.StartedRun run) {
-        return isDone(run.task()) || mEndedAttempts.contains(endKey(run.task(), run.attempt()));
+        return isDone(run.task()) || mEndedAttempts.contains(attemptKey(run.task(), run.attempt()));
     }
 
-    private long endKey(TaskName task, int attempt) {
+    private long attemptKey(TaskName task, int attempt) {
         return ((long) mOrder.position(task) << Integer.SIZE) + attempt;
     }
 
-    void ended(JournalRecord.EndedRun run) {
+    void recordEnd(JournalRecord.EndedRun run) {
         if (!mOrder.has(run.task()) || phase().isFinal()) {
             return;
         }
-        mBegun = true;
-        mEndedAttempts.add(endKey(run.task(), run.attempt()));
+        mStarted = true;
+        mEndedAttempts.add(attemptKey(run.task(), run.attempt()));
         TaskStep step = mOrder.steps().get(run.task().step());
         if (step.mode().standing()) {
             return;
         }
         if (run.outcome() == RunOutcome.DONE) {
-            done(run.task(), step);
+            markDone(run.task(), step);
         } else if (run.outcome() == RunOutcome.FAILED) {
-            failed(run);
+            countFailure(run);
         }
         if (phase().isFinal()) {
             mEndedMs = run.atMs();
         }
     }
 
-    private void done(TaskName task, TaskStep step) {
+    private void markDone(TaskName task, TaskStep step) {
         if (!step.placement().gang()) {
-            mDone.set(mOrder.position(task));
+            mDoneTasks.set(mOrder.position(task));
             return;
         }
-        // The members of a gang end together: one end that is done stands for all of them.
+        // The members of a gang end together, so one successful member completes all of them.
         int first = mOrder.position(new TaskName(task.job(), task.run(), task.step(), 0));
-        mDone.set(first, first + step.tasks());
+        mDoneTasks.set(first, first + step.tasks());
     }
 
-    private void failed(JournalRecord.EndedRun run) {
-        // A gang fails as a whole, so its failures are counted on its first task.
+    private void countFailure(JournalRecord.EndedRun run) {
+        // A gang fails as a whole, so its failures are counted for its first task.
         TaskName task = counted(run.task());
         Set<Integer> attempts =
                 mFailedAttempts.computeIfAbsent(mOrder.position(task), p -> new HashSet<>());
@@ -165,7 +166,7 @@
         mFailed |= attempts.size() >= mOrder.terms().maxAttempts();
     }
 
-    /** The task on which failures are counted. */
+    /** The task that failures of a task are counted for: the first one of its gang, or itself. */
     public TaskName counted(TaskName task) {
         boolean gang = mOrder.steps().get(task.step()).placement().gang();
         return gang ? new TaskName(task.job(), task.run(), task.step(), 0) : task;
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobOrder.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A job as its caller handed it in.
+ * Definition of a job as submitted by its caller.
  *
- * @param id the caller's ID of the job
+ * @param id job ID assigned by the caller
  * @param route name of the queue
  * @param service service whose workers run the tasks
- * @param text text that is handed to each task
- * @param steps steps of the job
+ * @param text opaque text passed to each task
+ * @param steps steps of the job, in dependency order
  * @param timetable when the steps run
- * @param terms terms of the queue when the job came
- * @param acceptedMs when the job came, in milliseconds since 1970
+ * @param terms settings of the queue when the job was accepted
+ * @param acceptedMs when the job was accepted, in milliseconds since the epoch
  */
 public record JobOrder(
         String id,
@@ -37,7 +37,7 @@
     }
 
     /** Position of the first task of a step within one run. */
-    public int firstTask(int step) {
+    public int firstPosition(int step) {
         int sum = 0;
         for (int s = 0; s < step; s++) {
             sum += steps.get(s).tasks();
@@ -47,7 +47,7 @@
 
     /** Position of a task among all tasks of the job. */
     public int position(TaskName task) {
-        return task.run() * tasksPerRun() + firstTask(task.step()) + task.index();
+        return task.run() * tasksPerRun() + firstPosition(task.step()) + task.index();
     }
 
     /** The task at a position among all tasks of the job. */
@@ -62,7 +62,7 @@
         return new TaskName(id, run, step, rest);
     }
 
-    /** Whether a task of this name exists in the job. */
+    /** Whether the job contains a task of this name. */
     public boolean has(TaskName task) {
         return task.step() >= 0
                 && task.step() < steps.size()
@@ -77,7 +77,7 @@
         return steps.stream().anyMatch(s -> s.mode().standing());
     }
 
-    /** Estimated work of one run, in milliseconds of a thousandth of a core. */
+    /** Estimated work of one run, in millicore-milliseconds. */
     public double work() {
         double sum = 0;
         for (TaskStep s : steps) {
@@ -86,14 +86,14 @@
         return sum;
     }
 
-    /** Longest chain of estimated work through the steps, in milliseconds. */
+    /** Estimated length of the critical path through the steps, in milliseconds. */
     public long chainMs() {
         long[] ends = new long[steps.size()];
         long longest = 0;
         for (int i = 0; i < ends.length; i++) {
             long start = 0;
-            for (int d : steps.get(i).dependsOn()) {
-                start = Math.max(start, ends[d]);
+            for (int dependency : steps.get(i).dependsOn()) {
+                start = Math.max(start, ends[dependency]);
             }
             ends[i] = start + steps.get(i).estimateMs();
             longest = Math.max(longest, ends[i]);
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobPhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobPhase.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.job;
 
-/** Where a job stands. */
+/** Phase of a job. */
 public enum JobPhase {
     QUEUED(false),
     RUNNING(false),
@@ -14,7 +14,7 @@
         mFinal = isFinal;
     }
 
-    /** Whether nothing of the job will run any more. */
+    /** Whether the job has ended and none of its tasks will run again. */
     public boolean isFinal() {
         return mFinal;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** A record of the journal, from which each node knows all jobs. */
+/** A record of the journal, from which each node replays the state of all jobs and waves. */
 public sealed interface JournalRecord {
 
-    /** A job was accepted; a second record of the same ID changes nothing. */
+    /** A job was accepted; further records with the same job ID are ignored. */
     record JobAccepted(JobOrder order) implements JournalRecord {}
 
     /**
-     * All that the journal tells of a job, written again before the platform drops the records that
-     * told it first.
+     * Snapshot of a job's state, written before the platform's retention drops the original
+     * records.
      *
      * @param order the job
-     * @param starts the last start of each task that was started
-     * @param ends its ends that count
-     * @param cancelledMs when it was cancelled, in milliseconds since 1970; 0 if it was not
+     * @param starts the last start of each started task
+     * @param ends ends of tasks that are done and of failed attempts
+     * @param cancelledMs when it was cancelled, in milliseconds since the epoch; 0 if it was not
      */
     record JobRestated(
             JobOrder order, List<StartedRun> starts, List<EndedRun> ends, long cancelledMs)
@@ -26,12 +26,12 @@
         }
     }
 
-    /** A caller has cancelled a job. */
+    /** A caller cancelled a job. */
     record JobCancelled(String job, long atMs) implements JournalRecord {}
 
     /**
-     * Runs have ended. Ends are facts that their workers list, so that it doesn't matter which
-     * owner wrote them down, or how often.
+     * Runs have ended. Applying an end is idempotent, so any owner may write it, and more than
+     * once.
      */
     record RunsEnded(List<EndedRun> runs) implements JournalRecord {
         public RunsEnded {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Runs are about to be started. They are written down before the orders are sent, so that a new
-     * owner knows on which worker a task may be running.
+     * Runs are about to be started. Written before the start orders are sent, so that a new owner
+     * knows on which worker a task may be running.
      */
     record RunsStarted(List<StartedRun> runs) implements JournalRecord {
         public RunsStarted {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** First tasks of these jobs have started: their workers have said so. */
+    /** Workers have reported the start of a task of each of these jobs. */
     record JobsBegun(List<String> jobs) implements JournalRecord {
         public JobsBegun {
             jobs = List.copyOf(jobs);
@@ -57,53 +57,53 @@
     }
 
     /**
-     * One run that is about to be started.
+     * A run that is about to be started.
      *
      * @param task the task
-     * @param attempt number of the run
-     * @param worker life of the worker
+     * @param attempt number of the attempt
+     * @param worker ID of the worker
      */
     record StartedRun(TaskName task, int attempt, String worker) {}
 
     /**
-     * An owner is alive.
+     * Heartbeat of an owner.
      *
      * @param token its fencing token
-     * @param address where other nodes reach it, as {@code ip:port}
-     * @param ownedMs how long ago it took over, on its own steady clock
+     * @param address address for other nodes, as {@code ip:port}
+     * @param ownedMs time since it took over, by its own monotonic clock, in milliseconds
      */
     record OwnerAlive(long token, String address, long ownedMs) implements JournalRecord {}
 
     /**
-     * An owner gives its place up.
+     * An owner has given up ownership.
      *
      * @param token its fencing token
-     * @param node its node
-     * @param callsOver whether no call of it or of an earlier owner to the VM service can be under
-     *     way
+     * @param node name of its node
+     * @param callsOver whether no call to the VM service by it or an earlier owner can still be in
+     *     flight
      */
     record OwnerLeft(long token, String node, boolean callsOver) implements JournalRecord {}
 
-    /** A VM has begun its reboot for a wave. */
+    /** The reboot of a VM for a wave has begun. */
     record VmRebooted(long wave, String vm) implements JournalRecord {}
 
     /**
-     * When a wave's time is over, as an owner first saw it.
+     * Deadline of a wave, as computed by the owner that first saw the wave.
      *
-     * @param dueMs in milliseconds since 1970
+     * @param dueMs the deadline, in milliseconds since the epoch
      */
     record WaveDue(long wave, long dueMs) implements JournalRecord {}
 
-    /** Every VM of a wave has begun its reboot. */
+    /** The reboots of all VMs of a wave have begun. */
     record WaveCompleted(long wave) implements JournalRecord {}
 
     /**
-     * One ended run.
+     * A run that has ended.
      *
      * @param task the task
-     * @param attempt number of the run
+     * @param attempt number of the attempt
      * @param outcome how it ended
-     * @param atMs when the owner learned of it, in milliseconds since 1970
+     * @param atMs when the owner learned of it, in milliseconds since the epoch
      */
     record EndedRun(TaskName task, int attempt, RunOutcome outcome, long atMs) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/PlacementRule.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/PlacementRule.java
@@ -1,13 +1,13 @@
 package org.foxtailplank.job;
 
 /**
- * Where the tasks of a step may run.
+ * Placement constraints of the tasks of a step.
  *
- * @param gang whether the tasks work only all together
- * @param sameRack whether the tasks are slow when they are spread over racks
- * @param requiredLabel label that a worker must have; empty for none
- * @param dataRack rack on which the data lie; empty for none
- * @param maxPerWorker most tasks of the step on one worker; 0 for any number
+ * @param gang whether all tasks must run at the same time
+ * @param sameRack whether the tasks should share a rack, because spreading slows them down
+ * @param requiredLabel label that a worker must have; empty if none is required
+ * @param dataRack rack that holds the input data; empty if there is none
+ * @param maxPerWorker maximum number of tasks of the step on one worker; 0 for no limit
  */
 public record PlacementRule(
         boolean gang, boolean sameRack, String requiredLabel, String dataRack, int maxPerWorker) {
--- a/foxtail-core/src/main/java/org/foxtailplank/job/RunMode.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/RunMode.java
@@ -1,14 +1,14 @@
 package org.foxtailplank.job;
 
 /**
- * How the tasks of a step run.
+ * Execution mode of the tasks of a step.
  *
- * @param speculative whether copies of a task may run side by side
+ * @param speculative whether redundant copies of a task may run concurrently
  * @param standing whether the tasks run until the job is cancelled
- * @param checkpoints whether a task can go on from a checkpoint
- * @param fills whether the tasks take only what other tasks leave unused
- * @param targetMs bound on the tail latency of a serving task, in milliseconds; 0 for none
- * @param mayMiss tasks of the step that the system may take away at a time
+ * @param checkpoints whether a task can resume from a checkpoint
+ * @param fills whether the tasks use only processor time that other tasks leave idle
+ * @param targetMs tail latency objective of a serving task, in milliseconds; 0 for none
+ * @param mayMiss maximum number of tasks of the step that may be unavailable at a time
  */
 public record RunMode(
         boolean speculative,
--- a/foxtail-core/src/main/java/org/foxtailplank/job/RunOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/RunOutcome.java
@@ -2,17 +2,17 @@
 
 /** How a run of a task ended. */
 public enum RunOutcome {
-    /** It did its work. */
+    /** The run succeeded. */
     DONE(true),
-    /** It failed by its own fault or its worker's. */
+    /** The run failed, by a fault of the task or of the worker. */
     FAILED(true),
-    /** It was told to stop. */
+    /** The run was stopped on request. */
     STOPPED(false),
-    /** Its lease ran out. */
+    /** The lease of the run expired. */
     LAPSED(false),
-    /** Another member of its gang ended. */
+    /** Another member of the gang ended. */
     GANG_BROKEN(false),
-    /** It waited too long for the others of its gang. */
+    /** The other members of the gang did not start in time. */
     GANG_ALONE(false);
 
     private final boolean mCounts;
@@ -21,7 +21,9 @@
         mCounts = counts;
     }
 
-    /** Whether the end decides on the job, so that it must be stored before it is acknowledged. */
+    /**
+     * Whether the end changes the state of the job and must be stored before it is acknowledged.
+     */
     public boolean counts() {
         return mCounts;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/TaskName.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/TaskName.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * Name of a task.
+ * Identifies a task; its text form is {@code job.run.step.index}.
  *
- * @param job ID of its job
- * @param run which run of the job's steps, counted from 0
- * @param step number of its step
- * @param index number within the step
+ * @param job ID of the job
+ * @param run number of the run of the job's steps, from 0
+ * @param step number of the step, from 0
+ * @param index number of the task within the step, from 0
  */
 public record TaskName(String job, int run, int step, int index) {
     private static final int PARTS = 4;
 
-    /** Reads a name from its text; empty if it is none. */
+    /** Parses the text form; returns empty if the text is malformed. */
     public static Optional<TaskName> parse(String text) {
         String[] parts = text.split("\\.");
         if (parts.length != PARTS) {
--- a/foxtail-core/src/main/java/org/foxtailplank/job/TaskStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/TaskStep.java
@@ -4,14 +4,14 @@
 import org.foxtailplank.fleet.Resources;
 
 /**
- * A step of a job: a number of like tasks.
+ * A step of a job: a number of identical tasks.
  *
  * @param tasks number of tasks
- * @param demand what one task takes of a worker
- * @param estimateMs rough run time of one task, in milliseconds
- * @param dependsOn numbers of the earlier steps that must be done first
- * @param placement where the tasks may run
- * @param mode how the tasks run
+ * @param demand resources that one task uses
+ * @param estimateMs estimated run time of one task, in milliseconds
+ * @param dependsOn numbers of the earlier steps that must be done before this one starts
+ * @param placement placement constraints of the tasks
+ * @param mode execution mode of the tasks
  */
 public record TaskStep(
         int tasks,
@@ -24,7 +24,7 @@
         dependsOn = List.copyOf(dependsOn);
     }
 
-    /** What one task takes from the room of its worker. */
+    /** Resources that one task reserves on its worker; tasks on idle time reserve no processor. */
     public Resources reserved() {
         return mode.fills()
                 ? new Resources(0, demand.memoryBytes(), demand.accelerators())
--- a/foxtail-core/src/main/java/org/foxtailplank/job/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs made of steps of tasks: what callers hand in, and what is known of its progress. */
+/** Job model: the submitted definition, its tasks, and the state replayed from the journal. */
 package org.foxtailplank.job;
--- a/foxtail-core/src/test/java/org/foxtailplank/job/JobBookTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/job/JobBookTest.java
@@ -19,16 +19,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the journal tells of jobs. */
+/** Tests how journal records change the state of jobs and waves. */
 public class JobBookTest {
-    private static final long KEEP_MS = 120_000;
+    private static final long RETENTION_MS = 120_000;
     private static final long NOW_MS = 5_000_000;
 
     private JobBook mBook;
 
     @BeforeMethod
     public void setUp() {
-        mBook = new JobBook(KEEP_MS);
+        mBook = new JobBook(RETENTION_MS);
     }
 
     private static JobOrder order(String id, int tasks, boolean gang) {
@@ -54,10 +54,9 @@
     }
 
     @Test
-    public void recordsThatComeBeforeTheirJobAreKeptForIt() {
-        // A job was accepted in one partition of the journal and started in the other. A new owner
-        // that reads the second one first would know nothing of the start, and start the task on
-        // another worker while it runs.
+    public void recordsThatPrecedeTheirJobAreAppliedOnceItIsKnown() {
+        // A start in one partition may be read before the job's acceptance in another one. A new
+        // owner that dropped it would start the running task on a second worker.
         TaskName task = new TaskName("aa", 0, 0, 0);
         StartedRun start = new StartedRun(task, 3, "w1");
         mBook.apply(new RunsStarted(List.of(start)));
@@ -69,7 +68,7 @@
     }
 
     @Test
-    public void aJobThatIsHandedInTwiceIsOneJob() {
+    public void aJobThatIsSubmittedTwiceIsRegisteredOnce() {
         accept(1);
 
         assertTrue(mBook.apply(new JobAccepted(order("aa", 5, false))).isEmpty());
@@ -77,7 +76,7 @@
     }
 
     @Test
-    public void aJobIsCompletedOnlyWhenEachTaskHasEndedDone() {
+    public void aJobIsCompletedOnlyWhenEveryTaskIsDone() {
         JobEntry job = accept(2);
         assertEquals(job.phase(), JobPhase.QUEUED);
         mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
@@ -104,7 +103,7 @@
     }
 
     @Test
-    public void oneEndThatIsDoneStandsForAWholeGang() {
+    public void oneSuccessfulMemberCompletesTheGang() {
         JobEntry job = mBook.apply(new JobAccepted(order("aa", 4, true))).orElseThrow();
         end(2, 1, RunOutcome.DONE);
 
@@ -121,36 +120,36 @@
     }
 
     @Test
-    public void aJobThatIsToldAgainIsKnownWithoutItsFirstRecords() {
-        // The platform drops records after some minutes. A node that starts then would not know a
-        // standing job that callers still rely on.
+    public void aJobIsRestoredFromItsSnapshotAlone() {
+        // Guards against a node that starts after the original records have expired and doesn't
+        // know a standing job.
         JobEntry job = accept(3);
         mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 1), 7, "w"))));
         end(0, 1, RunOutcome.DONE);
         end(1, 2, RunOutcome.FAILED);
-        JobBook later = new JobBook(KEEP_MS);
+        JobBook replica = new JobBook(RETENTION_MS);
 
-        JobEntry told = later.apply(job.restate(NOW_MS)).orElseThrow();
+        JobEntry restored = replica.apply(job.restate(NOW_MS)).orElseThrow();
 
-        assertTrue(told.isDone(new TaskName("aa", 0, 0, 0)));
-        assertEquals(told.failedAttempts(new TaskName("aa", 0, 0, 1)).size(), 1);
-        assertEquals(told.lastStarts().iterator().next().attempt(), 7);
-        assertEquals(told.phase(), JobPhase.RUNNING);
+        assertTrue(restored.isDone(new TaskName("aa", 0, 0, 0)));
+        assertEquals(restored.failedAttempts(new TaskName("aa", 0, 0, 1)).size(), 1);
+        assertEquals(restored.lastStarts().iterator().next().attempt(), 7);
+        assertEquals(restored.phase(), JobPhase.RUNNING);
         assertEquals(job.statedMs(), NOW_MS);
     }
 
     @Test
-    public void anEndedJobCanBeAskedForUntilItsTimeIsOver() {
+    public void anEndedJobIsRetainedUntilItExpires() {
         accept(1);
         end(0, 1, RunOutcome.DONE);
-        mBook.forgetEnded(NOW_MS + KEEP_MS);
+        mBook.forgetEnded(NOW_MS + RETENTION_MS);
         assertTrue(mBook.job("aa").isPresent());
-        mBook.forgetEnded(NOW_MS + KEEP_MS + 1);
+        mBook.forgetEnded(NOW_MS + RETENTION_MS + 1);
         assertTrue(mBook.job("aa").isEmpty());
     }
 
     @Test
-    public void onlyJobsOfTheQueueThatHaveNotBegunArePending() {
+    public void onlyUnstartedJobsOfTheQueueArePending() {
         accept(1);
         mBook.apply(new JobAccepted(order("bb", 1, false)));
         mBook.apply(new JobsBegun(List.of("bb")));
@@ -160,10 +159,9 @@
     }
 
     @Test
-    public void aJobIsPendingUntilAWorkerSaysThatItHasBegun() {
-        // A zone is cut off and its owner killed. Starts on workers there were written down and
-        // never arrived; the next owner waits their leases out. Callers were told that these jobs
-        // run, and that hardly any of the queue waits.
+    public void aJobIsPendingUntilAWorkerReportsItsStart() {
+        // Guards against reporting a job as running when its start was recorded but the start order
+        // never reached the worker, as in a network partition of its zone.
         mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
         accept(1);
 
@@ -171,36 +169,35 @@
     }
 
     @Test
-    public void thatAJobHasBegunMayBeToldBeforeTheJob() {
+    public void aStartReportMayPrecedeTheJob() {
         mBook.apply(new JobsBegun(List.of("aa")));
 
         assertEquals(accept(1).phase(), JobPhase.RUNNING);
     }
 
     @Test
-    public void rebootsOfAWaveAreKnownAgainAfterTheirRecordsLapsed() {
+    public void wavesAreRestoredFromTheirSnapshot() {
         mBook.apply(new VmRebooted(1, "vm1"));
         mBook.apply(new VmRebooted(2, "vm2"));
         mBook.apply(new WaveCompleted(2));
-        JobBook later = new JobBook(KEEP_MS);
-        mBook.restateWaves().forEach(later::apply);
+        JobBook replica = new JobBook(RETENTION_MS);
+        mBook.restateWaves().forEach(replica::apply);
 
-        assertEquals(later.rebooted(1), Set.of("vm1"));
-        assertTrue(later.isCompleted(2));
+        assertEquals(replica.rebooted(1), Set.of("vm1"));
+        assertTrue(replica.isCompleted(2));
     }
 
     @Test
-    public void aJobThatIsToldAgainMakesUpForRecordsThatWereMissed() {
-        // A node lags behind until records have expired, and reads on after a gap. It knows the job
-        // and so passes over the record that tells all of it again: as the owner it would start
-        // what has ended done.
-        JobBook whole = new JobBook(KEEP_MS);
-        JobEntry known = whole.apply(new JobAccepted(order("aa", 2, false))).orElseThrow();
+    public void aJobSnapshotSuppliesMissedRecords() {
+        // Guards against a lagging node that missed expired records and ignores the snapshot of
+        // a known job: as the owner it would run finished tasks again.
+        JobBook complete = new JobBook(RETENTION_MS);
+        JobEntry known = complete.apply(new JobAccepted(order("aa", 2, false))).orElseThrow();
         TaskName task = new TaskName("aa", 0, 0, 0);
         EndedRun end = new EndedRun(task, 1, RunOutcome.DONE, NOW_MS);
         StartedRun start = new StartedRun(new TaskName("aa", 0, 0, 1), 1, "w1");
-        whole.apply(new RunsEnded(List.of(end)));
-        whole.apply(new RunsStarted(List.of(start)));
+        complete.apply(new RunsEnded(List.of(end)));
+        complete.apply(new RunsStarted(List.of(start)));
 
         JobEntry entry = accept(2);
         mBook.apply(known.restate(NOW_MS + 100_000));
@@ -210,9 +207,9 @@
     }
 
     @Test
-    public void noStartIsDroppedBeforeItsJobIsKnown() {
-        // While a partition of the journal was away, starts of more than a thousand jobs went to
-        // another one, which a node that starts then reads first.
+    public void startsOfManyUnknownJobsAreBuffered() {
+        // Guards against evicting the starts of jobs whose acceptance is still unread because its
+        // partition is unavailable.
         TaskName task = new TaskName("aa", 0, 0, 0);
         StartedRun start = new StartedRun(task, 1, "w1");
         mBook.apply(new RunsStarted(List.of(start)));
