--- a/foxtail-core/src/main/java/org/foxtailplank/port/CallerBodies.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/CallerBodies.java
@@ -5,29 +5,35 @@
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
 
-/** The form in which callers hand jobs in and are told of them. */
+/** Format of the requests and responses of callers. */
 public interface CallerBodies {
 
-    /** Reads a submission. */
+    /** Parses the body of a job submission. */
     Submission read(byte[] body) throws BadBodyException;
 
-    /** Name of the header that says how many milliseconds a caller waits for an answer. */
+    /** Name of the request header with the caller's timeout in milliseconds. */
     String deadlineHeader();
 
-    /** The answer to a question about a job. */
+    /** Response body for a query of a job's phase. */
     String phase(JobPhase phase);
 
-    /** The answer to a question about a queue. */
+    /** Response body for a query of the number of pending jobs of a queue. */
     String pending(int jobs);
 
-    /** A submission: the text for the tasks, the steps, and when they run. */
+    /**
+     * A parsed submission.
+     *
+     * @param text opaque text passed to each task
+     * @param steps steps of the job
+     * @param timetable times at which the steps run
+     */
     record Submission(String text, List<TaskStep> steps, Timetable timetable) {
         public Submission {
             steps = List.copyOf(steps);
         }
     }
 
-    /** A body that is no submission; the message says why. */
+    /** Thrown for a body that isn't a valid submission; the message gives the reason. */
     final class BadBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/foxtail-core/src/main/java/org/foxtailplank/port/Feed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/Feed.java
@@ -4,53 +4,57 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Values under keys that others keep up to date and this system follows. */
+/**
+ * A change feed of keyed values that other systems maintain.
+ *
+ * @param <T> type of the values
+ */
 public interface Feed<T> {
 
-    /** Reads the newest value of each key. */
+    /** Reads the latest value of each key. */
     void newest(Consumer<Result<T>> then);
 
-    /** Reads what changed from a position on, and waits for the first change for so long. */
+    /** Reads the changes from a position on; waits up to {@code waitMs} for the first one. */
     void changes(long position, long waitMs, Consumer<Result<T>> then);
 
-    /** What came of a read. */
+    /** Result of a read. */
     sealed interface Result<T> {}
 
     /**
-     * Values in the order of their changes.
+     * A page of values, in the order of their changes.
      *
      * @param items the values
-     * @param next position from which to read on
+     * @param next position of the next page
      */
     record Page<T>(List<Item<T>> items, long next) implements Result<T> {}
 
-    /** The changes asked for are gone; the newest values must be read again. */
+    /** The requested changes have expired; the latest values must be read again. */
     record Gap<T>() implements Result<T> {}
 
-    /** No answer, or a refusal. */
+    /** The read timed out or was rejected. */
     record Failed<T>(String reason) implements Result<T> {}
 
     /**
-     * A value, or that there is none any more.
+     * A changed value, or the removal of one.
      *
-     * @param key the key; empty where not even that could be read
-     * @param value the value; empty if there is none any more or it can't be read
-     * @param readable whether the record could be read; if not, what the key stood for before holds
-     *     no more, or is kept: that is for the follower to decide
+     * @param key the key; empty if it couldn't be parsed
+     * @param value the value; empty if it was removed or couldn't be parsed
+     * @param readable whether the record could be parsed; if not, the reader decides whether to
+     *     keep the previous value of the key
      */
     record Item<T>(String key, Optional<T> value, boolean readable) {
         public Item {
             if (!readable && value.isPresent()) {
-                throw new IllegalArgumentException("a value from a record that can't be read");
+                throw new IllegalArgumentException("an unreadable item must not have a value");
             }
         }
 
-        /** A value that was read, or that there is none any more. */
+        /** Creates an item for a changed value, or for a removal if the value is empty. */
         public Item(String key, Optional<T> value) {
             this(key, value, true);
         }
 
-        /** A record that can't be read: another writer's. */
+        /** Creates an item for a record that couldn't be parsed. */
         public static <T> Item<T> unreadable(String key) {
             return new Item<>(key, Optional.empty(), false);
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/FleetConfig.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/FleetConfig.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * The operator's configuration.
+ * Configuration of queues and services, as written by the operator.
  *
- * @param version its version, which rises
+ * @param version version number, which increases with each change
  * @param routes the queues
  * @param services the services
- * @param maxBodyBytes largest body of a caller's request
+ * @param maxBodyBytes maximum size of a caller's request body, in bytes
  */
 public record FleetConfig(
         long version, List<RouteSettings> routes, List<PoolService> services, int maxBodyBytes) {
@@ -18,24 +18,25 @@
         services = List.copyOf(services);
     }
 
-    /** The queue for a host and path: the one with the longest prefix. */
+    /** The queue for a host and path: the one with the longest matching path prefix. */
     public Optional<RouteSettings> route(String host, String path) {
-        RouteSettings best = null;
+        RouteSettings match = null;
         for (RouteSettings r : routes) {
             boolean matches = r.host().equalsIgnoreCase(host) && path.startsWith(r.pathPrefix());
-            boolean longer = best == null || r.pathPrefix().length() > best.pathPrefix().length();
-            if (matches && longer) {
-                best = r;
+            boolean moreSpecific =
+                    match == null || r.pathPrefix().length() > match.pathPrefix().length();
+            if (matches && moreSpecific) {
+                match = r;
             }
         }
-        return Optional.ofNullable(best);
+        return Optional.ofNullable(match);
     }
 
     public Optional<PoolService> service(String name) {
         return services.stream().filter(s -> s.name().equals(name)).findFirst();
     }
 
-    /** Whether a service's VMs are off. */
+    /** Whether a service is a standby, whose VMs are switched off; false for an unknown one. */
     public boolean isStandby(String name) {
         return service(name).map(PoolService::standby).orElse(false);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/OperatorOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/OperatorOrder.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.port;
 
-/** What an operator has written. */
+/** A change that an operator has published. */
 public sealed interface OperatorOrder {
 
-    /** A configuration. */
+    /** A new version of the configuration. */
     record NewConfig(FleetConfig config) implements OperatorOrder {}
 
-    /** A maintenance wave. */
+    /** A new maintenance wave. */
     record NewWave(WaveOrder wave) implements OperatorOrder {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/OrderOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/OrderOutcome.java
@@ -1,27 +1,27 @@
 package org.foxtailplank.port;
 
-/** What came of an order to a worker. */
+/** Outcome of a command to a worker. */
 public enum OrderOutcome {
-    /** Carried out, now or before. */
+    /** Executed, by this or an earlier request. */
     DONE,
-    /** A later owner has given orders; nothing was done. */
+    /** Rejected: the worker has seen a higher fencing token. */
     FENCED,
-    /** The run is not newer than one that was stopped or has ended there. */
+    /** Rejected: the same or a later attempt was stopped or has ended on this worker. */
     OUTDATED,
-    /** The lease that the order names is over already. */
+    /** Rejected: the lease in the command has expired. */
     LEASE_OVER,
-    /** It does not fit. */
+    /** Rejected: the worker lacks the resources. */
     NO_ROOM,
-    /** The ticket is missing or no longer good. */
+    /** Rejected: the placement ticket is missing or has expired. */
     NO_TICKET,
-    /** The worker does not understand the order. */
+    /** Rejected: the worker can't parse the command. */
     INVALID,
-    /** The worker is unhealthy and has done nothing. */
+    /** Rejected: the worker is unhealthy. */
     UNHEALTHY,
-    /** Another life answers at this address: the one that was meant is over. */
+    /** The worker at this address has another ID: the addressed one has restarted or is gone. */
     OTHER_LIFE,
-    /** No connection; nothing was sent. */
+    /** The connection failed; nothing was sent. */
     NOT_SENT,
-    /** No answer: the order may be carried out, also some seconds later. */
+    /** No response: the command may have been executed, or may still be executed later. */
     UNANSWERED
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvice.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvice.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The service that knows which workers may run the steps of some queues. */
+/** Client of the service that decides which workers may run the steps of some queues. */
 public interface PlacementAdvice {
 
-    /** Asks which of these workers may run a step of one run of a job. */
+    /** Requests tickets for those of the workers that may run a step of one run of a job. */
     void ask(String job, int run, int step, List<String> workers, Consumer<Advice> then);
 
     /**
-     * An answer.
+     * Result of a request.
      *
-     * @param answered whether there was one
-     * @param tickets a ticket for each worker that may run the step
-     * @param validMs how long the tickets hold, in milliseconds
+     * @param answered whether the service responded
+     * @param tickets tickets by worker ID, for each worker that may run the step
+     * @param validMs validity period of the tickets, in milliseconds
      */
     record Advice(boolean answered, Map<String, String> tickets, long validMs) {
         public Advice {
--- a/foxtail-core/src/main/java/org/foxtailplank/port/PoolService.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/PoolService.java
@@ -1,10 +1,10 @@
 package org.foxtailplank.port;
 
 /**
- * A service as the operator describes it.
+ * Configuration of a service.
  *
- * @param name its name, which is also that of its pool
- * @param guardsCapacity whether its workers refuse tasks that don't fit
- * @param standby whether its VMs are off and cost nothing
+ * @param name name of the service and of its VM pool
+ * @param enforcesCapacity whether its workers reject tasks that exceed their free resources
+ * @param standby whether its VMs are switched off and incur no cost
  */
-public record PoolService(String name, boolean guardsCapacity, boolean standby) {}
+public record PoolService(String name, boolean enforcesCapacity, boolean standby) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/port/RouteSettings.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/RouteSettings.java
@@ -3,13 +3,13 @@
 import org.foxtailplank.job.QueueTerms;
 
 /**
- * A queue that callers hand jobs in to.
+ * Configuration of a queue that callers submit jobs to.
  *
- * @param name its name
- * @param host host that callers name
- * @param pathPrefix beginning of the paths that lead to it
- * @param service service whose workers run its tasks
- * @param terms terms of the queue
+ * @param name name of the queue
+ * @param host value of the {@code Host} header of its requests
+ * @param pathPrefix path prefix of its requests
+ * @param service service whose workers run the tasks
+ * @param terms scheduling settings of the queue
  */
 public record RouteSettings(
         String name, String host, String pathPrefix, String service, QueueTerms terms) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/port/SharedLog.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/SharedLog.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The log that all nodes share; what must last lies there. */
+/** The append-only log that all nodes share and that holds all durable state. */
 public interface SharedLog {
 
-    /** Appends records, all or none. */
+    /** Appends records atomically. */
     void append(LogPartition partition, List<byte[]> records, Consumer<AppendResult> then);
 
-    /** Appends one record if the partition ends where the caller thinks it does. */
+    /** Appends one record if {@code expectedEnd} is the end offset of the partition. */
     void appendAt(
             LogPartition partition, long expectedEnd, byte[] record, Consumer<AppendResult> then);
 
     /**
-     * Appends records of a writer with an epoch, all or none. The log refuses an epoch below the
-     * highest one of that writer, and repeats the answer to a sequence number that it has seen. No
-     * records only raise the epoch.
+     * Appends records of a writer atomically and idempotently. The log rejects an epoch lower than
+     * the writer's highest one, and repeats its response to a sequence number that it has seen. An
+     * empty list only raises the epoch.
      */
     void appendAs(
             LogPartition partition,
@@ -25,73 +25,73 @@
             Consumer<AppendResult> then);
 
     /**
-     * Who writes, so that an earlier holder of the same name can be kept out.
+     * Identity of a writer, by which an earlier holder of the same name is fenced off.
      *
-     * @param name name of the writer
-     * @param epoch rises with each holder of the name
-     * @param sequence number of the append within the epoch
+     * @param name name shared by successive holders
+     * @param epoch epoch, which increases with each holder of the name
+     * @param sequence sequence number of the append within the epoch
      */
     record WriterEpoch(String name, long epoch, long sequence) {}
 
-    /** The most that one answer to a read carries, in bytes. */
-    int LARGEST_PAGE_BYTES = 1 << 20;
+    /** Maximum size of the response to a read, in bytes. */
+    int MAX_PAGE_BYTES = 1 << 20;
 
     /**
      * Reads records from an offset on.
      *
-     * @param page how long to wait for the first record, and how much to answer with
+     * @param page limits of the response
      */
     void read(LogPartition partition, long from, PageRequest page, Consumer<ReadResult> then);
 
     /**
-     * What an answer to a read is to be like.
+     * Limits of the response to a read.
      *
-     * @param waitMs how long to wait for the first record, in milliseconds; 0 doesn't wait
-     * @param maxBytes how much to answer with
+     * @param waitMs how long to wait for the first record, in milliseconds; 0 for no wait
+     * @param maxBytes maximum total size of the records, in bytes
      */
     record PageRequest(long waitMs, int maxBytes) {
-        /** As much at a time as the log gives. */
+        /** Requests pages of the maximum size. */
         public static PageRequest largest(long waitMs) {
-            return new PageRequest(waitMs, LARGEST_PAGE_BYTES);
+            return new PageRequest(waitMs, MAX_PAGE_BYTES);
         }
     }
 
-    /** What came of an append. */
+    /** Result of an append. */
     sealed interface AppendResult {}
 
     /** The records are stored. */
     record Stored(long firstOffset, long end) implements AppendResult {}
 
-    /** The partition ends elsewhere; nothing was stored. */
+    /** The partition has another end offset; nothing was stored. */
     record EndMoved(long end) implements AppendResult {}
 
-    /** A higher epoch has written; nothing was stored. */
+    /** The writer has a higher epoch; nothing was stored. */
     record Fenced() implements AppendResult {}
 
-    /** Another sequence number is due; nothing was stored. */
+    /** The log expects another sequence number; nothing was stored. */
     record OutOfSequence(long expected) implements AppendResult {}
 
     /** Nothing was stored. */
     record NotStored(String reason) implements AppendResult {}
 
-    /** The records may be stored, now or some seconds later. */
+    /** Unknown: the records may be stored, or may still be stored later. */
     record MaybeStored(String reason) implements AppendResult {}
 
-    /** What came of a read. */
+    /** Result of a read. */
     sealed interface ReadResult {}
 
     /**
-     * Records from the offset that was asked for.
+     * Records from the requested offset on.
      *
-     * @param from offset of the first of them
+     * @param from offset of the first record
      * @param end offset after the last record of the partition
      * @param records the records
      */
     record Records(long from, long end, List<byte[]> records) implements ReadResult {}
 
-    /** The records asked for are gone; the first one left has this offset. */
+    /** The requested records have expired; the first available one has this offset. */
     record RecordsGone(long firstOffset) implements ReadResult {}
 
-    /** No answer, or a refusal. */
+    /** The read timed out or was rejected. */
     record ReadFailed(String reason) implements ReadResult {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/VmActions.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/VmActions.java
@@ -5,86 +5,89 @@
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
 
-/** What the platform lets us do with VMs. */
+/** Client of the platform's VM service. */
 public interface VmActions {
 
     /** Lists all VMs. */
     void list(Consumer<Optional<List<VmInfo>>> then);
 
     /**
-     * Moves a VM to another pool; all that runs on it ends at once. The call is not sent without
-     * its holder's permit, and broken off when that ends.
+     * Moves a VM to another pool, which terminates everything that runs on it. The call is sent
+     * only while the holder's permit is valid, and aborted when the permit expires.
      */
     void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then);
 
-    /** Reboots a VM for a wave; all that runs on it ends at once. The permit holds as for moves. */
+    /**
+     * Reboots a VM for a wave, which terminates everything that runs on it. The permit applies as
+     * in {@link #move}.
+     */
     void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then);
 
     /**
-     * Who gives an order.
+     * The owner that makes a call.
      *
      * @param node name of the node
      * @param token its fencing token
-     * @param permit how long its calls may be under way
+     * @param permit time limit of its calls
      */
     record Holder(String node, long token, CallPermit permit) {}
 
-    /** How long calls may be under way; asked just before a call is sent. */
+    /** Time limit of calls; evaluated just before a call is sent. */
     @FunctionalInterface
     interface CallPermit {
-        /** For calls that anybody may make at any time. */
+        /** Permit without a time limit, for calls that need no ownership. */
         CallPermit UNLIMITED = () -> Long.MAX_VALUE;
 
-        /** Milliseconds from now until a call must be broken off; 0 for no call. */
+        /** Milliseconds from now after which a call must be aborted; 0 if none may be sent. */
         long leftMs();
     }
 
     /**
      * A VM.
      *
-     * @param id its name, which stays over moves and reboots
+     * @param id ID of the VM, which moves and reboots don't change
      * @param pool pool that it belongs to
-     * @param phase what it is doing
-     * @param worker life of its worker; empty while it has none
-     * @param capacity what its worker offers
+     * @param phase state of the VM
+     * @param worker ID of its worker; empty while there is none
+     * @param capacity resources of its worker
      */
     record VmInfo(String id, String pool, VmPhase phase, String worker, Resources capacity) {
 
-        /** An entry of the list that can't be read; its VM's name may be known, or empty. */
+        /** Creates an entry for a VM whose list entry couldn't be parsed; the ID may be empty. */
         public static VmInfo unreadable(String id) {
             return new VmInfo(id, "", VmPhase.UNREADABLE, "", Resources.NONE);
         }
 
-        /** Whether the entry tells what its VM does; if not, the VM may be up with any life. */
+        /** Whether the list entry could be parsed; if not, the VM may run any worker. */
         public boolean isReadable() {
             return phase != VmPhase.UNREADABLE;
         }
     }
 
-    /** What a VM is doing. */
+    /** State of a VM. */
     enum VmPhase {
         UP,
         MOVING,
         REBOOTING,
         DOWN,
-        /** The list's entry can't be read: another writer's, or of a state that isn't known. */
+        /** The list entry couldn't be parsed or has an unknown state. */
         UNREADABLE
     }
 
-    /** What came of an action. */
+    /** Outcome of a move or reboot. */
     enum VmOutcome {
         DONE,
-        /** A higher fencing token was used on this VM. */
+        /** Rejected: the VM service has seen a higher fencing token for this VM. */
         FENCED,
-        /** The VM is not up, or is leaving. */
+        /** Rejected: the VM isn't up or is shutting down. */
         BUSY,
-        /** The VM is not part of the wave. */
+        /** Rejected: the VM isn't part of the wave. */
         NOT_OF_WAVE,
-        /** There is no such VM or pool. */
+        /** Rejected: there is no such VM or pool. */
         INVALID,
-        /** Nothing was done; it may be tried again. */
+        /** Nothing was done; the call can be retried. */
         NOT_DONE,
-        /** It may have been done. */
+        /** No response: the action may have been executed. */
         UNANSWERED
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WaveOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WaveOrder.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The operator's order that VMs be rebooted for maintenance.
+ * An operator's request to reboot VMs for maintenance.
  *
  * @param number number of the wave
  * @param vms the VMs
- * @param durationMs time for all of them, in milliseconds
- * @param atOnce most VMs of the wave that may be down at a time
+ * @param durationMs time within which all VMs must be rebooted, in milliseconds
+ * @param atOnce maximum number of VMs of the wave that may be down at a time
  */
 public record WaveOrder(long number, List<String> vms, long durationMs, int atOnce) {
     public WaveOrder {
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WorkerInfo.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WorkerInfo.java
@@ -4,16 +4,16 @@
 import org.foxtailplank.fleet.Resources;
 
 /**
- * What a worker says of itself.
+ * Description of a worker, as registered by the worker.
  *
- * @param id its life; a worker that starts again has another one
- * @param service service that it serves
- * @param address where it listens, as {@code ip:port}
+ * @param id worker ID, which changes with each restart
+ * @param service service that it belongs to
+ * @param address address that it listens on, as {@code ip:port}
  * @param zone its availability zone
- * @param capacity what it offers
- * @param labels labels that a step may require or prefer, its rack among them
- * @param rack rack that it stands in
- * @param draining whether it is about to leave
+ * @param capacity resources that it offers
+ * @param labels labels that a step may require or prefer, including the rack
+ * @param rack rack of its VM
+ * @param draining whether it is about to shut down
  */
 public record WorkerInfo(
         String id,
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WorkerOrders.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WorkerOrders.java
@@ -6,64 +6,64 @@
 import org.foxtailplank.job.RunView;
 import org.foxtailplank.job.TaskName;
 
-/** Orders to workers; each names the life of the worker that it is meant for. */
+/** Client for commands to workers; each command carries the ID of the addressed worker. */
 public interface WorkerOrders {
 
-    /** Starts a run of a task; repeating the order is harmless. */
+    /** Starts a run of a task; idempotent. */
     void start(WorkerAddress worker, StartOrder order, Consumer<OrderAnswer> then);
 
-    /** Stops a run; one that is not there yet will never start. */
+    /** Stops a run; a start of the same run that arrives later is rejected. */
     void stop(WorkerAddress worker, RunOrder order, Consumer<OrderAnswer> then);
 
-    /** Lets a run work at a share of its speed. */
+    /** Throttles a run to a percentage of its speed. */
     void pace(WorkerAddress worker, RunOrder order, int percent, Consumer<OrderAnswer> then);
 
-    /** Acknowledges ends, renews the lease of all that runs, and lists runs and ends. */
+    /** Acknowledges ends, renews the lease of all runs, and lists running and ended runs. */
     void look(WorkerAddress worker, LookOrder order, Consumer<LookAnswer> then);
 
     /**
-     * Which life of which worker.
+     * Address of a worker.
      *
-     * @param id the life
-     * @param address where it listens, as {@code ip:port}
+     * @param id worker ID, which changes with each restart
+     * @param address address that it listens on, as {@code ip:port}
      */
     record WorkerAddress(String id, String address) {}
 
     /**
-     * A start.
+     * Command to start a run.
      *
      * @param run the run
-     * @param text the job's text for its tasks
-     * @param checkpoint where to go on from; empty for the beginning
-     * @param ticket ticket of the queue's advice; empty for none
-     * @param leaseUntilMs end of the worker's lease on the worker's clock
+     * @param text opaque text of the job
+     * @param checkpoint checkpoint to resume from; empty to start from the beginning
+     * @param ticket ticket of the placement advice service; empty if none is needed
+     * @param leaseUntilMs end of the lease, by the worker's clock
      */
     record StartOrder(
             RunOrder run, String text, String checkpoint, String ticket, long leaseUntilMs) {}
 
     /**
-     * A run, with the token of the owner that gives the order.
+     * Identifies a run, with the fencing token of the owner that sends the command.
      *
      * @param task the task
-     * @param attempt number of the run
+     * @param attempt number of the attempt
      * @param token fencing token of the owner
      */
     record RunOrder(TaskName task, int attempt, long token) {}
 
     /**
-     * A look.
+     * Command to list the runs of a worker.
      *
      * @param token fencing token of the owner
-     * @param acknowledged ends up to this number are stored and may be forgotten
-     * @param leaseUntilMs end of the lease on the worker's clock; 0 to leave it
-     * @param waitMs how long to wait for an end
+     * @param acknowledged sequence number up to which ends are stored and may be discarded
+     * @param leaseUntilMs new end of the lease, by the worker's clock; 0 to keep the current one
+     * @param waitMs how long to wait for an end, in milliseconds
      */
     record LookOrder(long token, long acknowledged, long leaseUntilMs, long waitMs) {}
 
-    /** Answer to an order, with the worker's clock in milliseconds, or -1 without one. */
+    /** Result of a command, with the worker's clock in milliseconds, or -1 if it is unknown. */
     record OrderAnswer(OrderOutcome outcome, long clockMs) {}
 
-    /** Answer to a look. */
+    /** Result of {@link #look}. */
     record LookAnswer(
             OrderOutcome outcome, long clockMs, List<RunView> running, List<RunEnd> ended) {
         public LookAnswer {
--- a/foxtail-core/src/main/java/org/foxtailplank/port/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What the system needs of the platform it runs on, in its own words.
+ * Ports: the interfaces through which the system uses the platform it runs on.
  *
- * <p>All calls return at once and answer later on the thread that made them. An answer that stays
- * away is itself an answer, after a timeout of the implementation's.
+ * <p>All calls are asynchronous and invoke their callback later on the calling thread. The
+ * implementation applies a timeout, so that a callback runs even if the platform doesn't respond.
  */
 package org.foxtailplank.port;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/PageSize.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/PageSize.java
@@ -36,6 +36,6 @@
 
     /** The next record is larger than the page, which came back without any. */
     void tooSmall() {
-        mBytes = Math.min(SharedLog.LARGEST_PAGE_BYTES, mBytes * 2);
+        mBytes = Math.min(SharedLog.MAX_PAGE_BYTES, mBytes * 2);
     }
 }
