--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/CatchUpLog.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/CatchUpLogger.java
@@ -5,55 +5,52 @@
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog.ReadFailed;
 
-/**
- * Log lines that tell how a node follows a partition of the journal: which reads fail, and how long
- * it took to get to the end once it was behind.
- */
-final class CatchUpLog {
-    /** Lags that end sooner are not written down, in milliseconds: callers hardly notice them. */
-    private static final long NOTICED_MS = 500;
+/** Logs failed reads of a journal partition, and how long it took to catch up after a lag. */
+final class CatchUpLogger {
+    /** Shorter lags aren't logged, in milliseconds: callers hardly notice them. */
+    private static final long MIN_LOGGED_LAG_MS = 500;
 
-    private final NodeLog mOut;
+    private final NodeLog mNodeLog;
     private final Clock mClock;
     private final LogPartition mPartition;
     private long mBehindSinceMs;
     private boolean mBehind;
     private long mPages;
     private long mBytes;
-    private long mTaken;
+    private long mNewRecords;
 
-    CatchUpLog(NodeLog out, Clock clock, LogPartition partition) {
-        mOut = out;
+    CatchUpLogger(NodeLog nodeLog, Clock clock, LogPartition partition) {
+        mNodeLog = nodeLog;
         mClock = clock;
         mPartition = partition;
     }
 
-    /** A read that doesn't wait is on its way; until one reaches the end the node is behind. */
-    void asked() {
+    /** Starts to measure a lag, if none is being measured; it lasts until the end is reached. */
+    void readSent() {
         if (!mBehind) {
             mBehind = true;
             mBehindSinceMs = mClock.nowMs();
             mPages = 0;
             mBytes = 0;
-            mTaken = 0;
+            mNewRecords = 0;
         }
     }
 
     /**
-     * A page has come.
+     * Counts a page that was read.
      *
-     * @param bytes bytes of its records
-     * @param taken how many of its records had not been read before
+     * @param bytes total size of its records
+     * @param newRecords number of its records that had not been read before
      */
-    void page(long bytes, long taken) {
+    void pageReceived(long bytes, long newRecords) {
         mPages++;
         mBytes += bytes;
-        mTaken += taken;
+        mNewRecords += newRecords;
     }
 
-    /** A read has failed. */
-    void failed(long from, int pageBytes, ReadFailed result) {
-        mOut.line("journal-read-failed")
+    /** Logs a failed read. */
+    void readFailed(long from, int pageBytes, ReadFailed result) {
+        mNodeLog.line("journal-read-failed")
                 .with("partition", mPartition.number())
                 .with("from", from)
                 .with("pageBytes", pageBytes)
@@ -62,17 +59,17 @@
                 .write();
     }
 
-    /** The end was reached. */
-    void atEnd(long position) {
+    /** Ends the lag, and logs it if it was long enough. */
+    void endReached(long position) {
         long behindMs = mClock.nowMs() - mBehindSinceMs;
-        if (mBehind && behindMs >= NOTICED_MS) {
-            mOut.line("journal-caught-up")
+        if (mBehind && behindMs >= MIN_LOGGED_LAG_MS) {
+            mNodeLog.line("journal-caught-up")
                     .with("partition", mPartition.number())
                     .with("position", position)
                     .with("behindMs", behindMs)
                     .with("pages", mPages)
                     .with("bytes", mBytes)
-                    .with("records", mTaken)
+                    .with("records", mNewRecords)
                     .write();
         }
         mBehind = false;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
@@ -2,30 +2,30 @@
 
 import java.util.function.Consumer;
 
-/** Another way for a record into the journal: through the owner, which writes for all nodes. */
+/** Hands records over to the owner, which writes them to the journal for all nodes. */
 public interface Handover {
     /**
-     * An owner whose last record was stored this lately can store others, in milliseconds: its
-     * signs of life are 400 ms apart.
+     * Maximum age of an owner's last stored record at which it counts as able to store others, in
+     * milliseconds; more than two of its heartbeat intervals.
      */
-    long STORING_MS = 1000;
+    long MAX_STORE_AGE_MS = 1000;
 
-    /** Answers of the store that are allowed for on top of that, one for each of its appends. */
-    int ANSWERS = 4;
+    /** Number of store latencies that are added to the maximum age. */
+    int LATENCY_FACTOR = 4;
 
     /**
-     * Whether an owner can store records.
+     * Whether an owner is able to store records.
      *
-     * @param storedMsAgo when the store last took a record of it
-     * @param answerMs how long the store lately took for an answer
+     * @param storedMsAgo time since its last record was stored, in milliseconds
+     * @param latencyMs recent latency of the store, in milliseconds
      */
-    static boolean isStoring(long storedMsAgo, long answerMs) {
-        return storedMsAgo < STORING_MS + ANSWERS * answerMs;
+    static boolean isStoring(long storedMsAgo, long latencyMs) {
+        return storedMsAgo < MAX_STORE_AGE_MS + LATENCY_FACTOR * latencyMs;
     }
 
-    /** Whether there is an owner that can be reached and whose records the store takes. */
+    /** Whether there is an owner that is reachable and able to store records. */
     boolean isOpen();
 
-    /** Hands a record over; {@code then} runs once in any case. */
+    /** Hands a record over; {@code then} is always called, exactly once. */
     void handOver(byte[] record, Consumer<StoreOutcome> then);
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobOrderCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobOrderCodec.java
@@ -16,9 +16,9 @@
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
 
-/** Jobs as protobuf fields. */
+/** Encodes and decodes job definitions as protobuf fields. */
 final class JobOrderCodec {
-    private static final int STEP = 5;
+    private static final int STEP_FIELD = 5;
 
     private JobOrderCodec() {}
 
@@ -28,7 +28,7 @@
         out.writeString(3, order.service());
         out.writeString(4, order.text());
         for (TaskStep s : order.steps()) {
-            JournalCodec.part(out, STEP, o -> writeStep(o, s));
+            JournalCodec.writeMessage(out, STEP_FIELD, o -> writeStep(o, s));
         }
         out.writeInt64(6, order.timetable().startMs());
         out.writeInt64(7, order.timetable().periodMs());
@@ -51,31 +51,31 @@
         long[] numbers = new long[17];
         List<TaskStep> steps = new ArrayList<>();
         double stretch = 1;
-        boolean advice = false;
+        boolean hasAdvice = false;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             int field = WireFormat.getTagFieldNumber(tag);
-            if (field < STEP) {
+            if (field < STEP_FIELD) {
                 texts[field] = in.readString();
-            } else if (field == STEP) {
+            } else if (field == STEP_FIELD) {
                 steps.add(readStep(in.readBytes().newCodedInput()));
             } else if (field == 11) {
                 stretch = in.readDouble();
             } else if (field < numbers.length) {
                 numbers[field] = in.readInt64();
-                advice |= field == 14;
+                hasAdvice |= field == 14;
             } else {
                 in.skipField(tag);
             }
         }
         Optional<AdviceTerms> adviceTerms =
-                advice
+                hasAdvice
                         ? Optional.of(new AdviceTerms(numbers[14], numbers[15], numbers[16]))
                         : Optional.empty();
-        for (int t = 1; t < texts.length; t++) {
-            check(texts[t] != null, "its text " + t);
+        for (int f = 1; f < texts.length; f++) {
+            require(texts[f] != null, "string field " + f);
         }
-        check(!texts[1].isEmpty(), "its ID");
-        checkSteps(steps, numbers[8]);
+        require(!texts[1].isEmpty(), "ID");
+        validateSteps(steps, numbers[8]);
         return new JobOrder(
                 texts[1],
                 texts[2],
@@ -88,23 +88,23 @@
                 numbers[13]);
     }
 
-    /** Tasks are counted and found by their positions, which have to fit. */
-    private static void checkSteps(List<TaskStep> steps, long runs) throws IOException {
+    /** Rejects invalid dependencies, and task counts whose positions would overflow an int. */
+    private static void validateSteps(List<TaskStep> steps, long runs) throws IOException {
         long tasks = 0;
         for (int s = 0; s < steps.size(); s++) {
-            check(steps.get(s).tasks() > 0, "the tasks of step " + s);
+            require(steps.get(s).tasks() > 0, "task count of step " + s);
             tasks += steps.get(s).tasks();
-            for (int d : steps.get(s).dependsOn()) {
-                check(d >= 0 && d < s, "the steps before step " + s);
+            for (int dependency : steps.get(s).dependsOn()) {
+                require(dependency >= 0 && dependency < s, "dependency of step " + s);
             }
         }
-        check(tasks > 0 && tasks <= Integer.MAX_VALUE, "its steps");
-        check(runs > 0 && runs <= Integer.MAX_VALUE / tasks, "its runs");
+        require(tasks > 0 && tasks <= Integer.MAX_VALUE, "total task count");
+        require(runs > 0 && runs <= Integer.MAX_VALUE / tasks, "run count");
     }
 
-    private static void check(boolean holds, String what) throws IOException {
-        if (!holds) {
-            throw new IOException("a job lacks " + what);
+    private static void require(boolean valid, String subject) throws IOException {
+        if (!valid) {
+            throw new IOException("job has a missing or invalid " + subject);
         }
     }
 
@@ -114,8 +114,8 @@
         out.writeInt64(3, step.demand().memoryBytes());
         out.writeInt32(4, step.demand().accelerators());
         out.writeInt64(5, step.estimateMs());
-        for (int d : step.dependsOn()) {
-            out.writeInt32(6, d);
+        for (int dependency : step.dependsOn()) {
+            out.writeInt32(6, dependency);
         }
         PlacementRule placement = step.placement();
         out.writeBool(7, placement.gang());
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
@@ -28,17 +28,15 @@
 import org.foxtailplank.job.TaskName;
 
 /**
- * Records of the journal as protobuf fields: a record holds one field, whose number is its kind.
+ * Encodes and decodes journal records as protobuf messages. A record is a message with one field,
+ * whose number is the kind of the record.
  *
- * <p>Fields of an unknown number are passed over, so that a node reads what a newer one wrote. The
- * fields are written by hand: generated classes for these few messages would be larger than the
- * rest of the module and would lengthen the start of a node.
+ * <p>Unknown fields are skipped, so that a node can read records of a newer version. The messages
+ * are encoded by hand, since generated classes would increase the startup time of a node.
  */
 public final class JournalCodec {
     /**
-     * Size of the buffer in which a message is put together, in bytes: most are the dozen fields of
-     * a start or an end, of which an owner writes and nodes hand on hundreds a second. Larger ones
-     * take several turns.
+     * Size of the encoding buffer, in bytes; fits most messages, larger ones are flushed in parts.
      */
     public static final int BUFFER_BYTES = 128;
 
@@ -50,53 +48,63 @@
     private static final int LEFT = 6;
     private static final int REBOOTED = 7;
     private static final int COMPLETED = 8;
-    private static final int RESTATED = 9;
+    private static final int SNAPSHOT = 9;
     private static final int BEGUN = 10;
     private static final int WAVE_DUE = 11;
 
     private JournalCodec() {}
 
-    /** A record as bytes. */
+    /** Encodes a record. */
     public static byte[] encode(JournalRecord record) {
         if (record instanceof JobAccepted r) {
-            return message(out -> part(out, ACCEPTED, o -> JobOrderCodec.write(o, r.order())));
+            return encodeMessage(
+                    out -> writeMessage(out, ACCEPTED, o -> JobOrderCodec.write(o, r.order())));
         }
         if (record instanceof JobRestated r) {
-            return message(out -> part(out, RESTATED, o -> restated(o, r)));
+            return encodeMessage(out -> writeMessage(out, SNAPSHOT, o -> writeSnapshot(o, r)));
         }
         if (record instanceof JobCancelled r) {
-            return message(out -> part(out, CANCELLED, o -> named(o, r.atMs(), r.job())));
+            return encodeMessage(
+                    out ->
+                            writeMessage(
+                                    out, CANCELLED, o -> writeNumberAndName(o, r.atMs(), r.job())));
         }
         if (record instanceof RunsEnded r) {
-            return message(out -> part(out, ENDED, o -> runs(o, r.runs())));
+            return encodeMessage(out -> writeMessage(out, ENDED, o -> writeEnds(o, r.runs())));
         }
         if (record instanceof RunsStarted r) {
-            return message(out -> part(out, STARTED, o -> starts(o, r.runs())));
+            return encodeMessage(out -> writeMessage(out, STARTED, o -> writeStarts(o, r.runs())));
         }
         if (record instanceof JobsBegun r) {
-            return message(out -> part(out, BEGUN, o -> jobs(o, r.jobs())));
+            return encodeMessage(out -> writeMessage(out, BEGUN, o -> writeJobs(o, r.jobs())));
         }
         if (record instanceof OwnerAlive r) {
-            return message(out -> part(out, ALIVE, o -> OwnerSignCodec.write(o, r)));
+            return encodeMessage(
+                    out -> writeMessage(out, ALIVE, o -> OwnerRecordCodec.write(o, r)));
         }
         if (record instanceof WaveDue r) {
-            return message(out -> part(out, WAVE_DUE, o -> waveDue(o, r)));
+            return encodeMessage(out -> writeMessage(out, WAVE_DUE, o -> writeWaveDue(o, r)));
         }
         if (record instanceof VmRebooted r) {
-            return message(out -> part(out, REBOOTED, o -> named(o, r.wave(), r.vm())));
+            return encodeMessage(
+                    out ->
+                            writeMessage(
+                                    out, REBOOTED, o -> writeNumberAndName(o, r.wave(), r.vm())));
         }
         if (record instanceof WaveCompleted r) {
-            return message(out -> part(out, COMPLETED, o -> named(o, r.wave(), "")));
+            return encodeMessage(
+                    out -> writeMessage(out, COMPLETED, o -> writeNumberAndName(o, r.wave(), "")));
         }
         OwnerLeft r = (OwnerLeft) record;
-        return message(out -> part(out, LEFT, o -> OwnerSignCodec.write(o, r)));
+        return encodeMessage(out -> writeMessage(out, LEFT, o -> OwnerRecordCodec.write(o, r)));
     }
 
     /**
-     * Reads a record; empty for a kind that this version does not know.
+     * Decodes a record; returns empty for an unknown kind.
      *
-     * @throws IOException if the record is another writer's: an unchecked exception, here or where
-     *     its job is kept, would end the reads of the journal on every node
+     * @throws IOException if the record is malformed. Every malformed record must be rejected here:
+     *     an unchecked exception, now or when the record is applied, would stop the reader of the
+     *     journal on every node
      */
     public static Optional<JournalRecord> decode(byte[] bytes) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(bytes);
@@ -109,19 +117,20 @@
         return Optional.of(
                 switch (kind) {
                     case ACCEPTED -> new JobAccepted(JobOrderCodec.read(body));
-                    case ENDED -> new RunsEnded(readRuns(body));
-                    case RESTATED -> readRestated(body);
+                    case ENDED -> new RunsEnded(readEnds(body));
+                    case SNAPSHOT -> readSnapshot(body);
                     case STARTED -> new RunsStarted(readStarts(body));
                     case BEGUN -> new JobsBegun(readJobs(body));
                     case WAVE_DUE -> readWaveDue(body);
-                    case LEFT -> OwnerSignCodec.readLeft(body);
-                    case ALIVE -> OwnerSignCodec.readAlive(body);
-                    default -> readNamed(kind, body);
+                    case LEFT -> OwnerRecordCodec.readOwnerLeft(body);
+                    case ALIVE -> OwnerRecordCodec.readOwnerAlive(body);
+                    default -> readNumberAndNameRecord(kind, body);
                 });
     }
 
-    private static JournalRecord readNamed(int kind, CodedInputStream in) throws IOException {
-        Named named = readNamed(in);
+    private static JournalRecord readNumberAndNameRecord(int kind, CodedInputStream in)
+            throws IOException {
+        NumberAndName named = readNumberAndName(in);
         return switch (kind) {
             case CANCELLED -> new JobCancelled(named.name(), named.number());
             case REBOOTED -> new VmRebooted(named.number(), named.name());
@@ -129,14 +138,15 @@
         };
     }
 
-    private static void restated(CodedOutputStream out, JobRestated record) throws IOException {
-        part(out, 1, o -> JobOrderCodec.write(o, record.order()));
-        part(out, 2, o -> starts(o, record.starts()));
-        part(out, 3, o -> runs(o, record.ends()));
+    private static void writeSnapshot(CodedOutputStream out, JobRestated record)
+            throws IOException {
+        writeMessage(out, 1, o -> JobOrderCodec.write(o, record.order()));
+        writeMessage(out, 2, o -> writeStarts(o, record.starts()));
+        writeMessage(out, 3, o -> writeEnds(o, record.ends()));
         out.writeInt64(4, record.cancelledMs());
     }
 
-    private static JobRestated readRestated(CodedInputStream in) throws IOException {
+    private static JobRestated readSnapshot(CodedInputStream in) throws IOException {
         JobOrder order = null;
         List<StartedRun> starts = List.of();
         List<EndedRun> ends = List.of();
@@ -145,18 +155,18 @@
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> order = JobOrderCodec.read(in.readBytes().newCodedInput());
                 case 2 -> starts = readStarts(in.readBytes().newCodedInput());
-                case 3 -> ends = readRuns(in.readBytes().newCodedInput());
+                case 3 -> ends = readEnds(in.readBytes().newCodedInput());
                 case 4 -> cancelledMs = in.readInt64();
                 default -> in.skipField(tag);
             }
         }
         if (order == null) {
-            throw new IOException("a job that is told again lacks its order");
+            throw new IOException("job snapshot has no job definition");
         }
         return new JobRestated(order, starts, ends, cancelledMs);
     }
 
-    private static void jobs(CodedOutputStream out, List<String> jobs) throws IOException {
+    private static void writeJobs(CodedOutputStream out, List<String> jobs) throws IOException {
         for (String id : jobs) {
             out.writeString(1, id);
         }
@@ -174,7 +184,7 @@
         return jobs;
     }
 
-    private static void waveDue(CodedOutputStream out, WaveDue record) throws IOException {
+    private static void writeWaveDue(CodedOutputStream out, WaveDue record) throws IOException {
         out.writeInt64(1, record.wave());
         out.writeInt64(2, record.dueMs());
     }
@@ -192,14 +202,15 @@
         return new WaveDue(numbers[1], numbers[2]);
     }
 
-    private record Named(long number, String name) {}
+    private record NumberAndName(long number, String name) {}
 
-    private static void named(CodedOutputStream out, long number, String name) throws IOException {
+    private static void writeNumberAndName(CodedOutputStream out, long number, String name)
+            throws IOException {
         out.writeInt64(1, number);
         out.writeString(2, name);
     }
 
-    private static Named readNamed(CodedInputStream in) throws IOException {
+    private static NumberAndName readNumberAndName(CodedInputStream in) throws IOException {
         long number = 0;
         String name = "";
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -209,16 +220,17 @@
                 default -> in.skipField(tag);
             }
         }
-        return new Named(number, name);
+        return new NumberAndName(number, name);
     }
 
-    private static void starts(CodedOutputStream out, List<StartedRun> runs) throws IOException {
+    private static void writeStarts(CodedOutputStream out, List<StartedRun> runs)
+            throws IOException {
         for (StartedRun r : runs) {
-            part(out, 1, o -> start(o, r));
+            writeMessage(out, 1, o -> writeStart(o, r));
         }
     }
 
-    private static void start(CodedOutputStream out, StartedRun run) throws IOException {
+    private static void writeStart(CodedOutputStream out, StartedRun run) throws IOException {
         out.writeString(1, run.task().job());
         out.writeInt32(2, run.task().run());
         out.writeInt32(3, run.task().step());
@@ -259,13 +271,13 @@
         return new StartedRun(task, numbers[5], worker);
     }
 
-    private static void runs(CodedOutputStream out, List<EndedRun> runs) throws IOException {
+    private static void writeEnds(CodedOutputStream out, List<EndedRun> runs) throws IOException {
         for (EndedRun r : runs) {
-            part(out, 1, o -> run(o, r));
+            writeMessage(out, 1, o -> writeEnd(o, r));
         }
     }
 
-    private static void run(CodedOutputStream out, EndedRun run) throws IOException {
+    private static void writeEnd(CodedOutputStream out, EndedRun run) throws IOException {
         out.writeString(1, run.task().job());
         out.writeInt32(2, run.task().run());
         out.writeInt32(3, run.task().step());
@@ -275,11 +287,11 @@
         out.writeInt64(7, run.atMs());
     }
 
-    private static List<EndedRun> readRuns(CodedInputStream in) throws IOException {
+    private static List<EndedRun> readEnds(CodedInputStream in) throws IOException {
         List<EndedRun> runs = new ArrayList<>();
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             if (WireFormat.getTagFieldNumber(tag) == 1) {
-                runs.add(readRun(in.readBytes().newCodedInput()));
+                runs.add(readEnd(in.readBytes().newCodedInput()));
             } else {
                 in.skipField(tag);
             }
@@ -287,7 +299,7 @@
         return runs;
     }
 
-    private static EndedRun readRun(CodedInputStream in) throws IOException {
+    private static EndedRun readEnd(CodedInputStream in) throws IOException {
         String job = "";
         int[] numbers = new int[7];
         long atMs = 0;
@@ -304,35 +316,37 @@
             }
         }
         TaskName task = new TaskName(job, numbers[2], numbers[3], numbers[4]);
-        return new EndedRun(task, numbers[5], outcome(numbers[6]), atMs);
+        return new EndedRun(task, numbers[5], toOutcome(numbers[6]), atMs);
     }
 
-    private static RunOutcome outcome(int number) throws IOException {
-        RunOutcome[] all = RunOutcome.values();
-        if (number < 0 || number >= all.length) {
-            throw new IOException("no outcome has the number " + number);
+    private static RunOutcome toOutcome(int number) throws IOException {
+        RunOutcome[] outcomes = RunOutcome.values();
+        if (number < 0 || number >= outcomes.length) {
+            throw new IOException("unknown run outcome " + number);
         }
-        return all[number];
+        return outcomes[number];
     }
 
-    /** Writes the fields of a message. */
+    /** Writes the fields of a message to a stream. */
     @FunctionalInterface
-    interface Fields {
+    interface FieldWriter {
         void write(CodedOutputStream out) throws IOException;
     }
 
-    static void part(CodedOutputStream out, int field, Fields fields) throws IOException {
-        out.writeBytes(field, ByteString.copyFrom(message(fields)));
+    /** Writes a nested message as a length-delimited field. */
+    static void writeMessage(CodedOutputStream out, int field, FieldWriter fields)
+            throws IOException {
+        out.writeBytes(field, ByteString.copyFrom(encodeMessage(fields)));
     }
 
-    private static byte[] message(Fields fields) {
+    private static byte[] encodeMessage(FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, BUFFER_BYTES);
         try {
             fields.write(out);
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("memory that cannot be written", e);
+            throw new IllegalStateException("unexpected I/O error on an in-memory stream", e);
         }
         return bytes.toByteArray();
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalPosition.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalPosition.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * Up to where the journal was read.
+ * Position up to which the journal was read.
  *
- * @param offsets for each partition the offset of the record that is read next
+ * @param offsets offset of the next record to read, for each partition
  */
 public record JournalPosition(List<Long> offsets) {
-    /** The beginning, of however many partitions. */
+    /** The start of the journal, for any number of partitions. */
     public static final JournalPosition START = new JournalPosition(List.of());
 
     public JournalPosition {
         offsets = List.copyOf(offsets);
     }
 
-    /** Whether all that another position has read was read here. */
+    /** Whether this position is at or after another one in every partition. */
     public boolean covers(JournalPosition other) {
         for (int p = 0; p < other.offsets.size(); p++) {
             if (offset(p) < other.offset(p)) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
@@ -17,41 +17,43 @@
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog;
 
-/** Follows the journal and keeps the book of jobs that it tells of. */
+/** Reads the journal continuously and applies its records to the registry of jobs. */
 public final class JournalReader {
-    private final NodeLog mOut;
+    private final NodeLog mNodeLog;
     private final JobBook mBook;
     private final BiConsumer<JournalRecord, Optional<JobEntry>> mListener;
-    private final List<PartitionReader> mParts = new ArrayList<>();
-    private RecordTap mTap = (partition, offset, record) -> {};
+    private final List<PartitionReader> mPartitions = new ArrayList<>();
+    private RawRecordListener mRawListener = (partition, offset, record) -> {};
 
     /**
-     * A reader.
+     * Creates a reader; {@link #follow} starts it.
      *
-     * @param partitions the journal's partitions, the first one first
-     * @param listener is told of each record, with the job that it newly tells of
+     * @param partitions the journal's partitions, the primary one first
+     * @param listener called for each applied record, with the job that the record introduces
      */
     public JournalReader(
             SharedLog log,
             List<LogPartition> partitions,
             Clock clock,
             Timers timers,
-            NodeLog out,
+            NodeLog nodeLog,
             JobBook book,
             BiConsumer<JournalRecord, Optional<JobEntry>> listener) {
-        mOut = out;
+        mNodeLog = nodeLog;
         mBook = book;
         mListener = listener;
         for (int p = 0; p < partitions.size(); p++) {
             int number = p;
-            mParts.add(
+            mPartitions.add(
                     new PartitionReader(
                             log,
                             partitions.get(p),
-                            p == 0 ? PartitionReader.Pace.FIRST : PartitionReader.Pace.SPARE,
+                            p == 0
+                                    ? PartitionReader.PollIntervals.PRIMARY
+                                    : PartitionReader.PollIntervals.SPARE,
                             clock,
                             timers,
-                            out,
+                            nodeLog,
                             (offset, record) -> apply(number, offset, record)));
         }
     }
@@ -60,111 +62,108 @@
         return mBook;
     }
 
-    /** Up to where it was read. */
+    /** Position up to which the journal was read. */
     public JournalPosition position() {
-        return new JournalPosition(mParts.stream().map(PartitionReader::position).toList());
+        return new JournalPosition(mPartitions.stream().map(PartitionReader::position).toList());
     }
 
-    /** Whether the journal was read to its end once. */
+    /** Whether the reader has reached the end of every partition at least once. */
     public boolean isCaughtUp() {
-        return mParts.stream().allMatch(PartitionReader::isCaughtUp);
+        return mPartitions.stream().allMatch(PartitionReader::isCaughtUp);
     }
 
-    /** When the store last answered a read. */
+    /** When the store last answered a read, by the node's clock in milliseconds. */
     public long lastReadMs() {
-        return lastAnswered().lastReadMs();
+        return mostRecentlyRead().lastReadMs();
     }
 
-    /**
-     * Until when the journal was read completely: the book has every record that the store had
-     * taken by then, in any partition.
-     */
+    /** Time up to which the stored records of all partitions have been read. */
     public long completeMs() {
-        return mParts.stream().mapToLong(PartitionReader::completeMs).min().orElseThrow();
+        return mPartitions.stream().mapToLong(PartitionReader::completeMs).min().orElseThrow();
     }
 
-    /** How long the store lately took for an answer, on average. */
+    /** Moving average of the store's latency, in milliseconds. */
     public long answerMs() {
-        return (long) lastAnswered().answerMs();
+        return (long) mostRecentlyRead().latencyMs();
     }
 
-    /** While a partition is away, what the other one shows is what counts. */
-    private PartitionReader lastAnswered() {
-        return mParts.stream()
+    /** The partition with the latest answer, so that an unavailable partition is ignored. */
+    private PartitionReader mostRecentlyRead() {
+        return mPartitions.stream()
                 .max(Comparator.comparingLong(PartitionReader::lastReadMs))
                 .orElseThrow();
     }
 
-    /** The owner learns of each record at once; others look twice a second and when asked. */
-    public void eager(boolean eager) {
-        mParts.forEach(p -> p.eager(eager));
+    /** Sets whether to read with long polls, as the owner does, instead of at intervals. */
+    public void eager(boolean enabled) {
+        mPartitions.forEach(p -> p.setLongPolling(enabled));
     }
 
-    /** Begins to follow; goes on for ever. */
+    /** Starts to read all partitions, indefinitely. */
     public void follow() {
-        mParts.forEach(PartitionReader::follow);
+        mPartitions.forEach(PartitionReader::follow);
     }
 
-    /** A record that the owner has read and handed on; one beyond a gap is read later. */
+    /** Applies a record streamed by the owner; if it is beyond a gap, reads the gap first. */
     public void fromOwner(int partition, long offset, byte[] record) {
-        if (partition < mParts.size()) {
-            mParts.get(partition).fromOwner(offset, record);
+        if (partition < mPartitions.size()) {
+            mPartitions.get(partition).applyStreamed(offset, record);
         }
     }
 
     /** Whether a record of a partition was read. */
     public boolean hasRead(int partition, long offset) {
-        return partition < mParts.size() && mParts.get(partition).position() > offset;
+        return partition < mPartitions.size() && mPartitions.get(partition).position() > offset;
     }
 
-    /** While the owner hands records on, the store is only read to see that it is there. */
+    /** Sets the condition under which the owner streams records, and reads are less frequent. */
     public void streaming(BooleanSupplier streaming) {
-        mParts.forEach(p -> p.streaming(streaming));
+        mPartitions.forEach(p -> p.setStreaming(streaming));
     }
 
-    /** Tells of each record as it is read, in the order of its partition. */
-    public void tap(RecordTap tap) {
-        mTap = tap;
+    /** Sets the listener for raw records, which receives them in the order of their partition. */
+    public void tap(RawRecordListener listener) {
+        mRawListener = listener;
     }
 
-    /** Is told of records. */
+    /** Receives the raw records of the journal. */
     @FunctionalInterface
-    public interface RecordTap {
-        void read(int partition, long offset, byte[] record);
+    public interface RawRecordListener {
+        void onRecord(int partition, long offset, byte[] record);
     }
 
-    /** Reads to the end as it is now or later, then says whether that worked. */
+    /** Reads all partitions to their current end or beyond, then reports whether that succeeded. */
     public void refresh(Consumer<Boolean> then) {
-        Gathered gathered = new Gathered(mParts.size(), then);
-        mParts.forEach(p -> p.refresh(gathered::read));
+        RefreshBarrier barrier = new RefreshBarrier(mPartitions.size(), then);
+        mPartitions.forEach(p -> p.refresh(barrier::partitionDone));
     }
 
-    /** Waits for all partitions. */
-    private static final class Gathered {
+    /** Completes a refresh once all partitions are read. */
+    private static final class RefreshBarrier {
         private final Consumer<Boolean> mThen;
-        private int mLeft;
-        private boolean mRead = true;
+        private int mRemaining;
+        private boolean mAllRead = true;
 
-        Gathered(int parts, Consumer<Boolean> then) {
-            mLeft = parts;
+        RefreshBarrier(int partitions, Consumer<Boolean> then) {
+            mRemaining = partitions;
             mThen = then;
         }
 
-        void read(boolean read) {
-            mRead &= read;
-            mLeft--;
-            if (mLeft == 0) {
-                mThen.accept(mRead);
+        void partitionDone(boolean succeeded) {
+            mAllRead &= succeeded;
+            mRemaining--;
+            if (mRemaining == 0) {
+                mThen.accept(mAllRead);
             }
         }
     }
 
     private void apply(int partition, long offset, byte[] bytes) {
-        mTap.read(partition, offset, bytes);
+        mRawListener.onRecord(partition, offset, bytes);
         try {
             JournalCodec.decode(bytes).ifPresent(r -> mListener.accept(r, mBook.apply(r)));
         } catch (IOException e) {
-            mOut.line("journal-record")
+            mNodeLog.line("journal-record")
                     .with("partition", partition)
                     .with("offset", offset)
                     .with("error", e)
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
@@ -14,29 +14,28 @@
 import org.foxtailplank.port.SharedLog.AppendResult;
 
 /**
- * Writes records to the journal, those that come while an append is on its way together.
+ * Writes records to the journal. Records that arrive while appends are in flight are batched.
  *
- * <p>An append whose answer was lost is sent again: every record of the journal may stand there
- * twice without harm, since a job's ID or a run's number decides. A record whose first append may
- * have been carried out is never reported as not stored.
+ * <p>An append whose response was lost is retried; duplicates are harmless, since applying a record
+ * is idempotent. A record that may have been stored is never reported as not stored.
  *
- * <p>Records are handed over to the owner, which writes those of all nodes in one append; only
- * where there is no owner to be reached that can store, the node appends by itself. Answers a slow
- * store: it takes one append of a partition after the other, a third of a second for each, and ten
- * nodes with appends of their own hold each other up for seconds. Answers a store that turns some
- * nodes away: their callers needn't ask elsewhere.
+ * <p>Records are handed over to the owner, which batches those of all nodes; a node appends by
+ * itself only if no owner is available. This avoids contention on a slow store, which serializes
+ * the appends to a partition, and lets nodes that the store rejects still accept jobs.
  */
 public final class JournalWriter {
-    /** Appends on their way at a time: one is in the store while the next is on the network. */
+    /** Maximum number of concurrent appends: the next one is sent while the store handles one. */
     private static final int MAX_IN_FLIGHT = 2;
 
-    /** How often to look whether the owner can still be expected to answer, in milliseconds. */
+    /**
+     * Interval at which a handed-over record checks that the owner is available, in milliseconds.
+     */
     private static final long HANDOVER_CHECK_MS = 250;
 
-    /** Pause before a refused append is sent again, in milliseconds. */
+    /** Pause before a failed append is retried, in milliseconds. */
     private static final long RETRY_MS = 100;
 
-    /** Largest batch, in bytes: a fraction of what one call may hold. */
+    /** Size at which a batch is closed, in bytes. */
     private static final int MAX_BATCH_BYTES = 256 << 10;
 
     private final SharedLog mLog;
@@ -44,21 +43,21 @@
     private final Handover mHandover;
     private final Clock mClock;
     private final Timers mTimers;
-    private final NodeLog mOut;
-    private final Deque<Item> mQueue = new ArrayDeque<>();
+    private final NodeLog mNodeLog;
+    private final Deque<PendingRecord> mQueue = new ArrayDeque<>();
     private int mInFlight;
     private int mRetrying;
-    private boolean mFailing;
+    private boolean mStoreFailing;
 
-    private static final class Item {
+    private static final class PendingRecord {
         final byte[] mBytes;
         final long mDeadlineMs;
         final Consumer<StoreOutcome> mThen;
-        boolean mMaybe;
+        boolean mMayBeStored;
         boolean mHandedOver;
-        boolean mAwaitsOwner;
+        boolean mAwaitingOwner;
 
-        Item(byte[] bytes, long deadlineMs, Consumer<StoreOutcome> then) {
+        PendingRecord(byte[] bytes, long deadlineMs, Consumer<StoreOutcome> then) {
             mBytes = bytes;
             mDeadlineMs = deadlineMs;
             mThen = then;
@@ -66,9 +65,9 @@
     }
 
     /**
-     * A writer for a partition.
+     * Creates a writer for a partition.
      *
-     * @param handover the way through the owner
+     * @param handover hands records over to the owner
      */
     public JournalWriter(
             SharedLog log,
@@ -76,130 +75,130 @@
             Handover handover,
             Clock clock,
             Timers timers,
-            NodeLog out) {
+            NodeLog nodeLog) {
         mLog = log;
         mPartition = partition;
         mHandover = handover;
         mClock = clock;
         mTimers = timers;
-        mOut = out;
+        mNodeLog = nodeLog;
     }
 
     /**
-     * Stores a record; a refusal of the store ends the try at once, the deadline at the latest.
-     * While the store fails, one record at a time is tried and all others are refused at once: they
-     * would wait for their deadlines only to learn that nothing was stored.
+     * Stores a record. A rejection by the store is reported immediately; retries end at the
+     * deadline. While the store fails, only one record at a time is attempted and all others fail
+     * fast, so that their callers can try another node.
      */
     public void store(JournalRecord record, long deadlineMs, Consumer<StoreOutcome> then) {
-        Item item = new Item(JournalCodec.encode(record), deadlineMs, then);
+        PendingRecord pending = new PendingRecord(JournalCodec.encode(record), deadlineMs, then);
         if (mHandover.isOpen()) {
-            handOver(item);
-        } else if (mFailing && mInFlight + mRetrying > 0) {
+            handOver(pending);
+        } else if (mStoreFailing && mInFlight + mRetrying > 0) {
             then.accept(StoreOutcome.NOT_STORED);
         } else {
-            add(item);
+            enqueue(pending);
         }
     }
 
-    private void handOver(Item item) {
-        item.mHandedOver = true;
-        item.mAwaitsOwner = true;
-        mHandover.handOver(item.mBytes, o -> handedOver(item, o));
-        mTimers.after(HANDOVER_CHECK_MS, () -> checkOwner(item));
+    private void handOver(PendingRecord pending) {
+        pending.mHandedOver = true;
+        pending.mAwaitingOwner = true;
+        mHandover.handOver(pending.mBytes, o -> handoverAnswered(pending, o));
+        mTimers.after(HANDOVER_CHECK_MS, () -> checkOwner(pending));
     }
 
-    /** Gives the owner up that can't store any more, or not in time for the caller. */
-    private void checkOwner(Item item) {
-        boolean late = mClock.nowMs() + HANDOVER_CHECK_MS > item.mDeadlineMs;
+    /** Stops waiting for an owner that is unavailable or won't answer before the deadline. */
+    private void checkOwner(PendingRecord pending) {
+        boolean late = mClock.nowMs() + HANDOVER_CHECK_MS > pending.mDeadlineMs;
         if (late || !mHandover.isOpen()) {
-            handedOver(item, StoreOutcome.UNKNOWN);
-        } else if (item.mAwaitsOwner) {
-            mTimers.after(HANDOVER_CHECK_MS, () -> checkOwner(item));
+            handoverAnswered(pending, StoreOutcome.UNKNOWN);
+        } else if (pending.mAwaitingOwner) {
+            mTimers.after(HANDOVER_CHECK_MS, () -> checkOwner(pending));
         }
     }
 
-    private void handedOver(Item item, StoreOutcome outcome) {
-        if (!item.mAwaitsOwner) {
+    private void handoverAnswered(PendingRecord pending, StoreOutcome outcome) {
+        if (!pending.mAwaitingOwner) {
             return;
         }
-        item.mAwaitsOwner = false;
+        pending.mAwaitingOwner = false;
         if (outcome == StoreOutcome.STORED) {
-            item.mThen.accept(outcome);
+            pending.mThen.accept(outcome);
             return;
         }
-        mOut.line("handover").with("outcome", outcome).write();
-        item.mMaybe |= outcome == StoreOutcome.UNKNOWN;
-        if (mClock.nowMs() < item.mDeadlineMs) {
-            add(item);
+        mNodeLog.line("handover").with("outcome", outcome).write();
+        pending.mMayBeStored |= outcome == StoreOutcome.UNKNOWN;
+        if (mClock.nowMs() < pending.mDeadlineMs) {
+            enqueue(pending);
         } else {
-            end(item);
+            complete(pending);
         }
     }
 
-    private void add(Item item) {
-        mQueue.add(item);
-        pump();
+    private void enqueue(PendingRecord pending) {
+        mQueue.add(pending);
+        sendBatches();
     }
 
-    private void pump() {
+    private void sendBatches() {
         while (mInFlight < MAX_IN_FLIGHT && !mQueue.isEmpty()) {
-            List<Item> batch = takeBatch();
+            List<PendingRecord> batch = takeBatch();
             List<byte[]> records = new ArrayList<>(batch.size());
-            batch.forEach(i -> records.add(i.mBytes));
+            batch.forEach(b -> records.add(b.mBytes));
             mInFlight++;
-            mLog.append(mPartition, records, r -> answered(batch, r));
+            mLog.append(mPartition, records, r -> appendAnswered(batch, r));
         }
     }
 
-    private List<Item> takeBatch() {
-        List<Item> batch = new ArrayList<>();
+    private List<PendingRecord> takeBatch() {
+        List<PendingRecord> batch = new ArrayList<>();
         int bytes = 0;
         while (!mQueue.isEmpty() && bytes < MAX_BATCH_BYTES) {
-            Item next = mQueue.poll();
+            PendingRecord next = mQueue.poll();
             bytes += next.mBytes.length;
             batch.add(next);
         }
         return batch;
     }
 
-    private void answered(List<Item> batch, AppendResult result) {
+    private void appendAnswered(List<PendingRecord> batch, AppendResult result) {
         mInFlight--;
         if (result instanceof SharedLog.Stored) {
-            mFailing = false;
-            batch.forEach(i -> i.mThen.accept(StoreOutcome.STORED));
-            pump();
+            mStoreFailing = false;
+            batch.forEach(b -> b.mThen.accept(StoreOutcome.STORED));
+            sendBatches();
             return;
         }
-        mOut.line("append").with("outcome", result).with("records", batch.size()).write();
-        mFailing = true;
-        boolean maybe = !(result instanceof SharedLog.NotStored);
-        for (Item i : batch) {
-            i.mMaybe |= maybe;
-            retryOrEnd(i);
+        mNodeLog.line("append").with("outcome", result).with("records", batch.size()).write();
+        mStoreFailing = true;
+        boolean mayBeStored = !(result instanceof SharedLog.NotStored);
+        for (PendingRecord r : batch) {
+            r.mMayBeStored |= mayBeStored;
+            retryOrComplete(r);
         }
-        pump();
+        sendBatches();
     }
 
-    private void retryOrEnd(Item item) {
-        boolean over = mClock.nowMs() >= item.mDeadlineMs;
-        if (!over && !item.mHandedOver && mHandover.isOpen()) {
-            handOver(item);
+    private void retryOrComplete(PendingRecord pending) {
+        boolean expired = mClock.nowMs() >= pending.mDeadlineMs;
+        if (!expired && !pending.mHandedOver && mHandover.isOpen()) {
+            handOver(pending);
             return;
         }
-        if (!over && item.mMaybe) {
+        if (!expired && pending.mMayBeStored) {
             mRetrying++;
             mTimers.after(
                     RETRY_MS,
                     () -> {
                         mRetrying--;
-                        add(item);
+                        enqueue(pending);
                     });
             return;
         }
-        end(item);
+        complete(pending);
     }
 
-    private static void end(Item item) {
-        item.mThen.accept(item.mMaybe ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_STORED);
+    private static void complete(PendingRecord pending) {
+        pending.mThen.accept(pending.mMayBeStored ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_STORED);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerSignCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerRecordCodec.java
@@ -7,9 +7,9 @@
 import org.foxtailplank.job.JournalRecord.OwnerAlive;
 import org.foxtailplank.job.JournalRecord.OwnerLeft;
 
-/** Writes and reads the signs by which owners show in the journal that they are there, or leave. */
-final class OwnerSignCodec {
-    private OwnerSignCodec() {}
+/** Encodes and decodes the heartbeat and departure records of owners. */
+final class OwnerRecordCodec {
+    private OwnerRecordCodec() {}
 
     static void write(CodedOutputStream out, OwnerAlive record) throws IOException {
         out.writeInt64(1, record.token());
@@ -17,7 +17,7 @@
         out.writeInt64(3, record.ownedMs());
     }
 
-    static OwnerAlive readAlive(CodedInputStream in) throws IOException {
+    static OwnerAlive readOwnerAlive(CodedInputStream in) throws IOException {
         long token = 0;
         String address = "";
         long ownedMs = 0;
@@ -38,7 +38,7 @@
         out.writeBool(3, record.callsOver());
     }
 
-    static OwnerLeft readLeft(CodedInputStream in) throws IOException {
+    static OwnerLeft readOwnerLeft(CodedInputStream in) throws IOException {
         long token = 0;
         String node = "";
         boolean callsOver = false;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/PartitionReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/PartitionReader.java
@@ -12,71 +12,71 @@
 import org.foxtailplank.port.SharedLog.PageRequest;
 import org.foxtailplank.port.SharedLog.ReadResult;
 
-/** Follows one partition of the journal. */
+/** Reads one partition of the journal continuously. */
 final class PartitionReader {
     /** Pause after a failed read, in milliseconds. */
     private static final long RETRY_MS = 200;
 
-    /** Weight of the newest answer in the mean time that the store takes. */
-    private static final double NEWEST = 0.25;
+    /** Weight of the latest sample in the moving average of the store's latency. */
+    private static final double LATENCY_WEIGHT = 0.25;
 
     private final SharedLog mLog;
     private final LogPartition mPartition;
-    private final Pace mPace;
+    private final PollIntervals mIntervals;
     private final PageSize mPageSize = new PageSize();
     private final Clock mClock;
     private final Timers mTimers;
-    private final NodeLog mOut;
-    private final CatchUpLog mProgress;
+    private final NodeLog mNodeLog;
+    private final CatchUpLogger mCatchUp;
     private final RecordSink mSink;
-    private final List<Consumer<Boolean>> mWaiting = new ArrayList<>();
-    private final List<Consumer<Boolean>> mServed = new ArrayList<>();
+    private final List<Consumer<Boolean>> mPendingRefreshes = new ArrayList<>();
+    private final List<Consumer<Boolean>> mActiveRefreshes = new ArrayList<>();
 
     private long mPosition;
     private boolean mCaughtUp;
     private boolean mReading;
-    private boolean mEager;
+    private boolean mLongPolling;
     private BooleanSupplier mStreaming = () -> false;
     private long mLastReadMs = Long.MIN_VALUE / 2;
     private long mCompleteMs = Long.MIN_VALUE / 2;
-    private double mAnswerMs;
+    private double mLatencyMs;
 
     /**
-     * How often a partition is read, in milliseconds.
+     * Intervals of a partition's reads, in milliseconds.
      *
-     * @param followMs pause of a follower between two reads
-     * @param streamedMs the same while the owner hands the records on
-     * @param ownerWaitMs how long the owner's read waits for a record
+     * @param pollMs pause between two reads
+     * @param pollWhileStreamingMs the same while the owner streams records to this node
+     * @param longPollMs how long the owner's long poll waits for a record
      */
-    record Pace(long followMs, long streamedMs, long ownerWaitMs) {
-        /** For the partition that as a rule has all records. */
-        static final Pace FIRST = new Pace(400, 1200, 250);
+    record PollIntervals(long pollMs, long pollWhileStreamingMs, long longPollMs) {
+        /** Intervals of the primary partition. */
+        static final PollIntervals PRIMARY = new PollIntervals(400, 1200, 250);
 
-        /** For the one that is empty as a rule; what comes there comes over the stream too. */
-        static final Pace SPARE = new Pace(800, 3000, 1000);
+        /** Intervals of a spare partition, which is usually empty. */
+        static final PollIntervals SPARE = new PollIntervals(800, 3000, 1000);
     }
 
-    /** Takes the records in as they are read, in order. */
+    /** Receives the records in the order of the partition. */
     @FunctionalInterface
     interface RecordSink {
-        void read(long offset, byte[] record);
+        void accept(long offset, byte[] record);
     }
 
     PartitionReader(
             SharedLog log,
             LogPartition partition,
-            Pace pace,
+            PollIntervals intervals,
             Clock clock,
             Timers timers,
-            NodeLog out,
+            NodeLog nodeLog,
             RecordSink sink) {
         mLog = log;
         mPartition = partition;
-        mPace = pace;
+        mIntervals = intervals;
         mClock = clock;
         mTimers = timers;
-        mOut = out;
-        mProgress = new CatchUpLog(out, clock, partition);
+        mNodeLog = nodeLog;
+        mCatchUp = new CatchUpLogger(nodeLog, clock, partition);
         mSink = sink;
     }
 
@@ -85,44 +85,44 @@
         return mPosition;
     }
 
-    /** Whether it was read to its end once. */
+    /** Whether the reader has reached the end of the partition at least once. */
     boolean isCaughtUp() {
         return mCaughtUp;
     }
 
-    /** When the store last answered a read. */
+    /** When the store last answered a read, by the node's clock in milliseconds. */
     long lastReadMs() {
         return mLastReadMs;
     }
 
-    /**
-     * Until when it was read completely: every record that the store had taken by then was read.
-     */
+    /** Time up to which the stored records of the partition have been read. */
     long completeMs() {
         return mCompleteMs;
     }
 
-    /** How long the store lately took for an answer, on average. */
-    double answerMs() {
-        return mAnswerMs;
+    /** Moving average of the store's latency, in milliseconds. */
+    double latencyMs() {
+        return mLatencyMs;
     }
 
-    void eager(boolean eager) {
-        mEager = eager;
+    /** Sets whether to read with long polls instead of at intervals. */
+    void setLongPolling(boolean enabled) {
+        mLongPolling = enabled;
     }
 
-    void streaming(BooleanSupplier streaming) {
+    /** Sets the condition under which the owner streams records to this node. */
+    void setStreaming(BooleanSupplier streaming) {
         mStreaming = streaming;
     }
 
-    /** Begins to follow; goes on for ever. */
+    /** Starts to read the partition, indefinitely. */
     void follow() {
-        if (mEager && mCaughtUp) {
-            long asked = mClock.nowMs();
-            PageRequest page = page(mPace.ownerWaitMs());
-            mLog.read(mPartition, mPosition, page, r -> awaited(r, asked));
+        if (mLongPolling && mCaughtUp) {
+            long sentMs = mClock.nowMs();
+            PageRequest page = page(mIntervals.longPollMs());
+            mLog.read(mPartition, mPosition, page, r -> longPollAnswered(r, sentMs));
         } else {
-            refresh(this::followed);
+            refresh(this::refreshed);
         }
     }
 
@@ -130,10 +130,10 @@
         return new PageRequest(waitMs, mPageSize.bytes());
     }
 
-    private void awaited(ReadResult result, long askedMs) {
-        boolean atEnd = take(result);
+    private void longPollAnswered(ReadResult result, long sentMs) {
+        boolean atEnd = handleResult(result);
         if (atEnd) {
-            completeAt(askedMs + waitedMs(result));
+            advanceComplete(sentMs + minHeldMs(result));
         }
         if (result instanceof SharedLog.Records) {
             follow();
@@ -142,93 +142,97 @@
         }
     }
 
-    /** How long the store has surely held an answer back: it does so until records come. */
-    private long waitedMs(ReadResult result) {
-        boolean none = result instanceof SharedLog.Records page && page.records().isEmpty();
-        return none ? mPace.ownerWaitMs() : 0;
+    /**
+     * Minimum time for which the store held back the answer to a long poll: an empty one times out.
+     */
+    private long minHeldMs(ReadResult result) {
+        boolean empty = result instanceof SharedLog.Records page && page.records().isEmpty();
+        return empty ? mIntervals.longPollMs() : 0;
     }
 
-    private void completeAt(long ms) {
+    private void advanceComplete(long ms) {
         mCompleteMs = Math.max(mCompleteMs, Math.min(ms, mClock.nowMs()));
     }
 
-    private void followed(boolean read) {
-        if (!read) {
+    private void refreshed(boolean succeeded) {
+        if (!succeeded) {
             mTimers.after(RETRY_MS, this::follow);
-        } else if (mEager) {
+        } else if (mLongPolling) {
             follow();
         } else {
-            long pause = mStreaming.getAsBoolean() ? mPace.streamedMs() : mPace.followMs();
+            long pause =
+                    mStreaming.getAsBoolean()
+                            ? mIntervals.pollWhileStreamingMs()
+                            : mIntervals.pollMs();
             mTimers.after(pause, this::follow);
         }
     }
 
-    /** A record that the owner has read and handed on; one beyond a gap is read later. */
-    void fromOwner(long offset, byte[] record) {
+    /** Applies a record streamed by the owner; if it is beyond a gap, reads the gap first. */
+    void applyStreamed(long offset, byte[] record) {
         if (offset == mPosition) {
             mPosition++;
-            mSink.read(offset, record);
+            mSink.accept(offset, record);
         } else if (offset > mPosition && !mReading) {
-            refresh(read -> {});
+            refresh(succeeded -> {});
         }
     }
 
     /**
-     * Reads to the end as it is now or later, then says whether that worked.
+     * Reads to the current end or beyond, then reports whether that succeeded.
      *
-     * <p>All who wait share one pass over the records. Guards against a node behind a narrow link
-     * that answers nobody: its own pass and one for callers would ask for the same pages, and the
-     * journal would take twice as long to arrive. Who comes while a page is on its way is served by
-     * the end that a later read of the same pass finds.
+     * <p>Concurrent refreshes share their reads, so that a node with a slow link doesn't fetch the
+     * same pages several times. A refresh that is requested during a read is completed by a later
+     * one.
      */
     void refresh(Consumer<Boolean> then) {
-        mWaiting.add(then);
+        mPendingRefreshes.add(then);
         if (!mReading) {
-            readOn();
+            readNextPage();
         }
     }
 
-    private void readOn() {
+    private void readNextPage() {
         mReading = true;
-        mServed.addAll(mWaiting);
-        mWaiting.clear();
-        long asked = mClock.nowMs();
-        mProgress.asked();
+        mActiveRefreshes.addAll(mPendingRefreshes);
+        mPendingRefreshes.clear();
+        long sentMs = mClock.nowMs();
+        mCatchUp.readSent();
         mLog.read(
                 mPartition,
                 mPosition,
                 page(0),
                 r -> {
-                    mAnswerMs += NEWEST * (mClock.nowMs() - asked - mAnswerMs);
-                    readOne(r, asked);
+                    mLatencyMs += LATENCY_WEIGHT * (mClock.nowMs() - sentMs - mLatencyMs);
+                    pageAnswered(r, sentMs);
                 });
     }
 
-    private void readOne(ReadResult result, long askedMs) {
+    private void pageAnswered(ReadResult result, long sentMs) {
         long before = mPosition;
-        boolean atEnd = take(result);
+        boolean atEnd = handleResult(result);
         if (atEnd) {
-            completeAt(askedMs);
+            advanceComplete(sentMs);
         }
-        boolean records = result instanceof SharedLog.Records;
-        boolean goesOn = records || mPosition > before;
-        if (goesOn && !atEnd) {
-            readOn();
+        boolean succeeded = result instanceof SharedLog.Records;
+        boolean progressed = succeeded || mPosition > before;
+        if (progressed && !atEnd) {
+            readNextPage();
             return;
         }
-        List<Consumer<Boolean>> served = List.copyOf(mServed);
-        mServed.clear();
+        List<Consumer<Boolean>> completed = List.copyOf(mActiveRefreshes);
+        mActiveRefreshes.clear();
         mReading = false;
-        served.forEach(s -> s.accept(atEnd));
-        if (!mReading && !mWaiting.isEmpty()) {
-            readOn();
+        completed.forEach(c -> c.accept(atEnd));
+        if (!mReading && !mPendingRefreshes.isEmpty()) {
+            readNextPage();
         }
     }
 
-    /** Takes a page in; whether it reaches the end. */
-    private boolean take(ReadResult result) {
+    /** Handles the result of a read; returns whether it reached the end of the partition. */
+    private boolean handleResult(ReadResult result) {
         if (result instanceof SharedLog.RecordsGone gone) {
-            mOut.line("journal-gap")
+            mNodeLog.line("journal-gap")
                     .with("partition", mPartition.number())
                     .with("from", mPosition)
                     .with("to", gone.firstOffset())
@@ -237,8 +241,8 @@
             return false;
         }
         if (result instanceof SharedLog.ReadFailed failed) {
-            mProgress.failed(mPosition, mPageSize.bytes(), failed);
-            mPageSize.failed();
+            mCatchUp.readFailed(mPosition, mPageSize.bytes(), failed);
+            mPageSize.onFailure();
             return false;
         }
         SharedLog.Records page = (SharedLog.Records) result;
@@ -248,23 +252,23 @@
 
     private boolean apply(SharedLog.Records page) {
         if (page.records().isEmpty() && page.from() < page.end()) {
-            mPageSize.tooSmall();
+            mPageSize.onRecordTooLarge();
         } else {
-            mPageSize.answered();
+            mPageSize.onSuccess();
         }
         long first = page.from();
         long before = mPosition;
         for (int i = 0; i < page.records().size(); i++) {
-            // The owner hands records on meanwhile; what was taken already is passed over.
+            // Skip records that the owner has streamed in the meantime.
             if (first + i == mPosition) {
                 mPosition++;
-                mSink.read(first + i, page.records().get(i));
+                mSink.accept(first + i, page.records().get(i));
             }
         }
-        mProgress.page(bytes(page), mPosition - before);
+        mCatchUp.pageReceived(bytes(page), mPosition - before);
         boolean atEnd = mPosition >= page.end();
         if (atEnd) {
-            mProgress.atEnd(mPosition);
+            mCatchUp.endReached(mPosition);
         }
         mCaughtUp |= atEnd;
         return atEnd;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/StoreOutcome.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/StoreOutcome.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.node.journal;
 
-/** What came of storing a record. */
+/** Outcome of storing a record. */
 public enum StoreOutcome {
-    /** It is stored. */
+    /** The record is stored. */
     STORED,
-    /** It is not stored, and never will be. */
+    /** The record isn't stored and never will be. */
     NOT_STORED,
-    /** It may be stored, now or later. */
+    /** The record may be stored, or may still be stored later. */
     UNKNOWN
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/package-info.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/package-info.java
@@ -1,2 +1,2 @@
-/** The journal on the shared log: its records as bytes, how a node follows it and writes to it. */
+/** The journal on the shared log: its codec, its readers and its writer. */
 package org.foxtailplank.node.journal;
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
@@ -33,7 +33,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Records of the journal as bytes. */
+/** Tests that journal records survive encoding and decoding. */
 public class JournalCodecTest {
     private static final TaskName TASK = new TaskName("aa", 1, 2, 3);
     private static final EndedRun END = new EndedRun(TASK, 4, RunOutcome.FAILED, 5);
@@ -80,12 +80,12 @@
     }
 
     @Test(dataProvider = "records")
-    public void aRecordIsReadAsItWasWritten(JournalRecord record) throws IOException {
+    public void aRecordRoundTrips(JournalRecord record) throws IOException {
         assertEquals(JournalCodec.decode(JournalCodec.encode(record)), Optional.of(record));
     }
 
     @Test
-    public void aRecordOfANewerKindIsPassedOver() throws IOException {
+    public void aRecordOfAnUnknownKindIsSkipped() throws IOException {
         byte[] kind99 = {(byte) 0x9a, 0x06, 0x01, 0x00};
 
         assertTrue(JournalCodec.decode(kind99).isEmpty());
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalReaderTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How a node follows the journal. */
+/** Tests that a reader catches up with the journal. */
 public class JournalReaderTest {
     private static final int RECORDS = 4000;
     private static final int RECORD_BYTES = 400;
@@ -56,10 +56,9 @@
     }
 
     @Test
-    public void aNodeWithANarrowLinkThatFellBehindCatchesUp() {
-        // A node comes back from a cut of some seconds. Callers that ask it for jobs get no answer
-        // for the rest of the day: the journal's next page takes longer over its link than a read
-        // is waited for, so that each read is given up and begun again from the same place.
+    public void aLaggingNodeCatchesUpOverASlowLink() {
+        // Guards against pages that take longer than the read timeout, so that every read is
+        // retried from the same offset.
         mLog.linkCarries(100_000);
         mReader.follow();
         pass(100);
@@ -70,9 +69,9 @@
     }
 
     @Test
-    public void aRecordThatIsLargerThanAPageIsRead() {
-        // Reads that fail make pages small. A page that is smaller than the next record would come
-        // back empty for ever.
+    public void aRecordLargerThanThePageSizeIsRead() {
+        // Guards against empty reads forever after failed reads have made the page smaller than the
+        // next record.
         mReader.follow();
         mLog.down(JournalPartition.JOURNAL, true);
         pass(5000);
@@ -84,13 +83,13 @@
     }
 
     @Test
-    public void aNodeThatIsFarBehindTellsOfTheEndOfARefreshOnlyThere() {
+    public void aRefreshCompletesOnlyAtTheEndOfTheJournal() {
         write(RECORDS, RECORD_BYTES);
-        List<Boolean> read = new ArrayList<>();
-        mReader.refresh(read::add);
+        List<Boolean> results = new ArrayList<>();
+        mReader.refresh(results::add);
         pass(2000);
 
-        assertEquals(read, List.of(true));
+        assertEquals(results, List.of(true));
         assertTrue(mReader.isCaughtUp());
         assertEquals(position(), RECORDS);
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
@@ -14,9 +14,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What callers are told of the records that their requests need. */
+/** Tests the reported outcomes of storing a record. */
 public class JournalWriterTest {
-    private static final long PATIENCE_MS = 1000;
+    private static final long TIMEOUT_MS = 1000;
 
     private FakeNode mTime;
     private FakeLog mLog;
@@ -40,33 +40,33 @@
                         NodeLog.silent(mTime));
     }
 
-    /** The owner, as far as this node reaches it; it answers when the test says so. */
+    /** An owner whose answers the test controls. */
     private static final class Owner implements Handover {
-        private final List<Consumer<StoreOutcome>> mAsked = new ArrayList<>();
-        private boolean mOpen;
+        private final List<Consumer<StoreOutcome>> mHandovers = new ArrayList<>();
+        private boolean mAvailable;
 
         @Override
         public boolean isOpen() {
-            return mOpen;
+            return mAvailable;
         }
 
         @Override
         public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            mAsked.add(then);
+            mHandovers.add(then);
         }
 
         void answer(StoreOutcome outcome) {
-            mAsked.remove(0).accept(outcome);
+            mHandovers.remove(0).accept(outcome);
         }
     }
 
     @Test
-    public void aNodeThatTheStoreTurnsAwayStoresThroughTheOwner() {
-        // The store turns some nodes away. Their callers were refused, and asked one node after the
-        // other until they came to one that is served.
+    public void aRecordTheStoreRejectsIsStoredThroughTheOwner() {
+        // Guards against failed requests on nodes that the store rejects while the owner could
+        // store.
         mLog.next(Fate.REFUSED);
         store();
-        mOwner.mOpen = true;
+        mOwner.mAvailable = true;
         mLog.answer();
         mOwner.answer(StoreOutcome.STORED);
 
@@ -74,24 +74,22 @@
     }
 
     @Test
-    public void aSlowStoreGetsTheRecordsOfAllNodesFromOne() {
-        // A store that takes a third of a second for each append: ten nodes with appends of their
-        // own wait for each other, jobs are refused, and the owner can't write down its starts.
-        mOwner.mOpen = true;
+    public void recordsGoThroughAnAvailableOwner() {
+        // Guards against contention on a slow store, which serializes the appends of all nodes.
+        mOwner.mAvailable = true;
         store();
         store();
 
-        assertEquals(mOwner.mAsked.size(), 2);
+        assertEquals(mOwner.mHandovers.size(), 2);
         assertTrue(mLog.records(JournalPartition.JOURNAL).isEmpty());
     }
 
     @Test
-    public void aRecordThatTheOwnerMayHaveStoredIsNeverSaidNotToBeStored() {
-        // The owner dies with a job in its hands. Whether it had stored it nobody knows, and a
-        // caller that is told no would see it run.
-        mOwner.mOpen = true;
+    public void aRecordTheOwnerMayHaveStoredIsNeverReportedAsNotStored() {
+        // Guards against reporting a job as rejected that the owner stored before it failed.
+        mOwner.mAvailable = true;
         store();
-        mOwner.mOpen = false;
+        mOwner.mAvailable = false;
         for (int i = 0; i < 20; i++) {
             mLog.next(Fate.REFUSED);
         }
@@ -105,25 +103,26 @@
     }
 
     @Test
-    public void anOwnerThatCanStoreNoMoreIsNotWaitedFor() {
-        mOwner.mOpen = true;
+    public void theWriterStopsWaitingForAnUnavailableOwner() {
+        mOwner.mAvailable = true;
         mWriter.store(new JobCancelled("aa", 1), mTime.nowMs() + 3000, mOutcomes::add);
-        mOwner.mOpen = false;
+        mOwner.mAvailable = false;
         mTime.pass(300);
         mLog.answer();
         mOwner.answer(StoreOutcome.STORED);
 
-        assertEquals(mOutcomes, List.of(StoreOutcome.STORED), "once, by the node's own append");
+        assertEquals(
+                mOutcomes, List.of(StoreOutcome.STORED), "exactly once, by the node's own append");
     }
 
     private void store() {
-        mWriter.store(new JobCancelled("aa", 1), mTime.nowMs() + PATIENCE_MS, mOutcomes::add);
+        mWriter.store(new JobCancelled("aa", 1), mTime.nowMs() + TIMEOUT_MS, mOutcomes::add);
     }
 
     @Test
-    public void aRecordWhoseAnswerWasLostIsNeverSaidNotToBeStored() {
-        // A caller is told that its job was refused, and sees it run: the first append was carried
-        // out and its answer lost, the repeated ones were refused.
+    public void aRecordWithALostResponseIsNeverReportedAsNotStored() {
+        // Guards against reporting a job as rejected when the first append succeeded, its response
+        // was lost, and the retries were rejected.
         mLog.next(Fate.ANSWER_LOST, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
         mLog.next(Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
         mLog.next(Fate.REFUSED, Fate.REFUSED);
@@ -137,7 +136,7 @@
     }
 
     @Test
-    public void aRefusalIsToldAtOnce() {
+    public void aRejectionIsReportedImmediately() {
         mLog.next(Fate.REFUSED);
         store();
         mLog.answer();
@@ -147,9 +146,9 @@
     }
 
     @Test
-    public void whileTheStoreFailsOthersAreRefusedWithoutWaiting() {
-        // The store is silent. Each caller would wait for most of its time to learn that nothing
-        // was stored, and could have asked another node meanwhile.
+    public void whileTheStoreFailsFurtherRecordsFailFast() {
+        // Guards against every caller waiting for its timeout while the store doesn't respond,
+        // instead of trying another node.
         mLog.next(Fate.LOST, Fate.LOST);
         store();
         mLog.answer();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/ForeignRecordsTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/MalformedRecordsTest.java
@@ -40,37 +40,34 @@
 import org.testng.annotations.Test;
 
 /**
- * Records of the journal that another writer wrote.
- *
- * <p>Callers' jobs wait on every node at a time: each of them reads the same record, its decoder
- * throws on the event loop's thread, and nobody reads the journal on. A node that starts again
- * reads it again. The cause is a record whose fields were believed.
+ * Guards against malformed journal records that stop the readers of all nodes with an unchecked
+ * exception, also after a restart.
  */
-public class ForeignRecordsTest {
+public class MalformedRecordsTest {
     private static final String JOB = "00000000000000aa";
     private static final TaskName TASK = new TaskName(JOB, 0, 0, 1);
     private static final EndedRun END = new EndedRun(TASK, 4, RunOutcome.FAILED, 5);
     private static final StartedRun START = new StartedRun(TASK, 4, "w1");
-    private static final int MANY = Integer.MAX_VALUE;
-    private static final int DEEP = 60_000;
+    private static final int HUGE_COUNT = Integer.MAX_VALUE;
+    private static final int NESTED_GROUPS = 60_000;
     private static final int MUTATIONS = 200_000;
     private static final long SEED = 20;
 
-    /** A message of protobuf fields, as another writer may put it together. */
-    private static byte[] message(JournalCodec.Fields fields) {
+    /** Encodes a message with arbitrary protobuf fields. */
+    private static byte[] encodeMessage(JournalCodec.FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
         try {
             fields.write(out);
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("memory that cannot be written", e);
+            throw new IllegalStateException("unexpected I/O error on an in-memory stream", e);
         }
         return bytes.toByteArray();
     }
 
-    private static byte[] part(int field, JournalCodec.Fields fields) {
-        return message(o -> o.writeBytes(field, ByteString.copyFrom(message(fields))));
+    private static byte[] field(int field, JournalCodec.FieldWriter fields) {
+        return encodeMessage(o -> o.writeBytes(field, ByteString.copyFrom(encodeMessage(fields))));
     }
 
     private static byte[] accepted(JobOrder order) {
@@ -92,65 +89,72 @@
                 RunMode.PLAIN);
     }
 
-    private static JobOrder good() {
+    private static JobOrder validOrder() {
         return order(Timetable.AT_ONCE, step(2), step(3, 0));
     }
 
     @DataProvider
-    public Object[][] foreign() {
-        byte[] endOfNoOutcome = part(3, o -> o.writeBytes(1, end(99)));
-        byte[] endOfNegativeOutcome = part(3, o -> o.writeBytes(1, end(-1)));
-        byte[] jobWithoutAnything = part(1, o -> {});
-        byte[] jobWithAnIdOnly = part(1, o -> o.writeString(1, JOB));
-        byte[] jobOfNumbers = part(1, o -> o.writeInt64(1, 7));
-        byte[] restatedWithoutOrder = part(9, o -> o.writeInt64(4, 7));
-        byte[] deepGroups = part(1, ForeignRecordsTest::writeDeepGroups);
-        byte[] cutShort = {0x0a, 0x7f, 1};
-        byte[] numberInPlaceOfAPart = {0x08, 0x05};
+    public Object[][] malformedRecords() {
+        byte[] endWithUnknownOutcome = field(3, o -> o.writeBytes(1, end(99)));
+        byte[] endWithNegativeOutcome = field(3, o -> o.writeBytes(1, end(-1)));
+        byte[] emptyJob = field(1, o -> {});
+        byte[] jobWithOnlyAnId = field(1, o -> o.writeString(1, JOB));
+        byte[] jobWithNumericId = field(1, o -> o.writeInt64(1, 7));
+        byte[] snapshotWithoutDefinition = field(9, o -> o.writeInt64(4, 7));
+        byte[] nestedGroups = field(1, MalformedRecordsTest::writeNestedGroups);
+        byte[] truncated = {0x0a, 0x7f, 1};
+        byte[] numberInsteadOfMessage = {0x08, 0x05};
         return new Object[][] {
-            {"an end of no outcome", endOfNoOutcome},
-            {"an end of a negative outcome", endOfNegativeOutcome},
-            {"a job without anything", jobWithoutAnything},
-            {"a job with an ID only", jobWithAnIdOnly},
-            {"a job of numbers", jobOfNumbers},
-            {"a job told again without its order", restatedWithoutOrder},
-            {"groups in groups without end", deepGroups},
-            {"a record cut short", cutShort},
-            {"a number in place of a part", numberInPlaceOfAPart},
+            {"an end with an unknown outcome", endWithUnknownOutcome},
+            {"an end with a negative outcome", endWithNegativeOutcome},
+            {"an empty job", emptyJob},
+            {"a job with only an ID", jobWithOnlyAnId},
+            {"a job with a number as its ID", jobWithNumericId},
+            {"a job snapshot without a definition", snapshotWithoutDefinition},
+            {"deeply nested groups", nestedGroups},
+            {"a truncated record", truncated},
+            {"a number instead of a message", numberInsteadOfMessage},
             {"no step", accepted(order(Timetable.AT_ONCE))},
             {"no task", accepted(order(Timetable.AT_ONCE, step(0)))},
-            {"fewer than no task", accepted(order(Timetable.AT_ONCE, step(-1)))},
-            {"too many tasks", accepted(order(Timetable.AT_ONCE, step(MANY), step(9)))},
-            {"a step after itself", accepted(order(Timetable.AT_ONCE, step(1, 0)))},
-            {"a step after none", accepted(order(Timetable.AT_ONCE, step(1), step(1, -1)))},
-            {"a step after a later one", accepted(order(Timetable.AT_ONCE, step(1), step(1, 2)))},
+            {"a negative number of tasks", accepted(order(Timetable.AT_ONCE, step(-1)))},
+            {"too many tasks", accepted(order(Timetable.AT_ONCE, step(HUGE_COUNT), step(9)))},
+            {"a step that depends on itself", accepted(order(Timetable.AT_ONCE, step(1, 0)))},
+            {
+                "a step that depends on a negative step",
+                accepted(order(Timetable.AT_ONCE, step(1), step(1, -1)))
+            },
+            {
+                "a step that depends on a later one",
+                accepted(order(Timetable.AT_ONCE, step(1), step(1, 2)))
+            },
             {"no run", accepted(order(new Timetable(1, 1, 0), step(1)))},
-            {"fewer than no run", accepted(order(new Timetable(1, 1, -3), step(1)))},
-            {"too many runs", accepted(order(new Timetable(1, 1, MANY), step(9)))},
+            {"a negative number of runs", accepted(order(new Timetable(1, 1, -3), step(1)))},
+            {"too many runs", accepted(order(new Timetable(1, 1, HUGE_COUNT), step(9)))},
         };
     }
 
-    private static void writeDeepGroups(CodedOutputStream out) throws IOException {
-        for (int i = 0; i < DEEP; i++) {
+    private static void writeNestedGroups(CodedOutputStream out) throws IOException {
+        for (int i = 0; i < NESTED_GROUPS; i++) {
             out.writeTag(20, WireFormat.WIRETYPE_START_GROUP);
         }
     }
 
     private static ByteString end(int outcome) {
         return ByteString.copyFrom(
-                message(
+                encodeMessage(
                         o -> {
                             o.writeString(1, JOB);
                             o.writeInt32(6, outcome);
                         }));
     }
 
-    @Test(dataProvider = "foreign")
-    public void aRecordOfAnotherWriterIsSkippedAndTheOthersHold(String what, byte[] foreign) {
+    @Test(dataProvider = "malformedRecords")
+    public void aMalformedRecordIsSkippedAndTheOthersAreApplied(
+            String malformation, byte[] malformed) {
         FakeNode time = new FakeNode();
         FakeLog log = new FakeLog();
         JobBook book = new JobBook(120_000);
-        List<JournalRecord> told = new ArrayList<>();
+        List<JournalRecord> applied = new ArrayList<>();
         JournalReader reader =
                 new JournalReader(
                         log,
@@ -159,10 +163,10 @@
                         time,
                         NodeLog.silent(time),
                         book,
-                        (record, job) -> told.add(record));
+                        (record, job) -> applied.add(record));
         List<byte[]> records = log.records(JournalPartition.JOURNAL);
-        records.add(accepted(good()));
-        records.add(foreign);
+        records.add(accepted(validOrder()));
+        records.add(malformed);
         records.add(new byte[0]);
         records.add(JournalCodec.encode(new RunsStarted(List.of(START))));
         reader.follow();
@@ -171,18 +175,21 @@
         time.pass(1000);
         log.answer();
 
-        assertEquals(told.size(), 3, "the job, its start and its end beside " + what);
+        assertEquals(
+                applied.size(),
+                3,
+                "the job, its start and its cancellation are applied despite " + malformation);
         assertEquals(book.jobs().size(), 1);
         assertTrue(book.job(JOB).get().endedMs() > 0);
     }
 
     @Test
-    public void noBytesMakeTheReaderThrow() {
-        // Records with single bytes changed, cut or doubled, from a fixed seed.
-        List<JournalRecord> good =
+    public void mutatedRecordsNeverCauseUncheckedExceptions() {
+        // Up to three bytes of each record are overwritten, from a fixed seed.
+        List<JournalRecord> valid =
                 List.of(
-                        new JobAccepted(good()),
-                        new JobRestated(good(), List.of(START), List.of(END), 0),
+                        new JobAccepted(validOrder()),
+                        new JobRestated(validOrder(), List.of(START), List.of(END), 0),
                         new JobCancelled(JOB, 5),
                         new RunsStarted(List.of(START, START)),
                         new RunsEnded(List.of(END)),
@@ -190,24 +197,24 @@
                         new OwnerLeft(3, "n", false));
         Random random = new Random(SEED);
         for (int i = 0; i < MUTATIONS; i++) {
-            byte[] bytes = JournalCodec.encode(good.get(random.nextInt(good.size())));
+            byte[] bytes = JournalCodec.encode(valid.get(random.nextInt(valid.size())));
             for (int m = random.nextInt(3); m >= 0; m--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
                 apply(JournalCodec.decode(bytes));
             } catch (IOException e) {
-                assertTrue(e.getMessage() != null, "the log line says why");
+                assertTrue(e.getMessage() != null, "the exception has a message");
             } catch (RuntimeException e) {
                 throw new AssertionError("seed " + SEED + ", mutation " + i, e);
             }
         }
     }
 
-    /** What each node does with a record: the book takes it in, the owner tells it again. */
+    /** Applies a record as every node does, and takes snapshots of its jobs as the owner does. */
     private static void apply(Optional<JournalRecord> record) {
         JobBook book = new JobBook(120_000);
-        book.apply(new JobAccepted(good()));
+        book.apply(new JobAccepted(validOrder()));
         record.ifPresent(book::apply);
         for (JobEntry job : book.jobs()) {
             job.order().chainMs();
