--- a/foxtail-node/src/main/java/org/foxtailplank/node/log/LogLine.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/log/LogLine.java
@@ -1,8 +1,8 @@
 package org.foxtailplank.node.log;
 
-/** One line of a log, while it is being filled. */
+/** Builder of one log line, a JSON object. */
 public final class LogLine {
-    static final LogLine NONE = new LogLine(null, "", 0);
+    static final LogLine SUPPRESSED = new LogLine(null, "", 0);
 
     private static final int FIRST_PRINTABLE = 0x20;
 
@@ -21,7 +21,7 @@
                                 .append('"');
     }
 
-    /** Adds a number. */
+    /** Adds a numeric field. */
     public LogLine with(String name, long value) {
         if (mText != null) {
             mText.append(",\"").append(name).append("\":").append(value);
@@ -29,7 +29,7 @@
         return this;
     }
 
-    /** Adds a value as text. */
+    /** Adds a string field. */
     public LogLine with(String name, Object value) {
         if (mText != null) {
             mText.append(",\"").append(name).append("\":\"");
@@ -39,7 +39,7 @@
         return this;
     }
 
-    /** A line break or a quote inside a value would let a caller forge a line. */
+    /** Escapes quotes and replaces control characters, so that a value can't inject a log line. */
     private void escape(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
@@ -53,10 +53,10 @@
         }
     }
 
-    /** Hands the line to the log's writer. */
+    /** Queues the line for the writer thread. */
     public void write() {
         if (mText != null) {
-            mLog.write(mText.append('}').toString());
+            mLog.enqueue(mText.append('}').toString());
         }
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/log/NodeLog.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/log/NodeLog.java
@@ -8,83 +8,82 @@
 import org.foxtailplank.node.Clock;
 
 /**
- * Writes one JSON object a line for each decision, without ever waiting for whoever reads it.
+ * Structured log with one JSON object per line. Logging never blocks the caller.
  *
- * <p>Each kind of line has a budget a second; lines beyond it are counted, and the count stands in
- * the next line of the kind. Lines wait for their writer in a queue of limited length; those that
- * don't fit are counted too.
+ * <p>Each kind of line is rate-limited; the next line of the kind contains the number of suppressed
+ * ones. A writer thread drains a bounded queue; lines that don't fit are dropped and counted.
  */
 public final class NodeLog {
-    /** Lines of one kind a second: a busy second of one owner, half over. */
-    private static final int LINES_PER_S = 200;
+    /** Maximum number of lines of one kind per second. */
+    private static final int MAX_LINES_PER_S = 200;
 
-    /** Lines that may wait to be written: some seconds of all kinds together. */
-    private static final int QUEUE_LINES = 4000;
+    /** Maximum number of queued lines. */
+    private static final int QUEUE_CAPACITY = 4000;
 
     private static final long MS_PER_S = 1000;
 
     private final Clock mClock;
-    private final BlockingQueue<String> mQueue = new ArrayBlockingQueue<>(QUEUE_LINES);
-    private final Map<String, Budget> mBudgets = new HashMap<>();
-    private long mOverflow;
+    private final BlockingQueue<String> mQueue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final Map<String, RateLimit> mRateLimits = new HashMap<>();
+    private long mDroppedLines;
 
-    private static final class Budget {
+    private static final class RateLimit {
         long mSecond;
         int mWritten;
-        long mLeftOut;
+        long mSuppressed;
     }
 
     private NodeLog(Clock clock) {
         mClock = clock;
     }
 
-    /** A log that a thread of its own writes to a stream. */
+    /** Creates a log that is written to a stream by a daemon thread. */
     public static NodeLog to(PrintStream out, Clock clock) {
         NodeLog log = new NodeLog(clock);
-        Thread writer = new Thread(() -> log.writeAll(out), "log");
+        Thread writer = new Thread(() -> log.writeLoop(out), "log");
         writer.setDaemon(true);
         writer.start();
         return log;
     }
 
-    /** A log that nobody reads. */
+    /** Creates a log without a writer thread, whose lines stay in the queue. */
     public static NodeLog silent(Clock clock) {
         return new NodeLog(clock);
     }
 
-    /** A line of a kind, to be filled and written. */
+    /** Starts a line; the caller adds fields and then calls {@link LogLine#write}. */
     public LogLine line(String kind) {
-        Budget budget = mBudgets.computeIfAbsent(kind, k -> new Budget());
+        RateLimit budget = mRateLimits.computeIfAbsent(kind, k -> new RateLimit());
         long second = mClock.nowMs() / MS_PER_S;
         if (second != budget.mSecond) {
             budget.mSecond = second;
             budget.mWritten = 0;
         }
-        if (budget.mWritten >= LINES_PER_S) {
-            budget.mLeftOut++;
-            return LogLine.NONE;
+        if (budget.mWritten >= MAX_LINES_PER_S) {
+            budget.mSuppressed++;
+            return LogLine.SUPPRESSED;
         }
         budget.mWritten++;
         LogLine line = new LogLine(this, kind, mClock.wallMs());
-        if (budget.mLeftOut > 0) {
-            line.with("leftOut", budget.mLeftOut);
-            budget.mLeftOut = 0;
+        if (budget.mSuppressed > 0) {
+            line.with("leftOut", budget.mSuppressed);
+            budget.mSuppressed = 0;
         }
         return line;
     }
 
-    void write(String line) {
+    void enqueue(String line) {
         if (!mQueue.offer(line)) {
-            mOverflow++;
+            mDroppedLines++;
         }
     }
 
-    /** Lines that found the queue full. */
-    public long overflow() {
-        return mOverflow;
+    /** Number of lines dropped because the queue was full. */
+    public long droppedLines() {
+        return mDroppedLines;
     }
 
-    private void writeAll(PrintStream out) {
+    private void writeLoop(PrintStream out) {
         StringBuilder text = new StringBuilder();
         try {
             while (true) {
@@ -101,7 +100,7 @@
         }
     }
 
-    /** Writes what still waits; for the end of the process. */
+    /** Writes the queued lines; called at the end of the process. */
     public void flush(PrintStream out) {
         for (String line = mQueue.poll(); line != null; line = mQueue.poll()) {
             out.println(line);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/log/NodeLogTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/log/NodeLogTest.java
@@ -9,10 +9,10 @@
 import org.foxtailplank.node.FakeNode;
 import org.testng.annotations.Test;
 
-/** Log lines under load, and what callers can do to them. */
+/** Tests the rate limit, the bounded queue and the escaping of the log. */
 public class NodeLogTest {
-    private static final int BUDGET = 200;
-    private static final int QUEUE = 4000;
+    private static final int MAX_LINES_PER_S = 200;
+    private static final int QUEUE_CAPACITY = 4000;
 
     private static String written(NodeLog log) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -21,10 +21,10 @@
     }
 
     @Test
-    public void linesBeyondTheBudgetOfTheirKindAreCounted() {
+    public void linesBeyondTheRateLimitOfTheirKindAreCounted() {
         FakeNode time = new FakeNode();
         NodeLog log = NodeLog.silent(time);
-        for (int i = 0; i < BUDGET + 50; i++) {
+        for (int i = 0; i < MAX_LINES_PER_S + 50; i++) {
             log.line("busy").write();
         }
         log.line("other").write();
@@ -33,23 +33,25 @@
 
         String text = written(log);
 
-        assertEquals(text.lines().count(), BUDGET + 2);
-        assertTrue(text.contains("\"leftOut\":50"), "the next line says how many are missing");
+        assertEquals(text.lines().count(), MAX_LINES_PER_S + 2);
+        assertTrue(
+                text.contains("\"leftOut\":50"),
+                "the next line contains the number of suppressed lines");
     }
 
     @Test
-    public void aLogThatNobodyReadsNeitherBlocksNorGrows() {
+    public void aFullQueueDropsLinesWithoutBlocking() {
         FakeNode time = new FakeNode();
         NodeLog log = NodeLog.silent(time);
-        for (int i = 0; i < 2 * QUEUE; i++) {
+        for (int i = 0; i < 2 * QUEUE_CAPACITY; i++) {
             log.line("kind" + i).write();
         }
 
-        assertEquals(log.overflow(), QUEUE);
+        assertEquals(log.droppedLines(), QUEUE_CAPACITY);
     }
 
     @Test
-    public void aValueCannotForgeALine() {
+    public void aValueCannotInjectALine() {
         NodeLog log = NodeLog.silent(new FakeNode());
         log.line("path").with("path", "a\"}\n{\"kind\":\"x").write();
 
