--- a/foxtail-node/src/main/java/org/foxtailplank/node/warmup/WarmUpMain.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/warmup/WarmUpMain.java
@@ -23,16 +23,15 @@
 import org.foxtailplank.schedule.ScheduleLimits;
 
 /**
- * Starts a node against a platform that answers every call with an empty object, asks it something,
- * and ends. The build runs it with the JVM's option that archives the loaded classes at exit: a
- * node that was killed is then back sooner, since most of a start's processor time is the loading
- * of classes.
+ * Training run for class data sharing: starts a node against a stub platform, submits a job, and
+ * exits. The build runs it with the JVM option that archives the loaded classes at exit, which
+ * shortens the startup of a node.
  */
 public final class WarmUpMain {
-    private static final int BODY_BYTES = 1 << 16;
-    private static final int CONNECT_MS = 500;
-    private static final int CONNECTIONS = 2;
-    private static final long CALL_MS = 1000;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_CONNECTIONS = 2;
+    private static final long CALL_TIMEOUT_MS = 1000;
     private static final long RUN_MS = 1500;
     private static final int OK = 200;
     private static final String CONFIG =
@@ -50,22 +49,22 @@
         EventLoop loop =
                 (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Timers timers = (delay, action) -> loop.schedule(action, delay, TimeUnit.MILLISECONDS);
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
+        InetSocketAddress ephemeral = new InetSocketAddress("127.0.0.1", 0);
         HttpServer platform =
                 HttpServer.bind(
                         loop,
-                        any,
-                        BODY_BYTES,
+                        ephemeral,
+                        MAX_BODY_BYTES,
                         (request, reply) -> reply.accept(HttpReply.json(OK, CONFIG)));
         String address = "127.0.0.1:" + platform.address().getPort();
         NodeSettings settings =
                 new NodeSettings(
                         "warm-up",
                         "warm-up",
-                        any,
-                        any,
-                        any,
-                        any,
+                        ephemeral,
+                        ephemeral,
+                        ephemeral,
+                        ephemeral,
                         new PlatformAddresses(address, address, address),
                         new NodeSettings.JournalBounds(RUN_MS, RUN_MS, 1),
                         new ScheduleLimits(RUN_MS, RUN_MS),
@@ -75,19 +74,20 @@
         Node node = new Node(settings, loop, clock, timers, log);
         node.listen();
         loop.execute(node::start);
-        ask(loop, node.callers());
+        submitJob(loop, node.callers());
         System.exit(0);
     }
 
-    private static void ask(EventLoop loop, InetSocketAddress node) throws InterruptedException {
+    private static void submitJob(EventLoop loop, InetSocketAddress node)
+            throws InterruptedException {
         CountDownLatch answered = new CountDownLatch(1);
         HttpCall call =
                 HttpCall.postJson(
                         "/warm-up/0000000000000000", JOB.getBytes(StandardCharsets.UTF_8));
         loop.schedule(
                 () ->
-                        new HttpClient(loop, CONNECT_MS, CONNECTIONS)
-                                .call(node, call, CALL_MS, r -> answered.countDown()),
+                        new HttpClient(loop, CONNECT_TIMEOUT_MS, MAX_CONNECTIONS)
+                                .call(node, call, CALL_TIMEOUT_MS, r -> answered.countDown()),
                 RUN_MS / 2,
                 TimeUnit.MILLISECONDS);
         answered.await(2 * RUN_MS, TimeUnit.MILLISECONDS);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/warmup/package-info.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/warmup/package-info.java
@@ -1,2 +1,2 @@
-/** Runs a node for a moment, so that the JVM can archive the classes that a start needs. */
+/** Training run of a node for the JVM's class data sharing archive. */
 package org.foxtailplank.node.warmup;
