--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalBatch.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalBatch.java
@@ -8,116 +8,114 @@
 import org.foxtailplank.lease.Moment;
 import org.foxtailplank.node.journal.StoreOutcome;
 
-/** Records of one append, with who waits for each. */
+/** Records of one append and their callbacks. */
 final class JournalBatch {
-    private final List<Item> mItems;
+    private final List<PendingRecord> mRecords;
 
     private Optional<Moment> mFirstSent = Optional.empty();
     private boolean mMaybeStored;
-    private int mUnanswered;
-    private boolean mGivenOn;
+    private int mUnansweredSends;
+    private boolean mRerouted;
 
-    JournalBatch(Collection<Item> items) {
-        mItems = new ArrayList<>(items);
+    JournalBatch(Collection<PendingRecord> records) {
+        mRecords = new ArrayList<>(records);
     }
 
-    /** A record, and who waits for what comes of it. */
-    static final class Item {
+    /** A record and the callback for its outcome. */
+    static final class PendingRecord {
         private final byte[] mBytes;
         private final boolean mHandedOver;
-        private final Consumer<StoreOutcome> mThen;
-        private boolean mTold;
-        private int mSentBy;
+        private final Consumer<StoreOutcome> mCallback;
+        private boolean mCompleted;
+        private int mAppendCount;
 
         /**
-         * A record that is to be stored.
+         * Creates a record to be stored.
          *
-         * @param handedOver whether another node waits for it
-         * @param then is told once what came of it
+         * @param handedOver whether another node handed it over
+         * @param callback called once with the outcome
          */
-        Item(byte[] bytes, boolean handedOver, Consumer<StoreOutcome> then) {
+        PendingRecord(byte[] bytes, boolean handedOver, Consumer<StoreOutcome> callback) {
             mBytes = bytes;
             mHandedOver = handedOver;
-            mThen = then;
+            mCallback = callback;
         }
 
         boolean isHandedOver() {
             return mHandedOver;
         }
 
-        /**
-         * Whether who waits has been told; it may be on its way to a second partition all the same.
-         */
-        boolean isTold() {
-            return mTold;
+        /** Whether the callback has run; an append to a second partition may still be in flight. */
+        boolean isCompleted() {
+            return mCompleted;
         }
 
-        /** Whether it is in an append that may be stored, or will be. */
-        boolean isSent() {
-            return mSentBy > 0;
+        /** Whether it is part of an append that may be or may become stored. */
+        boolean isInAppend() {
+            return mAppendCount > 0;
         }
 
-        void tell(StoreOutcome outcome) {
-            if (!mTold) {
-                mTold = true;
-                mThen.accept(outcome);
+        void complete(StoreOutcome outcome) {
+            if (!mCompleted) {
+                mCompleted = true;
+                mCallback.accept(outcome);
             }
         }
     }
 
-    List<Item> items() {
-        return List.copyOf(mItems);
+    List<PendingRecord> records() {
+        return List.copyOf(mRecords);
     }
 
     boolean isEmpty() {
-        return mItems.isEmpty();
+        return mRecords.isEmpty();
     }
 
     List<byte[]> bytes() {
-        return mItems.stream().map(i -> i.mBytes).toList();
+        return mRecords.stream().map(r -> r.mBytes).toList();
     }
 
-    /** One more sending. */
-    void sent(Moment now) {
+    /** Counts a send of this append. */
+    void recordSend(Moment now) {
         if (mFirstSent.isEmpty()) {
             mFirstSent = Optional.of(now);
-            mItems.forEach(i -> i.mSentBy++);
+            mRecords.forEach(r -> r.mAppendCount++);
         }
-        mUnanswered++;
+        mUnansweredSends++;
     }
 
-    /** When it was first sent. */
-    Moment firstSent() {
+    /** When the append was first sent. */
+    Moment firstSentAt() {
         return mFirstSent.orElseThrow();
     }
 
-    /** One sending was answered, or given up; returns how many are still awaited. */
-    int answered() {
-        return --mUnanswered;
+    /** Counts the result of a send; returns how many sends are still unanswered. */
+    int recordAnswer() {
+        return --mUnansweredSends;
     }
 
-    int unanswered() {
-        return mUnanswered;
+    int unansweredSends() {
+        return mUnansweredSends;
     }
 
-    /** It may be stored, so that it can't be taken back. */
+    /** Whether the append may be stored, so that its records can no longer be rejected. */
     boolean isMaybeStored() {
         return mMaybeStored;
     }
 
-    void maybeStored() {
+    void markMaybeStored() {
         mMaybeStored = true;
     }
 
-    /** Marks it as given to another partition as well; returns whether it was not before. */
-    boolean giveOn() {
-        boolean first = !mGivenOn;
-        mGivenOn = true;
+    /** Marks the records as sent to another partition too; returns whether they were not before. */
+    boolean markRerouted() {
+        boolean first = !mRerouted;
+        mRerouted = true;
         return first;
     }
 
-    /** It is stored, or will never be: this append counts no more. */
-    void over() {
-        mItems.forEach(i -> i.mSentBy--);
+    /** Releases the records: the append is stored or never will be. */
+    void release() {
+        mRecords.forEach(r -> r.mAppendCount--);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLog.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLogger.java
@@ -3,25 +3,24 @@
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.schedule.PoolLoad;
 
-/** Writes a line a service every two seconds: with the decisions it explains why tasks wait. */
-final class LoadLog {
-    /** How often the load of services is logged, in milliseconds. */
-    private static final long LOAD_MS = 2000;
+/** Logs the load of each service periodically, which helps to explain why tasks wait. */
+final class LoadLogger {
+    private static final long LOG_INTERVAL_MS = 2000;
 
     private final OwnerWork mOwner;
     private final OwnerParts mParts;
 
-    LoadLog(OwnerWork owner, OwnerParts parts) {
+    LoadLogger(OwnerWork owner, OwnerParts parts) {
         mOwner = owner;
         mParts = parts;
     }
 
-    /** Begins; goes on while the owner works. */
+    /** Writes the load now and periodically until the owner's work ends. */
     void start() {
-        if (mOwner.isOver()) {
+        if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(LOAD_MS, this::start);
+        mParts.timers().after(LOG_INTERVAL_MS, this::start);
         mParts.operator().config().ifPresent(this::write);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Looker.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/Looker.java
@@ -14,32 +14,38 @@
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
 
-/** Looks at one worker again and again: renews its lease, learns of ends, acknowledges them. */
+/** Polls one worker: renews its lease, learns which runs have ended and acknowledges their ends. */
 final class Looker {
-    /** How long a look waits for an end, in milliseconds; a third of a short lease. */
-    private static final long WAIT_MS = 1000;
+    /** How long a poll waits for a run to end, in milliseconds; a third of a short lease. */
+    private static final long POLL_WAIT_MS = 1000;
 
-    /** The same where serving tasks may be disturbed: their tails cover half a second. */
-    private static final long MIXED_WAIT_MS = 500;
+    /**
+     * The same for a worker that runs serving and batch tasks, in milliseconds; the tail latency of
+     * serving tasks is measured over half a second.
+     */
+    private static final long MIXED_POLL_WAIT_MS = 500;
 
-    /** The same while a standing task is on its way to work: a wave may wait for it. */
-    private static final long COMING_WAIT_MS = 300;
+    /** The same while a standing task is starting, in milliseconds; a wave may wait for it. */
+    private static final long STARTING_POLL_WAIT_MS = 300;
 
-    /** How long a look at an idle worker waits, in milliseconds: the longest that there is. */
-    private static final long IDLE_WAIT_MS = 2000;
+    /** The same for an idle worker, in milliseconds; the longest wait that workers accept. */
+    private static final long IDLE_POLL_WAIT_MS = 2000;
 
-    /** Pause after a look that went unanswered, in milliseconds. */
-    private static final long RETRY_MS = 300;
+    /** Delay after a poll that was not answered, in milliseconds. */
+    private static final long RETRY_DELAY_MS = 300;
 
-    /** Pause between looks while ends can't be stored: they would return at once. */
-    private static final long UNSTORED_MS = 400;
+    /**
+     * Delay while reported ends can't be stored, in milliseconds: without it polls would return at
+     * once and repeat in a tight loop.
+     */
+    private static final long UNSTORED_POLL_DELAY_MS = 400;
 
     private final OwnerWork mOwner;
     private final OwnerParts mParts;
     private final WorkerState mWorker;
     private final long mToken;
     private boolean mStopped;
-    private int mTurn;
+    private int mPollNumber;
 
     Looker(OwnerWork owner, OwnerParts parts, WorkerState worker, long token) {
         mOwner = owner;
@@ -48,38 +54,39 @@
         mToken = token;
     }
 
-    void look() {
-        mTurn++;
-        if (mOwner.isOver() || mStopped) {
+    void poll() {
+        mPollNumber++;
+        if (mOwner.hasEnded() || mStopped) {
             return;
         }
         long now = mParts.clock().nowMs();
-        long until = mWorker.renew(now, mOwner.workerLeaseMs());
-        boolean waits = mWorker.hasClock() && !mWorker.isSilent() && !mWorker.hasUnstoredEnds();
-        long wait = mWorker.runs().isEmpty() ? IDLE_WAIT_MS : WAIT_MS;
-        wait = mWorker.isMixed() ? MIXED_WAIT_MS : wait;
-        wait = mWorker.hasStandingToCome() ? COMING_WAIT_MS : wait;
-        LookOrder order = new LookOrder(mToken, mWorker.storedEnds(), until, waits ? wait : 0);
+        long leaseUntil = mWorker.renew(now, mOwner.workerLeaseMs());
+        boolean canWait = mWorker.hasClock() && !mWorker.isSilent() && !mWorker.hasUnstoredEnds();
+        long waitMs = mWorker.runs().isEmpty() ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
+        waitMs = mWorker.isMixed() ? MIXED_POLL_WAIT_MS : waitMs;
+        waitMs = mWorker.hasStandingToCome() ? STARTING_POLL_WAIT_MS : waitMs;
+        LookOrder order =
+                new LookOrder(mToken, mWorker.storedEnds(), leaseUntil, canWait ? waitMs : 0);
         mParts.metrics().counter("looks").inc();
-        mParts.platform().orders().look(mWorker.address(), order, a -> answered(a, now));
+        mParts.platform().orders().look(mWorker.address(), order, a -> handleAnswer(a, now));
     }
 
-    private void answered(LookAnswer answer, long sentMs) {
-        if (mOwner.isOver() || mStopped) {
+    private void handleAnswer(LookAnswer answer, long sentMs) {
+        if (mOwner.hasEnded() || mStopped) {
             return;
         }
         switch (answer.outcome()) {
-            case DONE -> seen(answer, sentMs);
-            case FENCED -> mOwner.fenced(mWorker.id());
+            case DONE -> applyAnswer(answer, sentMs);
+            case FENCED -> mOwner.handleFenced(mWorker.id());
             case OTHER_LIFE -> {
                 mStopped = true;
-                mOwner.workerOver(mWorker, "another life answers");
+                mOwner.handleWorkerEnded(mWorker, "another incarnation answered");
             }
-            default -> failed(answer.outcome());
+            default -> handleFailure(answer.outcome());
         }
     }
 
-    private void failed(OrderOutcome outcome) {
+    private void handleFailure(OrderOutcome outcome) {
         if (!mWorker.isSilent()) {
             mParts.log()
                     .line("worker-silent")
@@ -89,52 +96,52 @@
                     .write();
         }
         mOwner.scheduler().lookFailed(mWorker);
-        again(RETRY_MS);
+        scheduleNextPoll(RETRY_DELAY_MS);
     }
 
-    private void seen(LookAnswer answer, long sentMs) {
+    private void applyAnswer(LookAnswer answer, long sentMs) {
         long now = mParts.clock().nowMs();
         if (mWorker.isSilent()) {
             mParts.log().line("worker-back").with("worker", mWorker.id()).write();
         }
         LookEffects effects = mOwner.scheduler().looked(mWorker, answer, sentMs, now);
-        log(effects);
+        logEffects(effects);
         effects.orphans().forEach(this::stopOrphan);
-        mOwner.decisionDue();
+        mOwner.scheduleDecision();
         if (effects.toStore().isEmpty()) {
-            again(mWorker.hasUnstoredEnds() ? UNSTORED_MS : 0);
+            scheduleNextPoll(mWorker.hasUnstoredEnds() ? UNSTORED_POLL_DELAY_MS : 0);
             return;
         }
         List<EndedRun> ends = new ArrayList<>();
         for (RunEnd e : effects.toStore()) {
             ends.add(new EndedRun(e.task(), e.attempt(), e.outcome(), mParts.clock().wallMs()));
         }
-        int turn = mTurn;
-        mOwner.journal().store(new RunsEnded(ends), () -> stored(turn));
-        // While the store is away the lease has to be renewed all the same.
-        again(UNSTORED_MS);
+        int pollNumber = mPollNumber;
+        mOwner.journal().store(new RunsEnded(ends), () -> handleEndsStored(pollNumber));
+        // The lease must be renewed even while the store is unavailable.
+        scheduleNextPoll(UNSTORED_POLL_DELAY_MS);
     }
 
-    private void stored(int turn) {
+    private void handleEndsStored(int pollNumber) {
         mWorker.stored();
-        if (turn == mTurn) {
-            look();
+        if (pollNumber == mPollNumber) {
+            poll();
         }
     }
 
-    /** The worker's life is over. */
+    /** Stops polling; the worker's incarnation has ended or it was dropped. */
     void stop() {
         mStopped = true;
     }
 
-    private void again(long delayMs) {
-        int turn = mTurn;
+    private void scheduleNextPoll(long delayMs) {
+        int pollNumber = mPollNumber;
         mParts.timers()
                 .after(
                         delayMs,
                         () -> {
-                            if (turn == mTurn) {
-                                look();
+                            if (pollNumber == mPollNumber) {
+                                poll();
                             }
                         });
     }
@@ -149,7 +156,7 @@
         mParts.platform().orders().stop(mWorker.address(), order, a -> {});
     }
 
-    private void log(LookEffects effects) {
+    private void logEffects(LookEffects effects) {
         for (RunEnd e : effects.toStore()) {
             mParts.log()
                     .line("run-ended")
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/NarrowOwner.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/NarrowOwner.java
@@ -3,52 +3,53 @@
 import org.foxtailplank.node.LinkRate;
 
 /**
- * Decides when an owner with a narrow link gives its place up.
+ * Decides when an owner on a narrow (low-bandwidth) link steps down.
  *
- * <p>Guards against a node that became the owner while others were slow to try, and stays it: its
- * link and its processor can't carry a queue's turn, its orders and looks time out, and what runs
- * is taken as lapsed and started a second time.
+ * <p>Such a node can become the owner if others are slow to try. When many jobs become due its link
+ * and processor are overloaded, orders and polls time out, and runs are treated as lapsed and
+ * started a second time.
  */
 public final class NarrowOwner {
-    /** A follower that has said for so long that it could own is believed, in milliseconds. */
-    private static final long STANDBY_MS = 1000;
+    /** How long a follower's report that it could become the owner stays valid, in milliseconds. */
+    private static final long STANDBY_VALID_MS = 1000;
 
-    /** An owner stays for so long at least, in milliseconds: a take-over has its price. */
-    private static final long STAY_MS = 2000;
+    /** Minimum time as owner, in milliseconds, because each takeover delays jobs. */
+    private static final long MIN_TENURE_MS = 2000;
 
     /**
-     * Pause between two times that a node gives its place up, in milliseconds: a follower that says
-     * that it could own may fail to take it.
+     * Minimum interval between two step-downs of a node, in milliseconds: the follower that
+     * reported itself able to own may fail to take over.
      */
-    private static final long PAUSE_MS = 30_000;
+    private static final long STEP_DOWN_INTERVAL_MS = 30_000;
 
-    private final boolean mAmple;
-    private long mOwnsSinceMs;
-    private long mGaveUpMs = Long.MIN_VALUE / 2;
+    private final boolean mHasAmpleLink;
+    private long mOwnerSinceMs;
+    private long mSteppedDownMs = Long.MIN_VALUE / 2;
 
-    /** For a node with a link. */
+    /** Creates the policy of a node with this link. */
     public NarrowOwner(LinkRate link) {
-        mAmple = link.isAmple();
+        mHasAmpleLink = link.isAmple();
     }
 
-    /** This node owns from now on. */
+    /** Called when this node becomes the owner. */
     public void owns(long nowMs) {
-        mOwnsSinceMs = nowMs;
+        mOwnerSinceMs = nowMs;
     }
 
     /**
-     * Whether this node, which owns, gives its place up now.
+     * Whether this node, which is the owner, steps down now.
      *
-     * @param standbyMs when a follower with an ample link last said that it could own
+     * @param standbyMs when a follower with an ample link last reported that it could become the
+     *     owner
      */
     public boolean givesUp(long standbyMs, long nowMs) {
         boolean due =
-                !mAmple
-                        && nowMs - standbyMs < STANDBY_MS
-                        && nowMs - mOwnsSinceMs >= STAY_MS
-                        && nowMs - mGaveUpMs >= PAUSE_MS;
+                !mHasAmpleLink
+                        && nowMs - standbyMs < STANDBY_VALID_MS
+                        && nowMs - mOwnerSinceMs >= MIN_TENURE_MS
+                        && nowMs - mSteppedDownMs >= STEP_DOWN_INTERVAL_MS;
         if (due) {
-            mGaveUpMs = nowMs;
+            mSteppedDownMs = nowMs;
         }
         return due;
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OrderSender.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OrderSender.java
@@ -13,22 +13,24 @@
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
 
-/** Carries out what the scheduler decides about runs. */
+/** Sends the scheduler's decisions about runs to workers. */
 final class OrderSender {
     /**
-     * Share of the link for starts, each of which carries its task's text: beside the journal's
-     * records and these, what is left is for looks, appends and stops.
+     * Share of the link for starts, each of which carries its task's text. The rest is for journal
+     * records, polls, appends and stops.
      */
-    private static final double START_SHARE = 0.4;
+    private static final double START_LINK_SHARE = 0.4;
 
-    /** Time whose share starts may use at once, in milliseconds. */
+    /** Time whose share of the link may be used in one burst, in milliseconds. */
     private static final long START_BURST_MS = 250;
 
-    /** A start that is larger counts as so many bytes: on a very narrow link it must go too. */
-    private static final int LARGEST_START_BYTES = 16 << 10;
+    /** Larger starts count as this many bytes, so that they are sent even on a very narrow link. */
+    private static final int MAX_START_BYTES = 16 << 10;
 
-    /** What a start takes beside its task's text, in bytes: head, other fields, packets. */
-    private static final int START_BYTES = 600;
+    /**
+     * Estimated size of a start without its task's text, in bytes: headers, other fields, packets.
+     */
+    private static final int START_OVERHEAD_BYTES = 600;
 
     private final OwnerWork mOwner;
     private final OwnerParts mParts;
@@ -42,22 +44,25 @@
         mStartBudget =
                 new LinkBudget(
                         parts.settings().link(),
-                        START_SHARE,
+                        START_LINK_SHARE,
                         START_BURST_MS,
-                        LARGEST_START_BYTES,
+                        MAX_START_BYTES,
                         parts.clock().nowMs());
     }
 
     void send(Decisions decisions) {
-        record(decisions.planned());
+        recordStarts(decisions.planned());
         decisions.starts().forEach(this::start);
         decisions.stops().forEach(this::stop);
         decisions.paces().forEach(this::pace);
         decisions.asks().forEach(this::ask);
     }
 
-    /** A start is written down first, so that a new owner knows where the task may run. */
-    private void record(List<TaskRun> planned) {
+    /**
+     * Records starts in the journal before they are sent, so that a new owner knows where a task
+     * may run.
+     */
+    private void recordStarts(List<TaskRun> planned) {
         if (planned.isEmpty()) {
             return;
         }
@@ -75,37 +80,40 @@
     }
 
     /**
-     * A start waits for a full lease. One that was written down while the store was away is stored
-     * by an append that was first sent as the store went; with what that leaves of a lease the run
-     * would lapse at once. The next sign of life in the journal brings a full one.
+     * Sends a start if a full lease can be granted and the link has capacity, else delays it.
+     *
+     * <p>A start recorded during a store outage is stored by an append that was first sent when the
+     * outage began. The rest of a lease counted from that time is too short and the run would lapse
+     * at once; the next stored heartbeat allows a full one.
      *
-     * <p>It waits for room on the link as well. Guards against an owner with a narrow link whose
-     * starts fill it: they and its looks time out, all are sent again, workers fall silent and what
-     * runs there is taken as lapsed and started a second time.
+     * <p>Without the limit, starts fill the narrow link of an owner: orders and polls time out,
+     * workers count as silent, and their runs are treated as lapsed and started again.
      */
     private void start(Decisions.Start start) {
         TaskRun run = start.run();
         long now = mParts.clock().nowMs();
         String text = run.slot().step().job().order().text();
-        int bytes = Math.min(START_BYTES + text.length(), LARGEST_START_BYTES);
-        if (!mOwner.givesFullLeases() || !mStartBudget.take(bytes, now)) {
+        int bytes = Math.min(START_OVERHEAD_BYTES + text.length(), MAX_START_BYTES);
+        if (!mOwner.canGrantFullLease() || !mStartBudget.take(bytes, now)) {
             mOwner.scheduler().startDelayed(run);
             return;
         }
         WorkerState worker = run.worker();
         StartOrder order =
                 new StartOrder(
-                        order(run),
+                        runOrder(run),
                         text,
                         run.slot().checkpoint(),
                         start.ticket(),
                         worker.renew(now, mOwner.workerLeaseMs()));
         mParts.metrics().counter("starts").inc();
-        mParts.platform().orders().start(worker.address(), order, a -> started(run, a, now));
+        mParts.platform()
+                .orders()
+                .start(worker.address(), order, a -> handleStartAnswer(run, a, now));
     }
 
-    private void started(TaskRun run, OrderAnswer answer, long sentMs) {
-        if (mOwner.isOver()) {
+    private void handleStartAnswer(TaskRun run, OrderAnswer answer, long sentMs) {
+        if (mOwner.hasEnded()) {
             return;
         }
         long now = mParts.clock().nowMs();
@@ -118,23 +126,26 @@
                 .with("outcome", answer.outcome())
                 .with("tookMs", now - sentMs)
                 .write();
-        if (isHandled(run.worker(), answer)) {
+        if (handleTerminalAnswer(run.worker(), answer)) {
             return;
         }
         mOwner.scheduler().startAnswered(run, answer.outcome(), now);
         if (answer.outcome() != OrderOutcome.DONE) {
-            mOwner.decisionDue();
+            mOwner.scheduleDecision();
         }
     }
 
-    /** Whether the answer ends the owner's time or the worker's life. */
-    private boolean isHandled(WorkerState worker, OrderAnswer answer) {
+    /**
+     * Handles an answer that ends the owner's work or the worker's incarnation; returns whether it
+     * did.
+     */
+    private boolean handleTerminalAnswer(WorkerState worker, OrderAnswer answer) {
         if (answer.outcome() == OrderOutcome.FENCED) {
-            mOwner.fenced(worker.id());
+            mOwner.handleFenced(worker.id());
             return true;
         }
         if (answer.outcome() == OrderOutcome.OTHER_LIFE) {
-            mOwner.workerOver(worker, "another life answers");
+            mOwner.handleWorkerEnded(worker, "another incarnation answered");
             return true;
         }
         return false;
@@ -146,9 +157,9 @@
                 .orders()
                 .stop(
                         run.worker().address(),
-                        order(run),
+                        runOrder(run),
                         a -> {
-                            if (mOwner.isOver()) {
+                            if (mOwner.hasEnded()) {
                                 return;
                             }
                             mParts.log()
@@ -159,7 +170,7 @@
                                     .with("why", run.reason())
                                     .with("outcome", a.outcome())
                                     .write();
-                            if (!isHandled(run.worker(), a)) {
+                            if (!handleTerminalAnswer(run.worker(), a)) {
                                 long now = mParts.clock().nowMs();
                                 mOwner.scheduler().stopAnswered(run, a.outcome(), now);
                             }
@@ -178,9 +189,9 @@
                 .orders()
                 .pace(
                         run.worker().address(),
-                        order(run),
+                        runOrder(run),
                         pace.percent(),
-                        a -> isHandled(run.worker(), a));
+                        a -> handleTerminalAnswer(run.worker(), a));
     }
 
     private void ask(Decisions.Ask ask) {
@@ -203,11 +214,11 @@
                                     .write();
                             long now = mParts.clock().nowMs();
                             mOwner.scheduler().advised(ask, a, now);
-                            mOwner.decisionDue();
+                            mOwner.scheduleDecision();
                         });
     }
 
-    private RunOrder order(TaskRun run) {
+    private RunOrder runOrder(TaskRun run) {
         return new RunOrder(run.slot().name(), run.attempt(), mToken);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
@@ -10,69 +10,71 @@
 import org.foxtailplank.lease.Moment;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.journal.StoreOutcome;
-import org.foxtailplank.node.owner.JournalBatch.Item;
+import org.foxtailplank.node.owner.JournalBatch.PendingRecord;
 import org.foxtailplank.port.LogPartition;
 
 /**
  * Writes the owner's records to the journal.
  *
- * <p>Guards against an owner that was paused and goes on writing after another one has taken over:
- * the new owner would not know of a start or an acknowledged end that comes after it has read the
- * journal. A new owner raises the epoch of the owners' writer to its token, in all partitions,
- * before it reads; from then on the store itself refuses what an earlier owner writes.
+ * <p>A paused owner that resumes after a takeover must not write anything: its successor, which has
+ * already read the journal, would miss a start or an acknowledged end. A new owner therefore raises
+ * the epoch of the owners' writer to its token in all partitions before it reads; the store then
+ * rejects appends of earlier owners.
  *
- * <p>Answers a store that loses single partitions: records go to a spare one while the first takes
- * nothing. What may be stored in one is written to another as well: records are facts, and one that
- * stands in two changes nothing.
+ * <p>If a partition fails, records go to another one. A record that may be stored in one partition
+ * is written to another as well; records are idempotent facts, so duplicates are harmless.
  *
- * <p>The owner's own records wait for as long as the store is away. Records that other nodes have
- * handed over do not: callers wait for them, and are told at once that the store takes nothing.
+ * <p>The owner's own records wait until the store is available. Records handed over by other nodes
+ * have callers waiting and fail at once when all partitions reject appends.
  */
 final class OwnerJournal {
-    /** Pause before records that the store refused are sent again, in milliseconds. */
-    private static final long RETRY_MS = 100;
+    /** Delay before rejected records are sent again, in milliseconds. */
+    private static final long RETRY_DELAY_MS = 100;
 
     private final OwnerParts mParts;
-    private final Runnable mFenced;
-    private final Deque<Item> mQueue = new ArrayDeque<>();
+    private final Runnable mOnFenced;
+    private final Deque<PendingRecord> mQueue = new ArrayDeque<>();
     private final List<PartitionWriter> mWriters = new ArrayList<>();
 
-    private long mStoredMs;
-    private boolean mPausing;
-    private boolean mOver;
-    private Consumer<Moment> mWhenStored = sent -> {};
+    private long mLastStoredMs;
+    private boolean mPaused;
+    private boolean mClosed;
+    private Consumer<Moment> mStoredListener = sent -> {};
 
-    OwnerJournal(OwnerParts parts, long token, Runnable fenced) {
+    OwnerJournal(OwnerParts parts, long token, Runnable onFenced) {
         mParts = parts;
-        mFenced = fenced;
-        mStoredMs = parts.clock().nowMs();
-        Events events = new Events();
+        mOnFenced = onFenced;
+        mLastStoredMs = parts.clock().nowMs();
+        WriterListener listener = new WriterListener();
         for (LogPartition p : parts.settings().journal().partitions()) {
-            mWriters.add(new PartitionWriter(parts, p, token, events));
+            mWriters.add(new PartitionWriter(parts, p, token, listener));
         }
     }
 
     /**
-     * Tells of each append that is stored under this owner's epoch when it was first sent. The
-     * store may answer a repeated append with the answer of its first sending, so that a later
-     * sending proves nothing.
+     * Sets the listener for each append stored under this owner's epoch, which receives the time of
+     * its first send. The store may answer a repeated append with the result of the first one, so a
+     * later send proves nothing.
      */
-    void whenStored(Consumer<Moment> listener) {
-        mWhenStored = listener;
+    void setStoredListener(Consumer<Moment> listener) {
+        mStoredListener = listener;
     }
 
-    /** Keeps all earlier owners from writing, then goes on. */
+    /**
+     * Raises the epoch in all partitions, so that earlier owners can't write, then runs {@code
+     * then}.
+     */
     void raiseEpoch(Runnable then) {
-        mWriters.forEach(w -> w.raiseEpoch(() -> raisedOne(then)));
+        mWriters.forEach(w -> w.raiseEpoch(() -> runIfEpochRaisedEverywhere(then)));
     }
 
-    private void raisedOne(Runnable then) {
-        if (mWriters.stream().allMatch(PartitionWriter::isRaised)) {
+    private void runIfEpochRaisedEverywhere(Runnable then) {
+        if (mWriters.stream().allMatch(PartitionWriter::isEpochRaised)) {
             then.run();
         }
     }
 
-    /** Stores a record of the owner's own, however long it takes. */
+    /** Stores a record of the owner itself, retrying until it succeeds or the journal is closed. */
     void store(JournalRecord record, Runnable stored) {
         Consumer<StoreOutcome> then =
                 o -> {
@@ -80,62 +82,66 @@
                         stored.run();
                     }
                 };
-        add(new Item(JournalCodec.encode(record), false, then));
+        enqueue(new PendingRecord(JournalCodec.encode(record), false, then));
     }
 
-    /** Stores a record of another node's, or says soon that it can't. */
+    /** Stores a record handed over by another node; fails fast if all partitions reject it. */
     void storeHandedOver(byte[] record, Consumer<StoreOutcome> then) {
-        add(new Item(record, true, then));
+        enqueue(new PendingRecord(record, true, then));
     }
 
-    private void add(Item item) {
-        if (mOver) {
-            item.tell(StoreOutcome.NOT_STORED);
+    private void enqueue(PendingRecord record) {
+        if (mClosed) {
+            record.complete(StoreOutcome.NOT_STORED);
             return;
         }
-        mQueue.add(item);
-        pump();
+        mQueue.add(record);
+        sendPending();
     }
 
-    /** Writes nothing more; of what was sent nobody knows whether it is stored. */
-    void end() {
-        mOver = true;
-        List<Item> sent = new ArrayList<>();
-        mWriters.forEach(w -> sent.addAll(w.end()));
-        List<Item> waiting = List.copyOf(mQueue);
+    /**
+     * Stops writing. Records in flight get {@link StoreOutcome#UNKNOWN}, unsent ones {@link
+     * StoreOutcome#NOT_STORED}.
+     */
+    void close() {
+        mClosed = true;
+        List<PendingRecord> sent = new ArrayList<>();
+        mWriters.forEach(w -> sent.addAll(w.close()));
+        List<PendingRecord> waiting = List.copyOf(mQueue);
         mQueue.clear();
-        sent.forEach(i -> i.tell(StoreOutcome.UNKNOWN));
-        waiting.forEach(i -> i.tell(StoreOutcome.NOT_STORED));
+        sent.forEach(r -> r.complete(StoreOutcome.UNKNOWN));
+        waiting.forEach(r -> r.complete(StoreOutcome.NOT_STORED));
     }
 
-    /** Stores a last record, then runs {@code stored}; nothing is repeated after it. */
-    void leave(JournalRecord record, Runnable stored) {
+    /** Stores a last record, then closes the journal and runs {@code stored}. */
+    void storeLast(JournalRecord record, Runnable stored) {
         store(
                 record,
                 () -> {
-                    end();
+                    close();
                     stored.run();
                 });
     }
 
-    /** How long ago the store last took a record. */
+    /** Time since the store last accepted a record, in milliseconds. */
     long storedMsAgo() {
-        return mParts.clock().nowMs() - mStoredMs;
+        return mParts.clock().nowMs() - mLastStoredMs;
     }
 
-    /** Whether records wait that the store has not taken. */
-    boolean isBehind() {
+    /** Whether records are waiting to be sent. */
+    boolean hasPendingRecords() {
         return !mQueue.isEmpty();
     }
 
     /**
-     * Who takes the next records: the first writer that does not fail, also if it must be waited
-     * for; where all fail, any that is free.
+     * Selects the writer for the next records: the first that is not failing, even if it must be
+     * waited for, or any idle one if all are failing.
      */
-    private Optional<PartitionWriter> next() {
-        Optional<PartitionWriter> sound = mWriters.stream().filter(w -> !w.isFailing()).findFirst();
-        return sound.isPresent()
-                ? sound.filter(PartitionWriter::isIdle)
+    private Optional<PartitionWriter> selectWriter() {
+        Optional<PartitionWriter> healthy =
+                mWriters.stream().filter(w -> !w.isFailing()).findFirst();
+        return healthy.isPresent()
+                ? healthy.filter(PartitionWriter::isIdle)
                 : mWriters.stream().filter(PartitionWriter::isIdle).findFirst();
     }
 
@@ -143,83 +149,84 @@
         return mWriters.stream().allMatch(PartitionWriter::isFailing);
     }
 
-    private void pump() {
-        mQueue.removeIf(Item::isTold);
-        if (mOver || mPausing || mQueue.isEmpty()) {
+    private void sendPending() {
+        mQueue.removeIf(PendingRecord::isCompleted);
+        if (mClosed || mPaused || mQueue.isEmpty()) {
             return;
         }
-        Optional<PartitionWriter> writer = next();
+        Optional<PartitionWriter> writer = selectWriter();
         if (writer.isPresent()) {
-            List<Item> items = List.copyOf(mQueue);
+            List<PendingRecord> records = List.copyOf(mQueue);
             mQueue.clear();
-            writer.get().send(items);
+            writer.get().send(records);
         }
     }
 
-    private final class Events implements PartitionWriter.Events {
+    private final class WriterListener implements PartitionWriter.Listener {
         @Override
-        public void stored(List<Item> items, Moment firstSent) {
-            mStoredMs = mParts.clock().nowMs();
-            mWhenStored.accept(firstSent);
-            items.forEach(i -> i.tell(StoreOutcome.STORED));
-            pump();
+        public void stored(List<PendingRecord> records, Moment firstSent) {
+            mLastStoredMs = mParts.clock().nowMs();
+            mStoredListener.accept(firstSent);
+            records.forEach(r -> r.complete(StoreOutcome.STORED));
+            sendPending();
         }
 
         @Override
-        public void refused(List<Item> items) {
-            takeBack(items);
+        public void rejected(List<PendingRecord> records) {
+            requeue(records);
             if (areAllFailing()) {
-                refuseHandedOver();
+                rejectHandedOver();
                 pause();
             }
-            pump();
+            sendPending();
         }
 
         @Override
-        public void doubtful(List<Item> items) {
+        public void outcomeUnknown(List<PendingRecord> records) {
             if (!areAllFailing()) {
-                takeBack(items);
-                pump();
+                requeue(records);
+                sendPending();
             }
         }
 
         @Override
         public void fenced() {
-            end();
-            mFenced.run();
+            close();
+            mOnFenced.run();
         }
     }
 
-    /** Queues records again, in their order and before later ones, that nobody was told of. */
-    private void takeBack(List<Item> items) {
-        for (int i = items.size() - 1; i >= 0; i--) {
-            Item item = items.get(i);
-            if (!item.isTold() && !mQueue.contains(item)) {
-                mQueue.addFirst(item);
+    /** Puts records that are not completed back at the head of the queue, in order. */
+    private void requeue(List<PendingRecord> records) {
+        for (int i = records.size() - 1; i >= 0; i--) {
+            PendingRecord record = records.get(i);
+            if (!record.isCompleted() && !mQueue.contains(record)) {
+                mQueue.addFirst(record);
             }
         }
     }
 
     /**
-     * All partitions refuse: records of other nodes' callers are given back, unless they may be
-     * stored already. An answer that is only late says nothing: the nodes would all append by
-     * themselves, and make a slow store slower.
+     * Rejects handed-over records when all partitions refuse, unless they may already be stored. A
+     * late answer is no reason to reject: every node would then append on its own and slow the
+     * store down further.
      */
-    private void refuseHandedOver() {
-        List<Item> refused = mQueue.stream().filter(i -> i.isHandedOver() && !i.isSent()).toList();
-        mQueue.removeAll(refused);
-        refused.forEach(i -> i.tell(StoreOutcome.NOT_STORED));
+    private void rejectHandedOver() {
+        List<PendingRecord> rejected =
+                mQueue.stream().filter(r -> r.isHandedOver() && !r.isInAppend()).toList();
+        mQueue.removeAll(rejected);
+        rejected.forEach(r -> r.complete(StoreOutcome.NOT_STORED));
     }
 
-    /** Waits a moment before the store is asked again that has just refused. */
+    /** Delays the next append after all partitions refused. */
     private void pause() {
-        mPausing = true;
+        mPaused = true;
         mParts.timers()
                 .after(
-                        RETRY_MS,
+                        RETRY_DELAY_MS,
                         () -> {
-                            mPausing = false;
-                            pump();
+                            mPaused = false;
+                            sendPending();
                         });
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
@@ -6,52 +6,52 @@
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.port.VmActions.CallPermit;
 
-/** For how long an owner may call the VM service and renew leases, kept up to date. */
+/** Limits how long an owner may call the VM service and renew worker leases. */
 final class OwnerLease implements CallPermit {
     private final Clock mClock;
-    private CallLease mLease;
-    private RenewalWindow mWindow = RenewalWindow.closed();
+    private CallLease mCallLease;
+    private RenewalWindow mRenewalWindow = RenewalWindow.closed();
     private long mTookOverMs;
 
     /**
-     * The lease of an owner that has just taken its place.
+     * Creates the lease of a new owner.
      *
-     * @param checked whether the VM service refuses lower tokens itself
+     * @param vmTokensChecked whether the VM service itself rejects lower tokens
      */
-    OwnerLease(Clock clock, boolean checked) {
+    OwnerLease(Clock clock, boolean vmTokensChecked) {
         mClock = clock;
-        mLease = CallLease.of(checked);
+        mCallLease = CallLease.of(vmTokensChecked);
     }
 
-    /** An append of this owner's is stored that was first sent then. */
-    void proved(Moment sent) {
-        mLease = mLease.proved(sent);
-        mWindow = mWindow.proved(sent);
+    /** Extends the lease: an append first sent at this time was stored under this owner's epoch. */
+    void appendStored(Moment sent) {
+        mCallLease = mCallLease.proved(sent);
+        mRenewalWindow = mRenewalWindow.proved(sent);
     }
 
-    /** Earlier owners can store nothing more. */
-    void tookOver(boolean predecessorOver) {
+    /** Called once earlier owners can no longer store records. */
+    void epochRaised(boolean predecessorCallsFinished) {
         mTookOverMs = mClock.nowMs();
-        mLease = mLease.tookOver(mTookOverMs, predecessorOver);
+        mCallLease = mCallLease.tookOver(mTookOverMs, predecessorCallsFinished);
     }
 
-    /** How long ago it took over, in milliseconds. */
+    /** Time since the takeover, in milliseconds. */
     long ownedMs() {
         return mClock.nowMs() - mTookOverMs;
     }
 
-    /** Whether no earlier owner's call can be under way any more. */
-    boolean isOpen() {
-        return mLease.isOpen(mClock.nowMs());
+    /** Whether no earlier owner can have a VM call in flight. */
+    boolean arePredecessorCallsFinished() {
+        return mCallLease.isOpen(mClock.nowMs());
     }
 
-    /** Length of a worker's lease that is given now, in milliseconds; 0 for none. */
-    long workerLeaseMs(long longestMs) {
-        return mWindow.leaseMs(mClock.moment(), longestMs);
+    /** Length of a worker lease that may be granted now, in milliseconds; 0 for none. */
+    long workerLeaseMs(long maxMs) {
+        return mRenewalWindow.leaseMs(mClock.moment(), maxMs);
     }
 
     @Override
     public long leftMs() {
-        return mLease.leftMs(mClock.moment());
+        return mCallLease.leftMs(mClock.moment());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerParts.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerParts.java
@@ -15,7 +15,7 @@
 import org.foxtailplank.port.WorkerInfo;
 import org.foxtailplank.port.WorkerOrders;
 
-/** What an owner works with. */
+/** Dependencies of an owner. */
 public record OwnerParts(
         NodeSettings settings,
         Clock clock,
@@ -27,7 +27,7 @@
         SharedLog sharedLog,
         Platform platform) {
 
-    /** The ports that only an owner needs. */
+    /** Platform ports that only an owner uses. */
     public record Platform(
             Feed<WorkerInfo> directory,
             WorkerOrders orders,
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerRecord.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerRecord.java
@@ -4,28 +4,29 @@
 import java.util.Optional;
 
 /**
- * A record that takes ownership; its offset in the partition of owners is the fencing token.
+ * A record that takes ownership; its offset in the owners partition determines the fencing token.
  *
- * @param node the node
- * @param address where its stream is, as {@code ip:port}
- * @param life the life of its process, so that it knows its own record from one of an earlier life
+ * @param node the node's name
+ * @param address address of its stream, as {@code ip:port}
+ * @param incarnation random id of the process, which distinguishes its record from one of an
+ *     earlier process
  */
-record OwnerRecord(String node, String address, String life) {
+record OwnerRecord(String node, String address, String incarnation) {
     byte[] encode() {
-        return String.join(" ", node, address, life).getBytes(StandardCharsets.UTF_8);
+        return String.join(" ", node, address, incarnation).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The record in these bytes; a node's name may hold spaces, the other fields don't. */
+    /** Decodes a record. Only the node's name may contain spaces. */
     static Optional<OwnerRecord> decode(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
-        int life = text.lastIndexOf(' ');
-        int address = text.lastIndexOf(' ', life - 1);
-        return address < 0
+        int incarnationAt = text.lastIndexOf(' ');
+        int addressAt = text.lastIndexOf(' ', incarnationAt - 1);
+        return addressAt < 0
                 ? Optional.empty()
                 : Optional.of(
                         new OwnerRecord(
-                                text.substring(0, address),
-                                text.substring(address + 1, life),
-                                text.substring(life + 1)));
+                                text.substring(0, addressAt),
+                                text.substring(addressAt + 1, incarnationAt),
+                                text.substring(incarnationAt + 1)));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerWork.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerWork.java
@@ -26,87 +26,92 @@
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
 
-/** The work of the owner of all jobs, from its take-over until it is fenced or stops. */
+/** Work of the owner of all jobs, from its takeover until it is fenced or stops. */
 public final class OwnerWork implements OwnedJournal {
-    /** How often time alone is looked at, in milliseconds. */
-    private static final long TICK_MS = 40;
+    /** How often to decide when no event occurs, in milliseconds. */
+    private static final long TICK_INTERVAL_MS = 40;
 
-    /** Events within this time are decided on together, in milliseconds. */
-    private static final long GATHER_MS = 4;
+    /** Delay that collects events into one decision, in milliseconds. */
+    private static final long DECISION_DELAY_MS = 4;
 
-    /** How often the owner shows in the journal that it is alive, in milliseconds. */
-    private static final long ALIVE_MS = 400;
+    /** How often the owner writes a heartbeat to the journal, in milliseconds. */
+    private static final long HEARTBEAT_INTERVAL_MS = 400;
 
-    /** Pause before a read of the take-over is repeated, in milliseconds. */
-    private static final long RETRY_MS = 150;
+    /** Delay before a failed journal read of the takeover is retried, in milliseconds. */
+    private static final long READ_RETRY_DELAY_MS = 150;
 
     private final OwnerParts mParts;
     private final Clock mClock;
     private final long mToken;
-    private final TakeOver mTaken;
+    private final TakeOver mTakeover;
     private final OwnerLease mLease;
-    private final Runnable mFenced;
+    private final Runnable mOnFenced;
     private final Scheduler mScheduler;
     private final OwnerJournal mJournal;
     private final OrderSender mSender;
-    private final VmWork mVms;
-    private final WorkerDirectory mDirectory;
+    private final VmCoordinator mVmCoordinator;
+    private final WorkerDirectoryFollower mDirectory;
 
-    private Optional<List<VmInfo>> mFirstVms = Optional.empty();
+    private Optional<List<VmInfo>> mInitialVms = Optional.empty();
     private boolean mJournalRead;
     private boolean mLoaded;
-    private boolean mOver;
-    private boolean mDecisionDue;
-    private boolean mMayRenew = true;
+    private boolean mEnded;
+    private boolean mDecisionScheduled;
+    private boolean mRenewalsAllowed = true;
 
-    /** A new owner; {@code fenced} runs when a later owner has taken over. */
-    public OwnerWork(OwnerParts parts, TakeOver taken, Runnable fenced) {
+    /** Creates a new owner; {@code onFenced} runs when a later owner has taken over. */
+    public OwnerWork(OwnerParts parts, TakeOver takeover, Runnable onFenced) {
         mParts = parts;
         mClock = parts.clock();
-        mToken = taken.token();
-        mTaken = taken;
-        mFenced = fenced;
+        mToken = takeover.token();
+        mTakeover = takeover;
+        mOnFenced = onFenced;
         mLease = new OwnerLease(mClock, parts.settings().vmTokensChecked());
         mScheduler = new Scheduler(parts.settings().schedule());
-        mJournal = new OwnerJournal(parts, mToken, () -> fenced("the journal"));
+        mJournal = new OwnerJournal(parts, mToken, () -> handleFenced("the journal"));
         mSender = new OrderSender(this, parts, mToken);
-        mDirectory = new WorkerDirectory(this, parts, mToken);
-        mVms = new VmWork(this, parts, new Holder(parts.settings().name(), mToken, mLease));
+        mDirectory = new WorkerDirectoryFollower(this, parts, mToken);
+        mVmCoordinator =
+                new VmCoordinator(this, parts, new Holder(parts.settings().name(), mToken, mLease));
     }
 
     /**
-     * Takes over: reads the journal, the directory and the list of VMs side by side, then looks at
-     * every worker. The first sign of life is written before the reads: with a slow store they take
-     * longer than other nodes are patient, and one owner after the other would be replaced before
-     * its first order.
+     * Takes over: reads the journal, the worker directory and the VM list concurrently, then polls
+     * every worker.
+     *
+     * <p>The first heartbeat is written before the reads, which on a slow store take longer than
+     * other nodes' timeouts; otherwise owners would replace each other before the first order.
      */
     public void start() {
         mParts.log()
                 .line("owner-start")
                 .with("token", mToken)
-                .with("predecessorOver", mTaken.predecessorOver())
-                .with("renewalsOver", mTaken.renewalsOver())
+                .with("predecessorOver", mTakeover.predecessorCallsFinished())
+                .with("renewalsOver", mTakeover.renewalsFinished())
                 .write();
         mParts.reader().eager(true);
-        mJournal.whenStored(mLease::proved);
+        mJournal.setStoredListener(mLease::appendStored);
         mJournal.raiseEpoch(
                 () -> {
-                    mLease.tookOver(mTaken.predecessorOver());
-                    sayAlive();
+                    mLease.epochRaised(mTakeover.predecessorCallsFinished());
+                    writeHeartbeat();
                     readJournal();
                     listVms();
                 });
-        mDirectory.read(this::takeOverIfRead);
+        mDirectory.readInitial(this::takeOverIfReady);
     }
 
-    /** Listed only once the earlier owner can't write down starts on newer lives any more. */
+    /**
+     * Called after the epoch is raised, so that an earlier owner can't record starts on workers
+     * that are missing from the list.
+     */
     private void listVms() {
         mParts.platform()
                 .vms()
                 .list(
                         vms -> {
-                            mFirstVms = Optional.of(vms.orElse(List.of()));
-                            takeOverIfRead();
+                            mInitialVms = Optional.of(vms.orElse(List.of()));
+                            takeOverIfReady();
                         });
     }
 
@@ -116,31 +121,31 @@
                         read -> {
                             mJournalRead = read;
                             if (read) {
-                                takeOverIfRead();
-                            } else if (!mOver) {
-                                mParts.timers().after(RETRY_MS, this::readJournal);
+                                takeOverIfReady();
+                            } else if (!mEnded) {
+                                mParts.timers().after(READ_RETRY_DELAY_MS, this::readJournal);
                             }
                         });
     }
 
-    private void takeOverIfRead() {
-        boolean read = mJournalRead && mDirectory.isRead() && mFirstVms.isPresent();
-        if (read && !mLoaded && !mOver) {
-            takeOver(mFirstVms.get());
+    private void takeOverIfReady() {
+        boolean ready = mJournalRead && mDirectory.isInitialRead() && mInitialVms.isPresent();
+        if (ready && !mLoaded && !mEnded) {
+            takeOver(mInitialVms.get());
         }
     }
 
     private void takeOver(List<VmInfo> vms) {
         mLoaded = true;
-        mDirectory.takeFirst();
-        // Without the whole list of VMs a worker that is not in the directory may still run tasks.
+        mDirectory.applyInitial();
+        // Without a complete VM list a worker that is not in the directory may still run tasks.
         ListedLives lives = new ListedLives(vms);
         long now = mClock.nowMs();
-        if (!mTaken.renewalsOver()) {
+        if (!mTakeover.renewalsFinished()) {
             mScheduler.renewedByOthersUntil(now + RenewalWindow.WAIT_MS);
         }
         for (JobEntry job : mParts.reader().book().jobs()) {
-            mScheduler.inherit(job, w -> isOver(w, lives), now);
+            mScheduler.inherit(job, w -> hasIncarnationEnded(w, lives), now);
         }
         mParts.log()
                 .line("owner-loaded")
@@ -152,95 +157,95 @@
                 .with("journal", mParts.reader().position())
                 .write();
         mDirectory.follow();
-        new LoadLog(this, mParts).start();
-        mVms.start();
+        new LoadLogger(this, mParts).start();
+        mVmCoordinator.start();
         new Restating(this, mParts).start();
         tick();
     }
 
     /**
-     * Whether a life is surely over as this owner takes over. One that the directory names may have
-     * joined a moment ago, before its VM is listed with it: it is left to later lists.
+     * Whether a worker's incarnation has certainly ended at the takeover. One that is in the
+     * directory may have joined before its VM is listed with it, so it is left to later lists.
      */
-    private boolean isOver(String worker, ListedLives lives) {
-        boolean named = mScheduler.worker(worker).map(WorkerState::isListed).orElse(false);
-        return !named && lives.isOver(worker);
+    private boolean hasIncarnationEnded(String worker, ListedLives lives) {
+        boolean listed = mScheduler.worker(worker).map(WorkerState::isListed).orElse(false);
+        return !listed && lives.isOver(worker);
     }
 
-    /** Whether it owns and knows all that the journal told at its take-over. */
+    /** Whether this is still the owner and has applied the journal as of its takeover. */
     public boolean isLoaded() {
-        return mLoaded && !mOver;
+        return mLoaded && !mEnded;
     }
 
     Scheduler scheduler() {
         return mScheduler;
     }
 
-    boolean isOver() {
-        return mOver;
+    boolean hasEnded() {
+        return mEnded;
     }
 
-    /** Whether a lease that is given now has its whole length. */
-    boolean givesFullLeases() {
+    /** Whether a lease granted now would have its full length. */
+    boolean canGrantFullLease() {
         return workerLeaseMs() == mParts.settings().schedule().leaseMs();
     }
 
-    /** Length of a worker's lease that this owner may give now, in milliseconds; 0 for none. */
+    /** Length of a worker lease that this owner may grant now, in milliseconds; 0 for none. */
     long workerLeaseMs() {
-        long left = mLease.workerLeaseMs(mParts.settings().schedule().leaseMs());
-        boolean may = left > 0;
-        if (may != mMayRenew) {
-            mMayRenew = may;
-            mParts.log().line("renewals").with("token", mToken).with("open", may).write();
+        long leaseMs = mLease.workerLeaseMs(mParts.settings().schedule().leaseMs());
+        boolean allowed = leaseMs > 0;
+        if (allowed != mRenewalsAllowed) {
+            mRenewalsAllowed = allowed;
+            mParts.log().line("renewals").with("token", mToken).with("open", allowed).write();
         }
-        return left;
+        return leaseMs;
     }
 
-    /** Ends the looks at a worker whose life is over, and frees its tasks. */
-    void workerOver(WorkerState worker, String why) {
-        mDirectory.over(worker.id());
+    /** Stops polling a worker whose incarnation has ended, and releases its tasks. */
+    void handleWorkerEnded(WorkerState worker, String reason) {
+        mDirectory.stopPolling(worker.id());
         List<TaskRun> ended = mScheduler.workerOver(worker.id());
         mParts.log()
                 .line("worker-over")
                 .with("worker", worker.id())
-                .with("why", why)
+                .with("why", reason)
                 .with("runs", ended.size())
                 .write();
-        decisionDue();
+        scheduleDecision();
     }
 
     /**
-     * A worker was dropped. Its looks end in the same step: if one under way were answered later,
-     * they would go on, renew its lease, and adopt runs whose stops nobody sends.
+     * Stops polling a dropped worker in the same step. A poll still in flight would continue the
+     * polling, renew the lease, and adopt runs to which no stop is ever sent.
      */
-    private void forget(WorkerState worker) {
-        mDirectory.over(worker.id());
+    private void handleWorkerDropped(WorkerState worker) {
+        mDirectory.stopPolling(worker.id());
         mParts.log().line("worker-forgotten").with("worker", worker.id()).write();
     }
 
-    /** A worker has refused this owner: a later one gives orders. */
-    void fenced(String worker) {
-        if (mOver) {
+    /** Ends this owner's work: a worker or VM call was rejected because a later owner exists. */
+    void handleFenced(String rejectedBy) {
+        if (mEnded) {
             return;
         }
-        mParts.log().line("owner-fenced").with("token", mToken).with("by", worker).write();
+        mParts.log().line("owner-fenced").with("token", mToken).with("by", rejectedBy).write();
         end();
-        mJournal.end();
-        mFenced.run();
+        mJournal.close();
+        mOnFenced.run();
     }
 
-    /** Whether it gives no more orders, and none to the VM service is under way. */
+    /** Whether this owner has ended and has no call to the VM service in flight. */
     public boolean areCallsOver() {
-        return mOver && !mVms.isCalling();
+        return mEnded && !mVmCoordinator.hasCallsInFlight();
     }
 
-    /** Stops giving orders. */
+    /** Stops deciding and sending orders. */
     public void end() {
-        mOver = true;
+        mEnded = true;
         mParts.reader().eager(false);
     }
 
-    /** Stores a record that another node has handed over. */
+    /** Stores a record handed over by another node. */
     public void handedOver(byte[] record, Consumer<StoreOutcome> then) {
         mJournal.storeHandedOver(record, then);
     }
@@ -260,18 +265,19 @@
         return mJournal.storedMsAgo();
     }
 
-    /** Gives the place up for another node; {@code left} runs when the journal says so. */
+    /** Steps down; {@code left} runs when the journal has the owner's last record. */
     public void leave(Runnable left) {
         end();
         String node = mParts.settings().name();
         mParts.log().line("owner-leaves").with("token", mToken).write();
-        boolean callsOver = mLease.isOpen() && !mVms.isCalling();
-        mJournal.leave(new OwnerLeft(mToken, node, callsOver), left);
+        boolean callsFinished =
+                mLease.arePredecessorCallsFinished() && !mVmCoordinator.hasCallsInFlight();
+        mJournal.storeLast(new OwnerLeft(mToken, node, callsFinished), left);
     }
 
-    /** The journal tells of something. */
+    /** Applies a record read from the journal. */
     public void recorded(JournalRecord record, Optional<JobEntry> job) {
-        if (!mLoaded || mOver) {
+        if (!mLoaded || mEnded) {
             return;
         }
         long now = mClock.nowMs();
@@ -283,44 +289,43 @@
                 mScheduler.recorded(r.task(), r.outcome(), now);
             }
         }
-        decisionDue();
+        scheduleDecision();
     }
 
-    /** The journal as this owner writes it. */
     OwnerJournal journal() {
         return mJournal;
     }
 
-    /** Something happened that may change what to do. */
-    void decisionDue() {
-        if (!mDecisionDue && mLoaded && !mOver) {
-            mDecisionDue = true;
-            mParts.timers().after(GATHER_MS, this::decide);
+    /** Schedules a decision after an event that may change it. */
+    void scheduleDecision() {
+        if (!mDecisionScheduled && mLoaded && !mEnded) {
+            mDecisionScheduled = true;
+            mParts.timers().after(DECISION_DELAY_MS, this::decide);
         }
     }
 
     private void tick() {
-        if (mOver) {
+        if (mEnded) {
             return;
         }
-        mParts.timers().after(TICK_MS, this::tick);
-        if (Reach.isCutOff(mScheduler.workers(), mVms.answeredMs(), mClock.nowMs())) {
+        mParts.timers().after(TICK_INTERVAL_MS, this::tick);
+        if (Reach.isCutOff(mScheduler.workers(), mVmCoordinator.lastAnswerMs(), mClock.nowMs())) {
             mParts.log().line("owner-cut-off").with("token", mToken).write();
             leave(() -> {});
-            mFenced.run();
+            mOnFenced.run();
             return;
         }
-        decisionDue();
+        scheduleDecision();
     }
 
-    /** Decides without waiting for further events. */
+    /** Decides at once instead of collecting further events. */
     void decideNow() {
         decide();
     }
 
     private void decide() {
-        mDecisionDue = false;
-        if (mOver) {
+        mDecisionScheduled = false;
+        if (mEnded) {
             return;
         }
         long now = mClock.nowMs();
@@ -335,7 +340,7 @@
                     .with("ownedMs", mLease.ownedMs())
                     .write();
         }
-        mScheduler.takeForgotten().forEach(this::forget);
+        mScheduler.takeForgotten().forEach(this::handleWorkerDropped);
         Optional<FleetConfig> config = mParts.operator().config();
         if (config.isPresent()) {
             Decisions decisions = mScheduler.decide(config.get(), now, mClock.wallMs());
@@ -347,12 +352,12 @@
         }
     }
 
-    private void sayAlive() {
-        if (mOver) {
+    private void writeHeartbeat() {
+        if (mEnded) {
             return;
         }
         String address = mParts.settings().peerAddress();
         mJournal.store(new OwnerAlive(mToken, address, mLease.ownedMs()), () -> {});
-        mParts.timers().after(ALIVE_MS, this::sayAlive);
+        mParts.timers().after(HEARTBEAT_INTERVAL_MS, this::writeHeartbeat);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Ownership.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/Ownership.java
@@ -28,368 +28,401 @@
 /**
  * Decides when this node tries to become the owner, and takes ownership by a conditional append.
  *
- * <p>An owner that falls silent in the journal is replaced. Time decides only when to try: who owns
- * is decided by the append, of which only one succeeds at an offset, and workers obey the highest
- * offset that they have seen.
+ * <p>An owner whose journal records stop arriving is replaced. Timeouts only decide when to try:
+ * the conditional append succeeds for exactly one node at an offset, and workers accept orders only
+ * with the highest token they have seen.
  */
 public final class Ownership {
-    /** How old a sign counts that was read at the start, in milliseconds: one interval of signs. */
-    private static final long PAST_MS = 400;
+    /** Assumed age of a record read at startup, in milliseconds: one heartbeat interval. */
+    private static final long STARTUP_RECORD_AGE_MS = 400;
 
-    /** Answers of the store that an owner is given on top of that: so many for a sign to arrive. */
-    private static final int STORE_ANSWERS = 4;
+    /**
+     * Added to the owner's timeout as a multiple of the store's current latency, so that a
+     * heartbeat can arrive through a slow store.
+     */
+    private static final int STORE_LATENCY_FACTOR = 4;
 
     /**
-     * How long a node that does not reach the VM service lets others go ahead, in milliseconds:
-     * time for the others to ask it and to append.
+     * How long a node that cannot reach the VM service yields to other nodes, in milliseconds:
+     * enough for them to list the VMs and append.
      */
-    private static final long YIELD_MS = 1200;
+    private static final long UNREACHABLE_YIELD_MS = 1200;
 
-    /** Spread of the tries of several nodes, in milliseconds: an append takes about 10. */
-    private static final long SPREAD_MS = 300;
+    /**
+     * Upper bound of the random delay between attempts of different nodes, in milliseconds; an
+     * append takes about 10.
+     */
+    private static final long MAX_JITTER_MS = 300;
 
-    /** How often to look whether the owner is silent, in milliseconds. */
-    private static final long CHECK_MS = 100;
+    /** How often to check whether the owner has timed out, in milliseconds. */
+    private static final long CHECK_INTERVAL_MS = 100;
 
-    /** Reads further apart than this tell nothing of the owner's silence, in milliseconds. */
-    private static final long READ_GAP_MS = 1500;
+    /**
+     * If two reads are further apart than this, in milliseconds, the time between them does not
+     * count against the owner.
+     */
+    private static final long MAX_READ_GAP_MS = 1500;
 
-    /** How often a node that still reads the journal looks for the owner, in milliseconds. */
-    private static final long LOOK_MS = 400;
+    /** How often a node that is still reading the journal looks up the owner, in milliseconds. */
+    private static final long LOOKUP_INTERVAL_MS = 400;
 
     private static final LogPartition OWNERS = new LogPartition("foxtail-owners", 0);
 
-    private final SharedLog mLog;
+    private final SharedLog mSharedLog;
     private final JournalReader mReader;
     private final Clock mClock;
     private final Timers mTimers;
-    private final NodeLog mOut;
+    private final NodeLog mNodeLog;
     private final OwnerRecord mSelf;
-    private final OwnerSigns mSigns;
-    private final VmActions mVms;
-    private final Consumer<TakeOver> mTaken;
+    private final OwnerSigns mOwnerStatus;
+    private final VmActions mVmService;
+    private final Consumer<TakeOver> mOnTakeover;
     private final long mYieldMs;
 
-    private long mSpreadMs;
-    private long mSignMs;
+    private long mJitterMs;
+    private long mLastActivityMs;
     private long mLastReadMs;
-    private long mToken;
-    private long mLookedTo;
+    private long mLatestToken;
+    private long mLookupOffset;
 
-    /** End of the owners' records behind one that no node has written; it makes nobody an owner. */
+    /**
+     * End of the owners partition after its last foreign record; such a record makes no node the
+     * owner.
+     */
     private long mForeignEnd;
 
-    private boolean mLeft;
-    private long mFreeSinceMs = Long.MAX_VALUE;
+    private boolean mOwnerLeft;
+    private long mReplaceableSinceMs = Long.MAX_VALUE;
     private Optional<OwnerLeft> mLastLeft = Optional.empty();
     private Optional<OwnerAlive> mLastAlive = Optional.empty();
-    private boolean mTrying;
-    private boolean mOwner;
+    private boolean mAttemptInProgress;
+    private boolean mIsOwner;
     private boolean mStopped;
 
-    /** Ownership for a node; {@code taken} is told when it becomes the owner. */
+    /** Creates the election for a node; {@code onTakeover} runs when the node becomes the owner. */
     public Ownership(
-            SharedLog log,
+            SharedLog sharedLog,
             JournalReader reader,
             Clock clock,
             Timers timers,
-            NodeLog out,
+            NodeLog nodeLog,
             String node,
             String address,
             LinkRate link,
-            OwnerSigns signs,
-            VmActions vms,
-            Consumer<TakeOver> taken) {
-        mLog = log;
+            OwnerSigns ownerStatus,
+            VmActions vmService,
+            Consumer<TakeOver> onTakeover) {
+        mSharedLog = sharedLog;
         mReader = reader;
         mClock = clock;
         mTimers = timers;
-        mOut = out;
-        String life = Long.toHexString(ThreadLocalRandom.current().nextLong());
-        mSelf = new OwnerRecord(node, address, life);
-        mSigns = signs;
-        mVms = vms;
-        mTaken = taken;
+        mNodeLog = nodeLog;
+        String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
+        mSelf = new OwnerRecord(node, address, incarnation);
+        mOwnerStatus = ownerStatus;
+        mVmService = vmService;
+        mOnTakeover = onTakeover;
         mYieldMs = link.yieldMs();
-        mSpreadMs = ThreadLocalRandom.current().nextLong(SPREAD_MS);
-        mSignMs = clock.nowMs() - OwnerState.SILENT.patienceMs();
+        mJitterMs = ThreadLocalRandom.current().nextLong(MAX_JITTER_MS);
+        mLastActivityMs = clock.nowMs() - OwnerState.SILENT.patienceMs();
     }
 
-    /** Begins to watch the owner. */
+    /** Starts monitoring the owner. */
     public void watch() {
-        mSigns.whenDoubtful(this::replaceIfDue);
-        mTimers.after(CHECK_MS, this::check);
-        lookForOwner();
+        mOwnerStatus.whenDoubtful(this::replaceIfDue);
+        mTimers.after(CHECK_INTERVAL_MS, this::check);
+        lookUpOwner();
     }
 
     /**
-     * Reads who took ownership last, until the journal was read to its end once. Guards against a
-     * node behind a narrow link that knows no owner for the seconds that the journal takes to
-     * arrive, since an owner's signs are at its end: it could neither hand records over nor ask the
-     * owner what callers want to know.
+     * Reads the last owner record until the journal has been read to its end once. A node with a
+     * narrow link needs seconds to read the journal, whose end holds the owner's heartbeats;
+     * without this lookup it could not forward records or queries to the owner until then.
      */
-    private void lookForOwner() {
+    private void lookUpOwner() {
         if (mReader.isCaughtUp() || mStopped) {
             return;
         }
-        mLog.read(OWNERS, mLookedTo, PageRequest.largest(0), this::lookedForOwner);
+        mSharedLog.read(OWNERS, mLookupOffset, PageRequest.largest(0), this::handleOwnersRead);
     }
 
-    private void lookedForOwner(SharedLog.ReadResult result) {
-        mTimers.after(LOOK_MS, this::lookForOwner);
+    private void handleOwnersRead(SharedLog.ReadResult result) {
+        mTimers.after(LOOKUP_INTERVAL_MS, this::lookUpOwner);
         if (result instanceof SharedLog.Records page && !page.records().isEmpty()) {
             int count = page.records().size();
-            mLookedTo = page.from() + count;
-            last(page.records().get(count - 1), mLookedTo);
+            mLookupOffset = page.from() + count;
+            applyOwnerRecord(page.records().get(count - 1), mLookupOffset);
         } else if (result instanceof SharedLog.RecordsGone gone) {
-            mLookedTo = gone.firstOffset();
+            mLookupOffset = gone.firstOffset();
         }
     }
 
-    /** A record of the journal was read. */
+    /** Applies a record read from the journal. */
     public void seen(JournalRecord record) {
-        if (record instanceof OwnerAlive alive && alive.token() >= mToken) {
-            alive(alive);
-        } else if (record instanceof OwnerLeft left && left.token() >= mToken) {
-            mToken = left.token();
-            mLeft = true;
+        if (record instanceof OwnerAlive heartbeat && heartbeat.token() >= mLatestToken) {
+            handleHeartbeat(heartbeat);
+        } else if (record instanceof OwnerLeft left && left.token() >= mLatestToken) {
+            mLatestToken = left.token();
+            mOwnerLeft = true;
             mLastLeft = Optional.of(left);
         } else if (record instanceof RunsStarted || record instanceof RunsEnded) {
-            sign();
+            recordActivity();
         }
     }
 
-    /** One with an address that is none is another writer's: it would hide the owner there is. */
-    private void alive(OwnerAlive alive) {
-        Optional<KnownOwner> owner = known(alive.token(), alive.address());
-        if (!mOwner && owner.isEmpty()) {
-            mOut.line("owner-sign-unreadable").with("token", alive.token()).write();
+    /**
+     * Applies an owner's heartbeat. One with an invalid address is a foreign writer's and is
+     * ignored, so that it does not hide the real owner.
+     */
+    private void handleHeartbeat(OwnerAlive heartbeat) {
+        Optional<KnownOwner> owner = parseOwner(heartbeat.token(), heartbeat.address());
+        if (!mIsOwner && owner.isEmpty()) {
+            mNodeLog.line("owner-sign-unreadable").with("token", heartbeat.token()).write();
             return;
         }
-        mToken = alive.token();
-        mLastAlive = Optional.of(alive);
-        mLeft = false;
-        sign();
-        mSigns.owner(mOwner ? Optional.empty() : owner);
+        mLatestToken = heartbeat.token();
+        mLastAlive = Optional.of(heartbeat);
+        mOwnerLeft = false;
+        recordActivity();
+        mOwnerStatus.owner(mIsOwner ? Optional.empty() : owner);
     }
 
-    /** A sign of the owner's; one of the past, read at the start, says little of now. */
-    private void sign() {
-        mSignMs = mClock.nowMs() - (mReader.isCaughtUp() ? 0 : PAST_MS);
+    /**
+     * Records activity of the owner. A record read at startup was written earlier, so it counts as
+     * older.
+     */
+    private void recordActivity() {
+        mLastActivityMs = mClock.nowMs() - (mReader.isCaughtUp() ? 0 : STARTUP_RECORD_AGE_MS);
     }
 
-    private static Optional<KnownOwner> known(long token, String address) {
+    private static Optional<KnownOwner> parseOwner(long token, String address) {
         return IpPort.parse(address).map(a -> new KnownOwner(token, a));
     }
 
-    /** This node does not own any more; another one gave orders with a higher token. */
+    /**
+     * Called when this node is no longer the owner because a higher token is in use, or it stepped
+     * down.
+     */
     public void lost() {
-        mOwner = false;
-        mSignMs = mClock.nowMs();
+        mIsOwner = false;
+        mLastActivityMs = mClock.nowMs();
     }
 
-    /** This node stops; it takes ownership no more. */
+    /** Stops the node from taking ownership. */
     public void stop() {
         mStopped = true;
-        mOwner = false;
+        mIsOwner = false;
     }
 
     private void check() {
-        mTimers.after(CHECK_MS, this::check);
-        mSigns.check();
-        long read = mReader.lastReadMs();
-        if (read - mLastReadMs > READ_GAP_MS) {
-            // While nothing could be read, the owner's signs could not be seen either.
-            mSignMs = Math.max(mSignMs, read);
+        mTimers.after(CHECK_INTERVAL_MS, this::check);
+        mOwnerStatus.check();
+        long readMs = mReader.lastReadMs();
+        if (readMs - mLastReadMs > MAX_READ_GAP_MS) {
+            // While the journal could not be read, the owner's heartbeats could not be seen
+            // either.
+            mLastActivityMs = Math.max(mLastActivityMs, readMs);
         }
-        mLastReadMs = Math.max(mLastReadMs, read);
+        mLastReadMs = Math.max(mLastReadMs, readMs);
         replaceIfDue();
     }
 
     private void replaceIfDue() {
-        boolean fresh = mClock.nowMs() - mReader.lastReadMs() < READ_GAP_MS;
-        boolean may = !mOwner && !mTrying && !mStopped;
-        if (may && mReader.isCaughtUp() && fresh && isReplaceable()) {
-            readOnce();
+        boolean recentlyRead = mClock.nowMs() - mReader.lastReadMs() < MAX_READ_GAP_MS;
+        boolean eligible = !mIsOwner && !mAttemptInProgress && !mStopped;
+        if (eligible && mReader.isCaughtUp() && recentlyRead && isReplaceable()) {
+            refreshAndAttempt();
         }
     }
 
-    /** Whether the place is free, and others with wider links have had time to take it. */
+    /** Whether the owner can be replaced and nodes with wider links have had time to do so. */
     private boolean isReplaceable() {
         long now = mClock.nowMs();
-        boolean free = mLeft || now - signMs() >= patienceMs() + mSpreadMs;
-        mFreeSinceMs = free ? Math.min(mFreeSinceMs, now) : Long.MAX_VALUE;
-        return free && now - mFreeSinceMs >= mYieldMs;
+        boolean replaceable = mOwnerLeft || now - lastActivityMs() >= timeoutMs() + mJitterMs;
+        mReplaceableSinceMs = replaceable ? Math.min(mReplaceableSinceMs, now) : Long.MAX_VALUE;
+        return replaceable && now - mReplaceableSinceMs >= mYieldMs;
     }
 
-    /** With a slow store the owner's signs come late in the journal, and early on its stream. */
-    private long signMs() {
-        return Math.max(mSignMs, mSigns.storingMs());
+    /**
+     * With a slow store the owner's heartbeats arrive late in the journal but on time on its
+     * stream.
+     */
+    private long lastActivityMs() {
+        return Math.max(mLastActivityMs, mOwnerStatus.storingMs());
     }
 
-    private long patienceMs() {
-        OwnerState state = mSigns.state(mToken);
-        long late = state == OwnerState.GONE ? 0 : STORE_ANSWERS * mReader.answerMs();
-        return state.patienceMs() + late;
+    private long timeoutMs() {
+        OwnerState state = mOwnerStatus.state(mLatestToken);
+        long storeDelayMs =
+                state == OwnerState.GONE ? 0 : STORE_LATENCY_FACTOR * mReader.answerMs();
+        return state.patienceMs() + storeDelayMs;
     }
 
     /**
-     * Reads the journal once more before anything is tried. Guards against replacing an owner whose
-     * answers from the store are lost: it can't know that its records are stored, but they are.
+     * Reads the journal once more before an attempt. An owner whose store answers are lost does not
+     * know that its records are stored, but other nodes can read them.
      */
-    private void readOnce() {
-        mTrying = true;
+    private void refreshAndAttempt() {
+        mAttemptInProgress = true;
         mReader.refresh(
                 read -> {
                     if (read && isReplaceable() && !mStopped) {
-                        tryToTake();
+                        attemptTakeover();
                     } else {
-                        mTrying = false;
+                        mAttemptInProgress = false;
                     }
                 });
     }
 
     /**
-     * Asks the VM service first: a node that does not reach it, perhaps because its zone is cut
-     * off, lets others go ahead, and tries only if none does.
+     * Lists the VMs first: a node that cannot reach the VM service, perhaps because its zone is cut
+     * off, yields to others and tries only if no other node does.
      */
-    private void tryToTake() {
-        mVms.list(
+    private void attemptTakeover() {
+        mVmService.list(
                 vms -> {
-                    // An owner may have shown itself meanwhile.
-                    boolean yields = mClock.nowMs() - signMs() < patienceMs() + YIELD_MS;
+                    // The owner may have shown activity in the meantime.
+                    boolean yields =
+                            mClock.nowMs() - lastActivityMs() < timeoutMs() + UNREACHABLE_YIELD_MS;
                     if (vms.isEmpty() && yields || mStopped || !isReplaceable()) {
-                        mTrying = false;
+                        mAttemptInProgress = false;
                         return;
                     }
                     long expected = expectedEnd();
-                    mLog.appendAt(OWNERS, expected, mSelf.encode(), r -> answered(r, expected));
+                    mSharedLog.appendAt(
+                            OWNERS, expected, mSelf.encode(), r -> handleAppendResult(r, expected));
                 });
     }
 
-    private void answered(AppendResult result, long expectedEnd) {
-        mSpreadMs = ThreadLocalRandom.current().nextLong(SPREAD_MS);
-        mOut.line("owner-try")
+    private void handleAppendResult(AppendResult result, long expectedEnd) {
+        mJitterMs = ThreadLocalRandom.current().nextLong(MAX_JITTER_MS);
+        mNodeLog.line("owner-try")
                 .with("node", mSelf.node())
                 .with("expectedToken", expectedEnd)
                 .with("outcome", result)
                 .write();
         if (result instanceof SharedLog.Stored stored) {
-            take(stored.firstOffset() + 1);
+            becomeOwner(stored.firstOffset() + 1);
         } else if (result instanceof SharedLog.EndMoved moved && moved.end() < expectedEnd) {
-            mTrying = false;
-            neverGiven(expectedEnd, moved.end());
+            mAttemptInProgress = false;
+            discardUnissuedToken(expectedEnd, moved.end());
         } else if (result instanceof SharedLog.EndMoved moved) {
-            checkLast(moved.end());
+            readLastOwnerRecord(moved.end());
         } else if (result instanceof SharedLog.MaybeStored) {
-            checkLast(expectedEnd() + 1);
+            readLastOwnerRecord(expectedEnd() + 1);
         } else {
-            mTrying = false;
+            mAttemptInProgress = false;
         }
     }
 
     /**
-     * Where the owners' records end if nobody has taken ownership. Another writer's record counts:
-     * expected at the last owner's, the end would never be there and nobody could own any more.
+     * Expected end of the owners partition if no node has taken ownership. Includes foreign
+     * records: otherwise the expected end would never match and no node could become the owner.
      */
     private long expectedEnd() {
-        return Math.max(mToken, mForeignEnd);
+        return Math.max(mLatestToken, mForeignEnd);
     }
 
     /**
-     * A sign in the journal named a token beyond the last record of the owners: it was another
-     * writer's. Believed on, nobody could own any more, and the owner's own signs would count for
-     * nothing; it gets the time to show itself again.
+     * Handles a journal record whose token lies beyond the owners partition, so that no owner was
+     * given it. Keeping that token would block every takeover and hide the real owner's heartbeats;
+     * the real owner gets a full timeout to write its next one.
      */
-    private void neverGiven(long token, long end) {
+    private void discardUnissuedToken(long token, long end) {
         if (expectedEnd() == token) {
-            mOut.line("owner-sign-unreadable").with("token", token).write();
-            mToken = end;
+            mNodeLog.line("owner-sign-unreadable").with("token", token).write();
+            mLatestToken = end;
             mForeignEnd = end;
-            mLeft = false;
-            mSignMs = mClock.nowMs();
+            mOwnerLeft = false;
+            mLastActivityMs = mClock.nowMs();
         }
     }
 
-    /** Somebody took ownership, perhaps this node by an append whose answer was lost. */
-    private void checkLast(long end) {
+    /**
+     * Handles an append at the wrong end or without an answer: reads the last owner record, which
+     * may be this node's own.
+     */
+    private void readLastOwnerRecord(long end) {
         if (end <= expectedEnd()) {
-            mTrying = false;
+            mAttemptInProgress = false;
             return;
         }
-        mLog.read(
+        mSharedLog.read(
                 OWNERS,
                 end - 1,
                 PageRequest.largest(0),
                 r -> {
-                    mTrying = false;
+                    mAttemptInProgress = false;
                     if (r instanceof SharedLog.Records page && !page.records().isEmpty()) {
                         int count = page.records().size();
-                        last(page.records().get(count - 1), page.from() + count);
+                        applyOwnerRecord(page.records().get(count - 1), page.from() + count);
                     }
                 });
     }
 
-    /** The last record of the owners. */
-    private void last(byte[] record, long token) {
-        Optional<OwnerRecord> written = OwnerRecord.decode(record);
-        Optional<KnownOwner> owner = written.flatMap(o -> known(token, o.address()));
-        if (written.equals(Optional.of(mSelf))) {
-            take(token);
+    /** Applies the last record of the owners partition. */
+    private void applyOwnerRecord(byte[] record, long token) {
+        Optional<OwnerRecord> decoded = OwnerRecord.decode(record);
+        Optional<KnownOwner> owner = decoded.flatMap(o -> parseOwner(token, o.address()));
+        if (decoded.equals(Optional.of(mSelf))) {
+            becomeOwner(token);
         } else if (owner.isEmpty()) {
             mForeignEnd = Math.max(mForeignEnd, token);
-            mOut.line("owner-record-unreadable").with("offset", token - 1).write();
-        } else if (token > mToken) {
-            // Its first sign in the journal may take long with a slow store; its stream tells now.
-            mToken = token;
-            mLeft = false;
-            mSignMs = mClock.nowMs();
-            mSigns.owner(owner);
+            mNodeLog.line("owner-record-unreadable").with("offset", token - 1).write();
+        } else if (token > mLatestToken) {
+            // With a slow store the new owner's first heartbeat is late; its stream is available
+            // now.
+            mLatestToken = token;
+            mOwnerLeft = false;
+            mLastActivityMs = mClock.nowMs();
+            mOwnerStatus.owner(owner);
         }
     }
 
-    private void take(long token) {
-        mTrying = false;
+    private void becomeOwner(long token) {
+        mAttemptInProgress = false;
         if (mStopped) {
             return;
         }
-        mToken = token;
-        mOwner = true;
-        mFreeSinceMs = Long.MAX_VALUE;
-        mTaken.accept(new TakeOver(token, isPredecessorOver(token), areRenewalsOver(token)));
+        mLatestToken = token;
+        mIsOwner = true;
+        mReplaceableSinceMs = Long.MAX_VALUE;
+        mOnTakeover.accept(
+                new TakeOver(
+                        token, arePredecessorCallsFinished(token), areRenewalsFinished(token)));
     }
 
     /**
-     * Whether no earlier owner's call to the VM service can be under way. What is known of the
-     * owner just before this one tells: one that has left says it itself, and one whose process has
-     * ended or that was replaced says so where it was reached. The latter speaks for itself alone,
-     * so that it must have owned longer than a lease of its own predecessor could last. A node in
-     * between may have owned for a moment and left no sign in the journal, so that the token
-     * counts.
+     * Whether no earlier owner can have a call to the VM service in flight. An owner that left says
+     * so in its last record; one whose process ended or that was replaced says so if it could be
+     * reached. The latter covers only its own calls, so it must have owned for longer than a lease
+     * of its predecessor could last. The tokens must be consecutive, because an owner in between
+     * may have left no record in the journal.
      */
-    private boolean isPredecessorOver(long token) {
-        long before = token - 1;
-        boolean isFirst = before == 0;
-        boolean hasLeft = mLastLeft.map(l -> l.token() == before && l.callsOver()).orElse(false);
-        boolean ownedLong = hasOwned(before, CallLease.WAIT_MS);
-        return isFirst || hasLeft || ownedLong && mSigns.areCallsOver(before);
+    private boolean arePredecessorCallsFinished(long token) {
+        long predecessor = token - 1;
+        boolean isFirst = predecessor == 0;
+        boolean hasLeft =
+                mLastLeft.map(l -> l.token() == predecessor && l.callsOver()).orElse(false);
+        boolean ownedLongEnough = hasOwnedFor(predecessor, CallLease.WAIT_MS);
+        return isFirst || hasLeft || ownedLongEnough && mOwnerStatus.areCallsOver(predecessor);
     }
 
     /**
-     * Whether no earlier owner renews leases of workers any more. One that has left, or whose
-     * process has ended, renews none; it must have owned for longer than its own predecessor may
-     * have gone on renewing, of which it says nothing.
+     * Whether no earlier owner still renews worker leases. An owner that left or whose process
+     * ended renews none, but it must have owned for longer than its own predecessor could go on
+     * renewing.
      */
-    private boolean areRenewalsOver(long token) {
-        long before = token - 1;
-        boolean isFirst = before == 0;
-        boolean hasLeft = mLastLeft.map(l -> l.token() == before).orElse(false);
-        boolean isOver = hasLeft || mSigns.areCallsOver(before);
-        return isFirst || isOver && hasOwned(before, RenewalWindow.WAIT_MS);
+    private boolean areRenewalsFinished(long token) {
+        long predecessor = token - 1;
+        boolean isFirst = predecessor == 0;
+        boolean hasLeft = mLastLeft.map(l -> l.token() == predecessor).orElse(false);
+        boolean hasEnded = hasLeft || mOwnerStatus.areCallsOver(predecessor);
+        return isFirst || hasEnded && hasOwnedFor(predecessor, RenewalWindow.WAIT_MS);
     }
 
-    /** Whether the owner with a token has owned for so long. */
-    private boolean hasOwned(long token, long ms) {
+    /** Whether the owner with this token has owned for at least this long. */
+    private boolean hasOwnedFor(long token, long ms) {
         return mLastAlive.map(a -> a.token() == token && a.ownedMs() >= ms).orElse(false);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
@@ -3,154 +3,155 @@
 import java.util.List;
 import java.util.Optional;
 import org.foxtailplank.lease.Moment;
-import org.foxtailplank.node.owner.JournalBatch.Item;
+import org.foxtailplank.node.owner.JournalBatch.PendingRecord;
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog;
 import org.foxtailplank.port.SharedLog.AppendResult;
 import org.foxtailplank.port.SharedLog.WriterEpoch;
 
 /**
- * An owner's appends to one partition of the journal.
+ * Appends the owner's records to one partition of the journal.
  *
- * <p>One append is on its way at a time. One that may be stored is repeated as it is, with its
- * number, until the store has answered, so that none is stored twice in this partition; one that
- * was refused is given back.
+ * <p>One append is in flight at a time. An append that may be stored is repeated unchanged, with
+ * the same sequence number, until the store answers, so that no record is stored twice in this
+ * partition. Rejected records are handed to {@link Listener#rejected}.
  */
 final class PartitionWriter {
     private static final String WRITER = "owner";
 
     /**
-     * How long an append goes unanswered before it is sent a second time, in milliseconds, beyond
-     * what the store lately took: a pause of this process, some appends of other writers. After
-     * twice that the partition is taken for failing.
+     * How long to wait for an answer before an append is sent again, in milliseconds, in addition
+     * to the store's current latency. Covers a pause of this process and some appends of other
+     * writers. After twice the total the partition is considered failing.
      */
-    private static final long REPEAT_MS = 120;
+    private static final long RESEND_DELAY_MS = 120;
 
-    /** Answers of the store, as they lately were, that are waited for on top of that. */
-    private static final int REPEAT_ANSWERS = 4;
+    /** Multiple of the store's current latency that is added to the resend delay. */
+    private static final int RESEND_LATENCY_FACTOR = 4;
 
-    /** Pause before an append that the store did not take is repeated, in milliseconds. */
-    private static final long RETRY_MS = 100;
+    /** Delay before an append that was not stored is repeated, in milliseconds. */
+    private static final long RETRY_DELAY_MS = 100;
 
-    /** How often a failing partition is tried with an empty append, in milliseconds. */
-    private static final long PROBE_MS = 300;
+    /** How often a failing partition is probed with an empty append, in milliseconds. */
+    private static final long PROBE_INTERVAL_MS = 300;
 
     private final OwnerParts mParts;
     private final LogPartition mPartition;
     private final long mToken;
-    private final Events mEvents;
+    private final Listener mListener;
 
     private long mSequence;
-    private Optional<JournalBatch> mSent = Optional.empty();
+    private Optional<JournalBatch> mInFlight = Optional.empty();
     private boolean mFailing;
-    private boolean mOver;
-    private Optional<Runnable> mWhenRaised = Optional.empty();
-    private boolean mRaised;
+    private boolean mClosed;
+    private Optional<Runnable> mOnEpochRaised = Optional.empty();
+    private boolean mEpochRaised;
 
-    /** Is told what becomes of appends. */
-    interface Events {
-        /** An append is stored; the writer is free. */
-        void stored(List<Item> items, Moment firstSent);
+    /** Receives the outcomes of appends. */
+    interface Listener {
+        /** The append is stored; the writer is idle. */
+        void stored(List<PendingRecord> records, Moment firstSent);
 
-        /** The store refuses, and will not store these; the writer is free. */
-        void refused(List<Item> items);
+        /** The store rejected the append and will not store it; the writer is idle. */
+        void rejected(List<PendingRecord> records);
 
-        /** These may be stored, now or later; the writer goes on with them. */
-        void doubtful(List<Item> items);
+        /** The append may be stored, now or later; the writer keeps repeating it. */
+        void outcomeUnknown(List<PendingRecord> records);
 
-        /** A later owner writes. */
+        /** A later owner has raised the epoch. */
         void fenced();
     }
 
-    PartitionWriter(OwnerParts parts, LogPartition partition, long token, Events events) {
+    PartitionWriter(OwnerParts parts, LogPartition partition, long token, Listener listener) {
         mParts = parts;
         mPartition = partition;
         mToken = token;
-        mEvents = events;
+        mListener = listener;
     }
 
-    /** Keeps all earlier owners from writing here; tries until it succeeds. */
+    /** Raises the epoch in this partition, retrying until it succeeds. */
     void raiseEpoch(Runnable then) {
-        mWhenRaised = Optional.of(then);
+        mOnEpochRaised = Optional.of(then);
         send(List.of());
     }
 
-    boolean isRaised() {
-        return mRaised;
+    boolean isEpochRaised() {
+        return mEpochRaised;
     }
 
     /** Whether an append can be sent. */
     boolean isIdle() {
-        return mSent.isEmpty() && mWhenRaised.isEmpty();
+        return mInFlight.isEmpty() && mOnEpochRaised.isEmpty();
     }
 
-    /** Whether the last append was refused, or is unanswered for long. */
+    /** Whether the last append was rejected or has timed out. */
     boolean isFailing() {
         return mFailing;
     }
 
     /** Sends an append; the writer must be idle. */
-    void send(List<Item> items) {
-        JournalBatch batch = new JournalBatch(items);
-        mSent = Optional.of(batch);
-        sendFirst(batch);
+    void send(List<PendingRecord> records) {
+        JournalBatch batch = new JournalBatch(records);
+        mInFlight = Optional.of(batch);
+        sendWithTimeout(batch);
     }
 
-    /** Sends nothing more; returns what is on its way. */
-    List<Item> end() {
-        mOver = true;
-        List<Item> sent = mSent.map(JournalBatch::items).orElse(List.of());
-        mSent = Optional.empty();
+    /** Stops sending; returns the records in flight. */
+    List<PendingRecord> close() {
+        mClosed = true;
+        List<PendingRecord> sent = mInFlight.map(JournalBatch::records).orElse(List.of());
+        mInFlight = Optional.empty();
         return sent;
     }
 
-    private void sendFirst(JournalBatch batch) {
+    private void sendWithTimeout(JournalBatch batch) {
         sendOnce(batch);
-        long late = REPEAT_MS + REPEAT_ANSWERS * mParts.reader().answerMs();
-        mParts.timers().after(late, () -> repeat(batch));
-        mParts.timers().after(2 * late, () -> doubt(batch));
+        long delayMs = RESEND_DELAY_MS + RESEND_LATENCY_FACTOR * mParts.reader().answerMs();
+        mParts.timers().after(delayMs, () -> resendIfUnanswered(batch));
+        mParts.timers().after(2 * delayMs, () -> handleTimeout(batch));
     }
 
     /**
-     * Sends an append once more while no answer comes. Answers a store that loses answers:
-     * everything waits for the owner's append, and the store knows the second one by its number.
+     * Sends an unanswered append a second time, since its answer may be lost and all later records
+     * wait for it. The store recognises the repetition by its sequence number.
      */
-    private void repeat(JournalBatch batch) {
-        if (isAwaited(batch) && batch.unanswered() == 1) {
+    private void resendIfUnanswered(JournalBatch batch) {
+        if (isInFlight(batch) && batch.unansweredSends() == 1) {
             sendOnce(batch);
         }
     }
 
-    /** No answer comes to the second sending either. */
-    private void doubt(JournalBatch batch) {
-        if (isAwaited(batch) && batch.unanswered() > 0) {
-            doubtful(batch);
+    /** Treats the append's outcome as unknown if sends are still unanswered. */
+    private void handleTimeout(JournalBatch batch) {
+        if (isInFlight(batch) && batch.unansweredSends() > 0) {
+            handleUnknown(batch);
         }
     }
 
     private void sendOnce(JournalBatch batch) {
-        batch.sent(mParts.clock().moment());
+        batch.recordSend(mParts.clock().moment());
         WriterEpoch writer = new WriterEpoch(WRITER, mToken, mSequence);
-        mParts.sharedLog().appendAs(mPartition, writer, batch.bytes(), r -> answered(batch, r));
+        mParts.sharedLog().appendAs(mPartition, writer, batch.bytes(), r -> handleResult(batch, r));
     }
 
-    private boolean isAwaited(JournalBatch batch) {
-        return !mOver && mSent.isPresent() && mSent.get() == batch;
+    private boolean isInFlight(JournalBatch batch) {
+        return !mClosed && mInFlight.isPresent() && mInFlight.get() == batch;
     }
 
-    private void answered(JournalBatch batch, AppendResult result) {
-        if (!isAwaited(batch)) {
+    private void handleResult(JournalBatch batch, AppendResult result) {
+        if (!isInFlight(batch)) {
             return;
         }
-        int awaited = batch.answered();
-        boolean last = result instanceof SharedLog.Stored || result instanceof SharedLog.Fenced;
-        if (!last && awaited > 0) {
-            // The other one may still be stored.
-            batch.maybeStored();
+        int unanswered = batch.recordAnswer();
+        boolean conclusive =
+                result instanceof SharedLog.Stored || result instanceof SharedLog.Fenced;
+        if (!conclusive && unanswered > 0) {
+            // The other send may still be stored.
+            batch.markMaybeStored();
             return;
         }
         if (result instanceof SharedLog.Stored) {
-            stored(batch);
+            handleStored(batch);
             return;
         }
         mParts.log()
@@ -161,56 +162,56 @@
                 .with("outcome", result)
                 .write();
         if (result instanceof SharedLog.Fenced) {
-            mEvents.fenced();
+            mListener.fenced();
         } else if (result instanceof SharedLog.OutOfSequence expected) {
             mSequence = expected.expected();
-            sendFirst(batch);
+            sendWithTimeout(batch);
         } else if (result instanceof SharedLog.NotStored && !batch.isMaybeStored()) {
-            refused(batch);
+            handleRejected(batch);
         } else {
-            doubtful(batch);
-            mParts.timers().after(RETRY_MS, () -> again(batch));
+            handleUnknown(batch);
+            mParts.timers().after(RETRY_DELAY_MS, () -> retry(batch));
         }
     }
 
-    private void stored(JournalBatch batch) {
-        mSent = Optional.empty();
-        failing(false);
+    private void handleStored(JournalBatch batch) {
+        mInFlight = Optional.empty();
+        setFailing(false);
         mSequence += batch.isEmpty() ? 0 : 1;
-        batch.over();
-        Optional<Runnable> raised = mWhenRaised;
-        mWhenRaised = Optional.empty();
-        mRaised = true;
-        mEvents.stored(batch.items(), batch.firstSent());
-        raised.ifPresent(Runnable::run);
-    }
-
-    private void refused(JournalBatch batch) {
-        failing(true);
-        if (mWhenRaised.isPresent()) {
-            mParts.timers().after(RETRY_MS, () -> again(batch));
+        batch.release();
+        Optional<Runnable> onRaised = mOnEpochRaised;
+        mOnEpochRaised = Optional.empty();
+        mEpochRaised = true;
+        mListener.stored(batch.records(), batch.firstSentAt());
+        onRaised.ifPresent(Runnable::run);
+    }
+
+    private void handleRejected(JournalBatch batch) {
+        setFailing(true);
+        if (mOnEpochRaised.isPresent()) {
+            mParts.timers().after(RETRY_DELAY_MS, () -> retry(batch));
             return;
         }
-        mSent = Optional.empty();
-        batch.over();
-        mEvents.refused(batch.items());
+        mInFlight = Optional.empty();
+        batch.release();
+        mListener.rejected(batch.records());
     }
 
-    private void doubtful(JournalBatch batch) {
-        batch.maybeStored();
-        failing(true);
-        if (batch.giveOn()) {
-            mEvents.doubtful(batch.items());
+    private void handleUnknown(JournalBatch batch) {
+        batch.markMaybeStored();
+        setFailing(true);
+        if (batch.markRerouted()) {
+            mListener.outcomeUnknown(batch.records());
         }
     }
 
-    private void again(JournalBatch batch) {
-        if (isAwaited(batch) && batch.unanswered() == 0) {
-            sendFirst(batch);
+    private void retry(JournalBatch batch) {
+        if (isInFlight(batch) && batch.unansweredSends() == 0) {
+            sendWithTimeout(batch);
         }
     }
 
-    private void failing(boolean failing) {
+    private void setFailing(boolean failing) {
         if (failing == mFailing) {
             return;
         }
@@ -222,18 +223,18 @@
                 .with("failing", failing)
                 .write();
         if (failing) {
-            mParts.timers().after(PROBE_MS, this::probe);
+            mParts.timers().after(PROBE_INTERVAL_MS, this::probe);
         }
     }
 
-    /** An empty append changes nothing and shows whether the partition is back. */
+    /** Probes a failing partition with an empty append, which stores nothing. */
     private void probe() {
-        if (mOver || !mFailing) {
+        if (mClosed || !mFailing) {
             return;
         }
         if (isIdle()) {
             send(List.of());
         }
-        mParts.timers().after(PROBE_MS, this::probe);
+        mParts.timers().after(PROBE_INTERVAL_MS, this::probe);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Restating.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/Restating.java
@@ -7,61 +7,60 @@
 import org.foxtailplank.node.Clock;
 
 /**
- * Writes what still counts to the journal again before the platform drops it.
+ * Rewrites journal records that are still needed before the store's retention drops them.
  *
- * <p>The platform keeps a record for some minutes. A node that starts later than that reads only
- * what was written since; without these records it would not know of a standing job, and would
- * reboot the VMs of a completed wave a second time.
+ * <p>Without this a node that starts later would not know of standing jobs, and would reboot the
+ * VMs of a completed wave a second time.
  */
 final class Restating {
-    /** A record is written again when this share of its time is over. */
-    private static final int SHARES = 3;
+    /** How often a record is rewritten within the retention time. */
+    private static final int REWRITES_PER_RETENTION = 3;
 
-    /** How often to look for records that are due, in milliseconds. */
-    private static final long LOOK_MS = 2000;
+    /** How often to check for records to rewrite, in milliseconds. */
+    private static final long CHECK_INTERVAL_MS = 2000;
 
-    /** Jobs that are told again at a time: a fraction of what one append may hold. */
-    private static final int JOBS_AT_ONCE = 50;
+    /** Limits the records written by one check to a fraction of what an append may hold. */
+    private static final int MAX_JOBS_PER_CHECK = 50;
 
     private final OwnerWork mOwner;
     private final OwnerParts mParts;
     private final Clock mClock;
-    private long mWavesMs;
+    private long mWavesRewrittenMs;
 
     Restating(OwnerWork owner, OwnerParts parts) {
         mOwner = owner;
         mParts = parts;
         mClock = parts.clock();
-        mWavesMs = mClock.nowMs();
+        mWavesRewrittenMs = mClock.nowMs();
     }
 
     void start() {
-        mParts.timers().after(LOOK_MS, this::look);
+        mParts.timers().after(CHECK_INTERVAL_MS, this::check);
     }
 
-    private void look() {
-        if (mOwner.isOver()) {
+    private void check() {
+        if (mOwner.hasEnded()) {
             return;
         }
         start();
-        long age = mParts.settings().journal().keepMs() / SHARES;
-        restateJobs(age);
-        if (mClock.nowMs() - mWavesMs > age) {
-            mWavesMs = mClock.nowMs();
+        long age = mParts.settings().journal().keepMs() / REWRITES_PER_RETENTION;
+        rewriteJobs(age);
+        if (mClock.nowMs() - mWavesRewrittenMs > age) {
+            mWavesRewrittenMs = mClock.nowMs();
             mParts.reader().book().restateWaves().forEach(this::store);
         }
     }
 
-    private void restateJobs(long ageMs) {
-        int told = 0;
+    private void rewriteJobs(long ageMs) {
+        int rewritten = 0;
         long now = mClock.wallMs();
         for (JobEntry job : mParts.reader().book().jobs()) {
-            if (told < JOBS_AT_ONCE && now - job.statedMs() > ageMs) {
+            if (rewritten < MAX_JOBS_PER_CHECK && now - job.statedMs() > ageMs) {
                 store(job.restate(now));
                 if (job.hasBegun()) {
                     store(new JobsBegun(List.of(job.order().id())));
                 }
-                told++;
+                rewritten++;
             }
         }
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/TakeOver.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/TakeOver.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.node.owner;
 
 /**
- * A node has become the owner.
+ * Describes the takeover of a node that has become the owner.
  *
  * @param token its fencing token
- * @param predecessorOver whether the owner before it has left with no call to the VM service under
- *     way, or there was none
- * @param renewalsOver whether no earlier owner renews leases of workers any more
+ * @param predecessorCallsFinished whether no earlier owner can have a call to the VM service in
+ *     flight
+ * @param renewalsFinished whether no earlier owner still renews worker leases
  */
-public record TakeOver(long token, boolean predecessorOver, boolean renewalsOver) {}
+public record TakeOver(long token, boolean predecessorCallsFinished, boolean renewalsFinished) {}
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmWork.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmCoordinator.java
@@ -22,63 +22,63 @@
 import org.foxtailplank.schedule.VmPlanner.Call;
 import org.foxtailplank.schedule.WorkerState;
 
-/** Carries out what is decided about VMs: lists, moves, reboots, and says how waves go. */
-final class VmWork {
+/** Lists VMs, moves and reboots them as planned, and reports the progress of waves. */
+final class VmCoordinator {
     /** How often VMs are listed, in milliseconds; an action takes about two seconds. */
-    private static final long LIST_MS = 400;
+    private static final long LIST_INTERVAL_MS = 400;
 
     /** How often the state of waves is logged, in milliseconds. */
-    private static final long WAVE_LINE_MS = 2000;
+    private static final long WAVE_LOG_INTERVAL_MS = 2000;
 
     /** How often to decide, in milliseconds. */
-    private static final long DECIDE_MS = 100;
+    private static final long DECISION_INTERVAL_MS = 100;
 
     private final OwnerWork mOwner;
     private final OwnerParts mParts;
     private final Clock mClock;
     private final Holder mHolder;
     private final VmPlanner mPlanner;
-    private final Map<String, VmInfo> mLast = new HashMap<>();
-    private final Set<Long> mRunning = new HashSet<>();
-    private final Set<Long> mWritten = new HashSet<>();
-    private final WaveTimes mTimes;
-    private long mAnsweredMs;
+    private final Map<String, VmInfo> mLastListed = new HashMap<>();
+    private final Set<Long> mReportedRunning = new HashSet<>();
+    private final Set<Long> mDeadlinesWritten = new HashSet<>();
+    private final WaveTimes mDeadlines;
+    private long mLastAnswerMs;
     private boolean mListed;
-    private int mCalls;
-    private boolean mMayCall = true;
+    private int mCallsInFlight;
+    private boolean mCallsAllowed = true;
 
-    VmWork(OwnerWork owner, OwnerParts parts, Holder holder) {
+    VmCoordinator(OwnerWork owner, OwnerParts parts, Holder holder) {
         mOwner = owner;
         mParts = parts;
         mClock = parts.clock();
         mHolder = holder;
-        mTimes = new WaveTimes(parts.reader().book());
+        mDeadlines = new WaveTimes(parts.reader().book());
         mPlanner = new VmPlanner(owner.scheduler());
-        mAnsweredMs = mClock.nowMs();
+        mLastAnswerMs = mClock.nowMs();
     }
 
-    /** Whether a call of this owner's is under way. */
-    boolean isCalling() {
-        return mCalls > 0;
+    /** Whether a call to the VM service is in flight. */
+    boolean hasCallsInFlight() {
+        return mCallsInFlight > 0;
     }
 
-    /** When the VM service last answered. */
-    long answeredMs() {
-        return mAnsweredMs;
+    /** When the VM service last answered, on the steady clock. */
+    long lastAnswerMs() {
+        return mLastAnswerMs;
     }
 
     void start() {
-        sayWaves();
+        logWaves();
         list();
         decide();
     }
 
-    /** A line a wave every two seconds: what keeps its VMs from their reboots. */
-    private void sayWaves() {
-        if (mOwner.isOver()) {
+    /** Logs periodically what delays the VMs of each wave from being rebooted. */
+    private void logWaves() {
+        if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(WAVE_LINE_MS, this::sayWaves);
+        mParts.timers().after(WAVE_LOG_INTERVAL_MS, this::logWaves);
         long now = mClock.nowMs();
         for (DueWave wave : dueWaves()) {
             if (!mParts.reader().book().isCompleted(wave.order().number())) {
@@ -94,110 +94,118 @@
     }
 
     private void list() {
-        if (mOwner.isOver()) {
+        if (mOwner.hasEnded()) {
             return;
         }
-        long asked = mClock.nowMs();
+        long askedMs = mClock.nowMs();
         mParts.platform()
                 .vms()
                 .list(
                         vms -> {
                             if (vms.isPresent()) {
-                                mAnsweredMs = mClock.nowMs();
+                                mLastAnswerMs = mClock.nowMs();
                             }
-                            vms.ifPresent(v -> listed(v, asked));
-                            mParts.timers().after(LIST_MS, this::list);
+                            vms.ifPresent(v -> handleList(v, askedMs));
+                            mParts.timers().after(LIST_INTERVAL_MS, this::list);
                         });
     }
 
-    private void listed(List<VmInfo> vms, long askedMs) {
+    private void handleList(List<VmInfo> vms, long askedMs) {
         mListed = true;
         vms.forEach(this::logChange);
         for (WorkerState w : mPlanner.overLives(vms, askedMs)) {
-            mOwner.workerOver(w, "its VM has no such life");
+            mOwner.handleWorkerEnded(w, "the VM list does not contain its incarnation");
         }
         mPlanner.listed(vms, askedMs);
     }
 
     private void logChange(VmInfo vm) {
-        VmInfo before = mLast.put(vm.id(), vm);
-        if (!vm.isReadable() && !vm.equals(before)) {
+        VmInfo previous = mLastListed.put(vm.id(), vm);
+        if (!vm.isReadable() && !vm.equals(previous)) {
             mParts.log().line("vm-unreadable").with("vm", vm.id()).write();
             return;
         }
-        if (before != null && !before.equals(vm)) {
+        if (previous != null && !previous.equals(vm)) {
             mParts.log()
                     .line("vm")
                     .with("vm", vm.id())
                     .with("pool", vm.pool())
                     .with("phase", vm.phase())
                     .with("worker", vm.worker())
-                    .with("workerBefore", before.worker())
+                    .with("workerBefore", previous.worker())
                     .write();
         }
     }
 
     private void decide() {
-        if (mOwner.isOver()) {
+        if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(DECIDE_MS, this::decide);
+        mParts.timers().after(DECISION_INTERVAL_MS, this::decide);
         Optional<FleetConfig> config = mParts.operator().config();
         if (!mListed || config.isEmpty()) {
             return;
         }
         List<DueWave> waves = dueWaves();
-        waves.forEach(w -> running(w.order()));
-        writeDown(waves);
+        waves.forEach(w -> reportRunning(w.order()));
+        writeDeadlines(waves);
         VmPlanner.VmDecisions decisions =
                 mPlanner.decide(
                         config.get(),
                         waves,
                         mParts.reader().book(),
-                        mayCall(),
+                        areCallsAllowed(),
                         mClock.nowMs(),
                         mClock.wallMs());
         decisions.actions().forEach(this::call);
-        decisions.completed().forEach(this::completed);
-        mOwner.decisionDue();
+        decisions.completed().forEach(this::reportCompleted);
+        mOwner.scheduleDecision();
     }
 
     private List<DueWave> dueWaves() {
-        return mTimes.due(mParts.operator().waves().values(), mClock.nowMs(), mClock.wallMs());
+        return mDeadlines.withDeadlines(
+                mParts.operator().waves().values(), mClock.nowMs(), mClock.wallMs());
     }
 
-    private void writeDown(List<DueWave> waves) {
-        for (WaveDue due : mTimes.unwritten(waves, mClock.nowMs(), mClock.wallMs())) {
-            if (mWritten.add(due.wave())) {
+    private void writeDeadlines(List<DueWave> waves) {
+        for (WaveDue due : mDeadlines.missingRecords(waves, mClock.nowMs(), mClock.wallMs())) {
+            if (mDeadlinesWritten.add(due.wave())) {
                 mOwner.journal().store(due, () -> {});
             }
         }
     }
 
-    /** Whether calls may be begun; while the lease allows none, VMs are chosen and emptied only. */
-    private boolean mayCall() {
-        long left = mHolder.permit().leftMs();
-        boolean may = left > 0;
-        if (may != mMayCall) {
-            mMayCall = may;
-            mParts.log().line("vm-calls").with("token", mHolder.token()).with("open", may).write();
+    /**
+     * Whether new calls are allowed. While the lease allows none, VMs are only selected and
+     * drained.
+     */
+    private boolean areCallsAllowed() {
+        long leftMs = mHolder.permit().leftMs();
+        boolean allowed = leftMs > 0;
+        if (allowed != mCallsAllowed) {
+            mCallsAllowed = allowed;
+            mParts.log()
+                    .line("vm-calls")
+                    .with("token", mHolder.token())
+                    .with("open", allowed)
+                    .write();
         }
-        return may;
+        return allowed;
     }
 
     private void call(Call call) {
-        mCalls++;
+        mCallsInFlight++;
         String vm = call.vm().id();
         if (call.action() instanceof VmAction.Move move) {
-            mParts.platform().vms().move(vm, move.pool(), mHolder, o -> answered(call, o));
+            mParts.platform().vms().move(vm, move.pool(), mHolder, o -> handleOutcome(call, o));
         } else {
             long wave = ((VmAction.Reboot) call.action()).wave();
-            mParts.platform().vms().reboot(vm, wave, mHolder, o -> answered(call, o));
+            mParts.platform().vms().reboot(vm, wave, mHolder, o -> handleOutcome(call, o));
         }
     }
 
-    private void answered(Call call, VmOutcome outcome) {
-        mCalls--;
+    private void handleOutcome(Call call, VmOutcome outcome) {
+        mCallsInFlight--;
         mParts.log()
                 .line("vm-action")
                 .with("vm", call.vm().id())
@@ -205,11 +213,11 @@
                 .with("from", call.vm().info().pool())
                 .with("outcome", outcome)
                 .write();
-        if (mOwner.isOver()) {
+        if (mOwner.hasEnded()) {
             return;
         }
         if (outcome == VmOutcome.FENCED) {
-            mOwner.fenced(call.vm().id());
+            mOwner.handleFenced(call.vm().id());
             return;
         }
         String worker = call.vm().info().worker();
@@ -217,24 +225,24 @@
         if (outcome == VmOutcome.DONE) {
             mOwner.scheduler()
                     .worker(worker)
-                    .ifPresent(w -> mOwner.workerOver(w, "its VM was moved or rebooted"));
-            rebooted(call);
+                    .ifPresent(w -> mOwner.handleWorkerEnded(w, "its VM was moved or rebooted"));
+            recordReboot(call);
         }
     }
 
-    private void rebooted(Call call) {
+    private void recordReboot(Call call) {
         if (call.action() instanceof VmAction.Reboot reboot) {
             VmRebooted record = new VmRebooted(reboot.wave(), call.vm().id());
             mOwner.journal().store(record, () -> {});
         }
     }
 
-    private void completed(long wave) {
+    private void reportCompleted(long wave) {
         mParts.log().line("wave-completed").with("wave", wave).write();
-        mParts.platform().waves().write(wave, true, r -> reported(wave, r));
+        mParts.platform().waves().write(wave, true, r -> handleReportStored(wave, r));
     }
 
-    private void reported(long wave, SharedLog.AppendResult result) {
+    private void handleReportStored(long wave, SharedLog.AppendResult result) {
         if (!(result instanceof SharedLog.Stored)) {
             mPlanner.notReported(wave);
             return;
@@ -242,10 +250,10 @@
         mOwner.journal().store(new WaveCompleted(wave), () -> {});
     }
 
-    /** Says that a wave is being worked on. */
-    private void running(WaveOrder wave) {
+    /** Reports once that a wave is in progress. */
+    private void reportRunning(WaveOrder wave) {
         boolean completed = mParts.reader().book().isCompleted(wave.number());
-        if (!completed && mRunning.add(wave.number())) {
+        if (!completed && mReportedRunning.add(wave.number())) {
             mParts.platform().waves().write(wave.number(), false, r -> {});
         }
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveTimes.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveTimes.java
@@ -8,11 +8,11 @@
 import org.foxtailplank.schedule.DueWave;
 
 /**
- * When waves are due, as all owners together know it.
+ * Computes the deadlines of waves, shared by successive owners through the journal.
  *
- * <p>Guards against a wave that ends late after a change of owner. Its order says how long it may
- * take, not since when, so that a node that was cut off from the store as it was written counts
- * from too late. The first owner that sees it writes the end down; the earliest end counts.
+ * <p>An order gives the time that a wave may take but not its start, so a node that was cut off
+ * when the order was written would compute too late a deadline. The first owner that sees an order
+ * records its deadline in the journal; the earliest one counts.
  */
 final class WaveTimes {
     private final JobBook mBook;
@@ -21,23 +21,23 @@
         mBook = book;
     }
 
-    /** Waves with the ends of their times, on this process's steady clock. */
-    List<DueWave> due(Collection<DueWave> seen, long nowMs, long nowWallMs) {
-        List<DueWave> due = new ArrayList<>();
-        for (DueWave w : seen) {
-            long written =
+    /** Returns waves with their deadlines on this process's steady clock. */
+    List<DueWave> withDeadlines(Collection<DueWave> waves, long nowMs, long nowWallMs) {
+        List<DueWave> result = new ArrayList<>();
+        for (DueWave w : waves) {
+            long recorded =
                     mBook.waveDueMs(w.order().number())
                             .map(d -> nowMs + d - nowWallMs)
                             .orElse(w.dueMs());
-            due.add(new DueWave(w.order(), Math.min(w.dueMs(), written)));
+            result.add(new DueWave(w.order(), Math.min(w.dueMs(), recorded)));
         }
-        return due;
+        return result;
     }
 
-    /** What has still to be written down of them. */
-    List<WaveDue> unwritten(Collection<DueWave> seen, long nowMs, long nowWallMs) {
+    /** Returns records of deadlines that the journal does not have yet. */
+    List<WaveDue> missingRecords(Collection<DueWave> waves, long nowMs, long nowWallMs) {
         List<WaveDue> records = new ArrayList<>();
-        for (DueWave w : seen) {
+        for (DueWave w : waves) {
             long number = w.order().number();
             if (mBook.waveDueMs(number).isEmpty() && !mBook.isCompleted(number)) {
                 records.add(new WaveDue(number, nowWallMs + w.dueMs() - nowMs));
--- /dev/null
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerDirectoryFollower.java
@@ -0,0 +1,184 @@
+package org.foxtailplank.node.owner;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.FleetConfig;
+import org.foxtailplank.port.WorkerInfo;
+import org.foxtailplank.schedule.Scheduler;
+import org.foxtailplank.schedule.WorkerState;
+
+/** Follows the directory of workers and polls each worker that it lists. */
+final class WorkerDirectoryFollower {
+    /** Delay before a failed initial read is retried, in milliseconds. */
+    private static final long READ_RETRY_DELAY_MS = 150;
+
+    /** How long a read waits for a change, in milliseconds. */
+    private static final long CHANGES_WAIT_MS = 300;
+
+    /** Delay after a read, in milliseconds, which batches VMs that join together after a move. */
+    private static final long READ_PAUSE_MS = 30;
+
+    /** Delay after a failed read, in milliseconds. */
+    private static final long FAILED_READ_PAUSE_MS = 300;
+
+    private final OwnerWork mOwner;
+    private final OwnerParts mParts;
+    private final Scheduler mScheduler;
+    private final long mToken;
+    private final Map<String, Looker> mPollers = new HashMap<>();
+
+    /** Entries of services that the configuration does not contain, or not yet. */
+    private final Map<String, WorkerInfo> mUnconfigured = new HashMap<>();
+
+    /** Keys whose last entry was unreadable, so that each is logged once. */
+    private final Set<String> mUnreadable = new HashSet<>();
+
+    private Optional<Feed.Page<WorkerInfo>> mInitialPage = Optional.empty();
+    private long mPosition = -1;
+
+    WorkerDirectoryFollower(OwnerWork owner, OwnerParts parts, long token) {
+        mOwner = owner;
+        mParts = parts;
+        mScheduler = owner.scheduler();
+        mToken = token;
+    }
+
+    /** Reads the directory, retrying until it succeeds, then runs {@code then}. */
+    void readInitial(Runnable then) {
+        mParts.platform()
+                .directory()
+                .newest(
+                        result -> {
+                            if (result instanceof Feed.Page<WorkerInfo> page) {
+                                mInitialPage = Optional.of(page);
+                                then.run();
+                            } else if (!mOwner.hasEnded()) {
+                                mParts.timers().after(READ_RETRY_DELAY_MS, () -> readInitial(then));
+                            }
+                        });
+    }
+
+    /** Whether the initial read has succeeded. */
+    boolean isInitialRead() {
+        return mInitialPage.isPresent();
+    }
+
+    /** Applies the initial read and starts polling the workers. */
+    void applyInitial() {
+        apply(mInitialPage.orElseThrow());
+    }
+
+    /** Follows changes until the owner's work ends. */
+    void follow() {
+        if (mOwner.hasEnded()) {
+            return;
+        }
+        if (mPosition < 0) {
+            mParts.platform().directory().newest(this::handleChanges);
+        } else {
+            mParts.platform().directory().changes(mPosition, CHANGES_WAIT_MS, this::handleChanges);
+        }
+    }
+
+    private void handleChanges(Feed.Result<WorkerInfo> result) {
+        if (mOwner.hasEnded()) {
+            return;
+        }
+        if (result instanceof Feed.Page<WorkerInfo> page) {
+            apply(page);
+        } else if (result instanceof Feed.Gap) {
+            mPosition = -1;
+        }
+        long pause = result instanceof Feed.Page ? READ_PAUSE_MS : FAILED_READ_PAUSE_MS;
+        mParts.timers().after(pause, this::follow);
+    }
+
+    private void apply(Feed.Page<WorkerInfo> page) {
+        mPosition = page.next();
+        page.items().forEach(this::apply);
+        addNewlyConfigured();
+        mOwner.scheduleDecision();
+    }
+
+    /**
+     * Applies one entry. An unreadable entry, written by a foreign writer, unlists the worker:
+     * nobody knows whether it is draining until its own next entry.
+     */
+    private void apply(Feed.Item<WorkerInfo> item) {
+        String worker = item.key();
+        boolean wasUnreadable = mUnreadable.remove(worker);
+        boolean wasUnconfigured = mUnconfigured.remove(worker) != null;
+        if (!item.readable()) {
+            mUnreadable.add(worker);
+            unlist("worker-unreadable", worker, !wasUnreadable);
+        } else if (item.value().isEmpty()) {
+            unlist("worker-unlisted", worker, true);
+        } else if (isConfigured(item.value().get())) {
+            addListed(item.value().get());
+        } else {
+            mUnconfigured.put(worker, item.value().get());
+            unlist("worker-unnamed", worker, !wasUnconfigured);
+        }
+    }
+
+    private void unlist(String event, String worker, boolean shouldLog) {
+        if (shouldLog) {
+            mParts.log().line(event).with("worker", worker).write();
+        }
+        mScheduler.workerUnlisted(worker);
+    }
+
+    /**
+     * Whether the configuration contains the worker's service. Without a configuration every
+     * service counts, because leases of running tasks must still be renewed.
+     */
+    private boolean isConfigured(WorkerInfo worker) {
+        Optional<FleetConfig> config = mParts.operator().config();
+        return config.isEmpty() || config.get().service(worker.service()).isPresent();
+    }
+
+    private void addNewlyConfigured() {
+        List<WorkerInfo> configured =
+                mUnconfigured.values().stream().filter(this::isConfigured).toList();
+        for (WorkerInfo worker : configured) {
+            mUnconfigured.remove(worker.id());
+            addListed(worker);
+        }
+    }
+
+    private void addListed(WorkerInfo info) {
+        Optional<WorkerState> known = mScheduler.worker(info.id());
+        boolean startsDraining =
+                known.map(w -> !w.info().draining()).orElse(true) && info.draining();
+        mScheduler.worker(info, mParts.clock().nowMs());
+        if (known.isEmpty() || startsDraining) {
+            mParts.log()
+                    .line("worker")
+                    .with("worker", info.id())
+                    .with("service", info.service())
+                    .with("rack", info.rack())
+                    .with("draining", info.draining())
+                    .write();
+        }
+        mPollers.computeIfAbsent(info.id(), id -> startPoller(mScheduler.worker(id).get()));
+    }
+
+    private Looker startPoller(WorkerState worker) {
+        Looker poller = new Looker(mOwner, mParts, worker, mToken);
+        mParts.timers().after(0, poller::poll);
+        return poller;
+    }
+
+    /** Stops polling a worker whose incarnation has ended or that was dropped. */
+    void stopPolling(String worker) {
+        Looker poller = mPollers.remove(worker);
+        if (poller != null) {
+            poller.stop();
+        }
+    }
+}
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/package-info.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/package-info.java
@@ -1,2 +1,5 @@
-/** Who owns the jobs, and the owner's work: it carries out what the scheduler decides. */
+/**
+ * Election of the owner of all jobs, and the work of the owner, which executes the decisions of the
+ * scheduler.
+ */
 package org.foxtailplank.node.owner;
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
@@ -23,14 +23,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Every sequence of some steps through which a caller's record can go: answers of the store that
- * are good, refused, lost or late, owners that follow each other, connections that break.
+ * Runs every sequence of a few steps that a caller's record can go through: store answers that
+ * succeed, are refused, lost or late, successive owners, and broken connections.
  *
- * <p>What a caller is told must be true: a record that is said not to be stored is never in the
- * journal, whatever was late; one that is said to be stored is there.
+ * <p>The outcome reported to the caller must be true: a record reported as not stored is never in
+ * the journal, even after late appends complete, and one reported as stored is there.
  */
 public class AcceptExplorationTest {
-    /** Steps of a sequence; after them all goes well. */
+    /** Steps of a sequence; everything succeeds after them. */
     private static final int DEPTH = 5;
 
     private static final long PATIENCE_MS = 350;
@@ -42,9 +42,9 @@
         ANSWER_LOST(Fate.ANSWER_LOST),
         LOST(Fate.LOST),
         LATE(Fate.LATE),
-        CONNECTION_CHANGES(null),
+        CONNECTION_TOGGLES(null),
         NEXT_OWNER(null),
-        LATE_ONES_ARE_CARRIED_OUT(null);
+        LATE_APPENDS_COMPLETE(null);
 
         private final Fate mFate;
 
@@ -53,20 +53,20 @@
         }
     }
 
-    /** A node whose caller waits, the owner, and the connection between them. */
-    private static final class World implements Handover {
+    /** A node with a waiting caller, the owner, and the connection between them. */
+    private static final class Simulation implements Handover {
         private final FakeNode mTime = new FakeNode();
         private final FakeLog mLog = new FakeLog();
         private final List<StoreOutcome> mOutcomes = new ArrayList<>();
-        private final List<Consumer<StoreOutcome>> mHandedOver = new ArrayList<>();
+        private final List<Consumer<StoreOutcome>> mPendingHandovers = new ArrayList<>();
         private final byte[] mRecord = JournalCodec.encode(new JobCancelled("aa", 1));
         private final JournalWriter mWriter;
-        private OwnerJournal mOwner;
+        private OwnerJournal mOwnerJournal;
         private long mToken;
         private boolean mConnected = true;
 
-        World(boolean through) {
-            mConnected = through;
+        Simulation(boolean connected) {
+            mConnected = connected;
             NodeLog out = NodeLog.silent(mTime);
             mWriter = new JournalWriter(mLog, JournalPartition.JOURNAL, this, mTime, mTime, out);
             nextOwner();
@@ -80,12 +80,12 @@
 
         void step(Step step) {
             switch (step) {
-                case CONNECTION_CHANGES -> {
+                case CONNECTION_TOGGLES -> {
                     mConnected = !mConnected;
-                    lose();
+                    dropPendingHandovers();
                 }
                 case NEXT_OWNER -> nextOwner();
-                case LATE_ONES_ARE_CARRIED_OUT -> mLog.carryOutLate();
+                case LATE_APPENDS_COMPLETE -> mLog.carryOutLate();
                 default -> mLog.next(step.mFate);
             }
             mLog.answer();
@@ -93,13 +93,13 @@
         }
 
         private void nextOwner() {
-            mOwner = new OwnerJournal(FakeOwnerParts.of(mTime, mLog), ++mToken, () -> {});
-            mOwner.raiseEpoch(() -> {});
+            mOwnerJournal = new OwnerJournal(FakeOwnerParts.of(mTime, mLog), ++mToken, () -> {});
+            mOwnerJournal.raiseEpoch(() -> {});
         }
 
-        private void lose() {
-            List<Consumer<StoreOutcome>> lost = List.copyOf(mHandedOver);
-            mHandedOver.clear();
+        private void dropPendingHandovers() {
+            List<Consumer<StoreOutcome>> lost = List.copyOf(mPendingHandovers);
+            mPendingHandovers.clear();
             lost.forEach(l -> l.accept(StoreOutcome.UNKNOWN));
         }
 
@@ -111,7 +111,7 @@
             }
         }
 
-        long stored() {
+        long storedCount() {
             return JournalPartition.all(3).stream()
                     .flatMap(p -> mLog.records(p).stream())
                     .filter(r -> Arrays.equals(r, mRecord))
@@ -125,11 +125,11 @@
 
         @Override
         public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            mHandedOver.add(then);
-            mOwner.storeHandedOver(
+            mPendingHandovers.add(then);
+            mOwnerJournal.storeHandedOver(
                     record,
                     o -> {
-                        if (mHandedOver.remove(then)) {
+                        if (mPendingHandovers.remove(then)) {
                             then.accept(o);
                         }
                     });
@@ -137,20 +137,20 @@
     }
 
     @Test
-    public void whatACallerIsToldIsTrueInEverySequence() {
+    public void reportedOutcomeMatchesTheJournalInEverySequence() {
         Map<StoreOutcome, Integer> counts = new EnumMap<>(StoreOutcome.class);
         Step[] steps = Step.values();
         int sequences = (int) Math.pow(steps.length, DEPTH);
         for (int n = 0; n < sequences; n++) {
             List<Step> sequence = sequence(steps, n);
-            for (boolean through : List.of(true, false)) {
-                StoreOutcome outcome = run(sequence, through);
+            for (boolean connected : List.of(true, false)) {
+                StoreOutcome outcome = run(sequence, connected);
                 counts.merge(outcome, 1, Integer::sum);
             }
         }
         System.out.println("accept explored: " + 2 * sequences + " sequences, " + counts);
 
-        assertEquals(counts.size(), StoreOutcome.values().length, "each outcome was met");
+        assertEquals(counts.size(), StoreOutcome.values().length, "every outcome occurs");
     }
 
     private static List<Step> sequence(Step[] steps, int number) {
@@ -163,21 +163,21 @@
         return sequence;
     }
 
-    private static StoreOutcome run(List<Step> sequence, boolean through) {
-        World world = new World(through);
+    private static StoreOutcome run(List<Step> sequence, boolean connected) {
+        Simulation simulation = new Simulation(connected);
         Optional<Step> first = Optional.of(sequence.get(0)).filter(s -> s.mFate != null);
-        first.ifPresent(s -> world.mLog.next(s.mFate));
-        world.begin();
-        sequence.subList(first.isPresent() ? 1 : 0, DEPTH).forEach(world::step);
-        world.end();
-
-        String story = sequence + (through ? ", through the owner" : ", by itself");
-        assertEquals(world.mOutcomes.size(), 1, story);
-        StoreOutcome outcome = world.mOutcomes.get(0);
+        first.ifPresent(s -> simulation.mLog.next(s.mFate));
+        simulation.begin();
+        sequence.subList(first.isPresent() ? 1 : 0, DEPTH).forEach(simulation::step);
+        simulation.end();
+
+        String description = sequence + (connected ? ", through the owner" : ", directly");
+        assertEquals(simulation.mOutcomes.size(), 1, description);
+        StoreOutcome outcome = simulation.mOutcomes.get(0);
         if (outcome == StoreOutcome.NOT_STORED) {
-            assertEquals(world.stored(), 0, story);
+            assertEquals(simulation.storedCount(), 0, description);
         } else if (outcome == StoreOutcome.STORED) {
-            assertTrue(world.stored() > 0, story);
+            assertTrue(simulation.storedCount() > 0, description);
         }
         return outcome;
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/LogPath.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/DisconnectableLog.java
@@ -5,31 +5,31 @@
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog;
 
-/** A node's way to the log, which can be cut; nothing arrives and nothing is answered then. */
-final class LogPath implements SharedLog {
+/** A node's connection to the log, which a test can break: requests and answers are then lost. */
+final class DisconnectableLog implements SharedLog {
     private final SharedLog mLog;
-    private boolean mCut;
+    private boolean mDisconnected;
 
-    LogPath(SharedLog log) {
+    DisconnectableLog(SharedLog log) {
         mLog = log;
     }
 
-    void cut() {
-        mCut = true;
+    void disconnect() {
+        mDisconnected = true;
     }
 
     @Override
     public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
-        if (!mCut) {
-            mLog.append(at, records, r -> answer(then, r));
+        if (!mDisconnected) {
+            mLog.append(at, records, r -> deliver(then, r));
         }
     }
 
     @Override
     public void appendAt(
             LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> then) {
-        if (!mCut) {
-            mLog.appendAt(at, expectedEnd, record, r -> answer(then, r));
+        if (!mDisconnected) {
+            mLog.appendAt(at, expectedEnd, record, r -> deliver(then, r));
         }
     }
 
@@ -39,20 +39,20 @@
             WriterEpoch writer,
             List<byte[]> records,
             Consumer<AppendResult> then) {
-        if (!mCut) {
-            mLog.appendAs(at, writer, records, r -> answer(then, r));
+        if (!mDisconnected) {
+            mLog.appendAs(at, writer, records, r -> deliver(then, r));
         }
     }
 
     @Override
     public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
-        if (!mCut) {
-            mLog.read(at, from, page, r -> answer(then, r));
+        if (!mDisconnected) {
+            mLog.read(at, from, page, r -> deliver(then, r));
         }
     }
 
-    private <T> void answer(Consumer<T> then, T result) {
-        if (!mCut) {
+    private <T> void deliver(Consumer<T> then, T result) {
+        if (!mDisconnected) {
             then.accept(result);
         }
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
@@ -9,12 +9,12 @@
 import org.foxtailplank.port.Feed;
 import org.foxtailplank.port.WorkerInfo;
 
-/** A directory of workers that tests change. */
+/** A worker directory that tests modify. */
 final class FakeDirectory implements Feed<WorkerInfo> {
     private final List<Item<WorkerInfo>> mItems = new ArrayList<>();
 
-    /** Names a worker of eight cores. */
-    void list(String id, String service) {
+    /** Adds a worker with eight cores. */
+    void add(String id, String service) {
         WorkerInfo info =
                 new WorkerInfo(
                         id,
@@ -28,8 +28,8 @@
         mItems.add(new Item<>(id, Optional.of(info)));
     }
 
-    /** Names a worker no more, as when its heartbeats don't arrive. */
-    void drop(String id) {
+    /** Removes a worker, as when its heartbeats stop. */
+    void remove(String id) {
         mItems.add(new Item<>(id, Optional.empty()));
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeOwnerParts.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeOwnerParts.java
@@ -17,7 +17,7 @@
 import org.foxtailplank.port.SharedLog;
 import org.foxtailplank.schedule.ScheduleLimits;
 
-/** What an owner's journal needs, on a log in memory and a clock that the test moves. */
+/** Dependencies of an owner, with an in-memory log and a clock that the test controls. */
 final class FakeOwnerParts {
     private FakeOwnerParts() {}
 
@@ -25,7 +25,7 @@
         return of(time, log, true, null, null);
     }
 
-    /** The same with a platform, for an owner that does all of its work. */
+    /** The same with a platform, for a complete owner. */
     static OwnerParts of(
             FakeNode time,
             SharedLog log,
@@ -36,7 +36,7 @@
         return of(time, log, vmTokensChecked, limits, operator, platform, (record, job) -> {});
     }
 
-    /** The same with leases of a length, and with whoever is told of the journal's records. */
+    /** The same with schedule limits and a listener for journal records. */
     static OwnerParts of(
             FakeNode time,
             SharedLog log,
@@ -49,7 +49,7 @@
                 time, log, vmTokensChecked, limits, LinkRate.UNKNOWN, operator, platform, listener);
     }
 
-    /** The same on a link of a rate. */
+    /** The same with a link rate. */
     static OwnerParts of(
             FakeNode time,
             SharedLog log,
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeSigns.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeSigns.java
@@ -4,7 +4,7 @@
 import org.foxtailplank.node.peer.OwnerSigns;
 import org.foxtailplank.node.peer.OwnerState;
 
-/** What the owner's connection would tell; the test sets it. */
+/** Status of the owner's connection, set by the test. */
 final class FakeSigns implements OwnerSigns {
     OwnerState mState = OwnerState.STREAMING;
     Optional<KnownOwner> mOwner = Optional.empty();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
@@ -17,14 +17,14 @@
 import org.foxtailplank.port.WorkerOrders;
 
 /**
- * Workers in memory, on the clock of a test. They keep what the platform's do: the highest token, a
- * lease at whose end all runs are killed, and a list of ends until these are acknowledged.
+ * In-memory workers on the test's clock. Like the platform's workers they keep the highest token, a
+ * lease whose expiry ends all runs, and a list of ends until it is acknowledged.
  */
 final class FakeWorkers {
     private static final long CLOCK_AHEAD_MS = 5000;
     private static final long ANSWER_MS = 5;
     private static final long TIMEOUT_MS = 400;
-    private static final int AT_WORK = 100;
+    private static final int FULL_PROGRESS_PERCENT = 100;
 
     private final FakeNode mTime;
     private final Map<String, Worker> mWorkers = new HashMap<>();
@@ -37,27 +37,27 @@
 
     private final class Worker {
         private final Set<Run> mRunning = new HashSet<>();
-        private final List<RunEnd> mEnded = new ArrayList<>();
+        private final List<RunEnd> mUnacknowledged = new ArrayList<>();
         private long mToken;
-        private long mUntilMs;
-        private long mEnds;
-        private boolean mHeldByOthers;
+        private long mLeaseUntilMs;
+        private long mLastEnd;
+        private boolean mLeaseHeld;
 
-        void lapse() {
-            if (!mHeldByOthers && clockMs() > mUntilMs) {
+        void endRunsIfLeaseExpired() {
+            if (!mLeaseHeld && clockMs() > mLeaseUntilMs) {
                 Set.copyOf(mRunning).forEach(r -> end(r, RunOutcome.LAPSED));
             }
         }
 
         void end(Run run, RunOutcome outcome) {
             if (mRunning.remove(run)) {
-                mEnds++;
-                mEnded.add(new RunEnd(mEnds, run.task(), run.attempt(), outcome, ""));
+                mLastEnd++;
+                mUnacknowledged.add(new RunEnd(mLastEnd, run.task(), run.attempt(), outcome, ""));
             }
         }
 
-        boolean obeys(long token) {
-            lapse();
+        boolean accepts(long token) {
+            endRunsIfLeaseExpired();
             mToken = Math.max(mToken, token);
             return token == mToken;
         }
@@ -71,12 +71,12 @@
         return mWorkers.computeIfAbsent(id, i -> new Worker());
     }
 
-    /** Workers on which a task runs now. */
+    /** Returns the workers on which a task is running. */
     List<String> running(TaskName task) {
         List<String> found = new ArrayList<>();
         mWorkers.forEach(
                 (id, w) -> {
-                    w.lapse();
+                    w.endRunsIfLeaseExpired();
                     w.mRunning.stream()
                             .filter(r -> r.task().equals(task))
                             .forEach(r -> found.add(id));
@@ -84,7 +84,7 @@
         return found;
     }
 
-    /** A task's run on a worker ends done. */
+    /** Ends a task's run on a worker as done. */
     void finish(String id, TaskName task) {
         Worker worker = worker(id);
         for (Run r : Set.copyOf(worker.mRunning)) {
@@ -94,45 +94,45 @@
         }
     }
 
-    boolean isLeaseOver(String id) {
-        return clockMs() > worker(id).mUntilMs;
+    boolean hasLeaseExpired(String id) {
+        return clockMs() > worker(id).mLeaseUntilMs;
     }
 
-    /** Somebody else keeps the worker's lease from lapsing. */
+    /** Keeps a worker's lease from expiring, as if another owner renewed it. */
     void holdLease(String id) {
-        worker(id).mHeldByOthers = true;
+        worker(id).mLeaseHeld = true;
     }
 
-    /** Where a node's orders go. */
-    Way way() {
-        return new Way();
+    /** Returns a node's connection to the workers. */
+    Connection connect() {
+        return new Connection();
     }
 
-    /** A node's way to the workers, of which single ones can be cut off. */
-    final class Way implements WorkerOrders {
-        private final Set<String> mCut = new HashSet<>();
-        private final List<Runnable> mHeldUp = new ArrayList<>();
+    /** A node's connection to the workers, which can be broken for single workers. */
+    final class Connection implements WorkerOrders {
+        private final Set<String> mDisconnected = new HashSet<>();
+        private final List<Runnable> mUndelivered = new ArrayList<>();
 
-        void cut(String id) {
-            mCut.add(id);
+        void disconnect(String id) {
+            mDisconnected.add(id);
         }
 
-        /** Orders that were held up and not yet given up arrive. */
-        void heal(String id) {
-            mCut.remove(id);
-            List<Runnable> orders = List.copyOf(mHeldUp);
-            mHeldUp.clear();
+        /** Restores the connection and delivers orders that have not timed out yet. */
+        void reconnect(String id) {
+            mDisconnected.remove(id);
+            List<Runnable> orders = List.copyOf(mUndelivered);
+            mUndelivered.clear();
             orders.forEach(Runnable::run);
         }
 
         @Override
         public void start(WorkerAddress to, StartOrder order, Consumer<OrderAnswer> then) {
-            call(to.id(), 0, unanswered(), then, () -> started(worker(to.id()), order));
+            call(to.id(), 0, unanswered(), then, () -> handleStart(worker(to.id()), order));
         }
 
         @Override
         public void stop(WorkerAddress to, RunOrder order, Consumer<OrderAnswer> then) {
-            call(to.id(), 0, unanswered(), then, () -> stopped(worker(to.id()), order));
+            call(to.id(), 0, unanswered(), then, () -> handleStop(worker(to.id()), order));
         }
 
         @Override
@@ -143,36 +143,43 @@
 
         @Override
         public void look(WorkerAddress to, LookOrder order, Consumer<LookAnswer> then) {
-            LookAnswer none = new LookAnswer(OrderOutcome.UNANSWERED, -1, List.of(), List.of());
+            LookAnswer unanswered =
+                    new LookAnswer(OrderOutcome.UNANSWERED, -1, List.of(), List.of());
             long wait = order.waitMs() / 2;
-            call(to.id(), wait, none, then, () -> looked(worker(to.id()), order));
+            call(to.id(), wait, unanswered, then, () -> handleLook(worker(to.id()), order));
         }
 
-        /** An order that meets a cut arrives when that heals, if nobody has given it up. */
+        /**
+         * Executes an order, or holds it until the connection is restored or the order times out.
+         */
         private <T> void call(
-                String id, long waitMs, T none, Consumer<T> then, Supplier<T> execute) {
-            boolean[] told = new boolean[1];
+                String id, long waitMs, T unanswered, Consumer<T> then, Supplier<T> execute) {
+            boolean[] completed = new boolean[1];
             Runnable arrive =
                     () -> {
-                        if (!told[0]) {
-                            told[0] = true;
+                        if (!completed[0]) {
+                            completed[0] = true;
                             T result = execute.get();
                             mTime.after(
                                     ANSWER_MS + waitMs,
-                                    () -> then.accept(mCut.contains(id) ? none : result));
+                                    () ->
+                                            then.accept(
+                                                    mDisconnected.contains(id)
+                                                            ? unanswered
+                                                            : result));
                         }
                     };
-            if (!mCut.contains(id)) {
+            if (!mDisconnected.contains(id)) {
                 arrive.run();
                 return;
             }
-            mHeldUp.add(arrive);
+            mUndelivered.add(arrive);
             mTime.after(
                     TIMEOUT_MS,
                     () -> {
-                        if (!told[0]) {
-                            told[0] = true;
-                            then.accept(none);
+                        if (!completed[0]) {
+                            completed[0] = true;
+                            then.accept(unanswered);
                         }
                     });
         }
@@ -186,36 +193,37 @@
         return new WorkerOrders.OrderAnswer(outcome, clockMs());
     }
 
-    private WorkerOrders.OrderAnswer started(Worker worker, WorkerOrders.StartOrder order) {
-        if (!worker.obeys(order.run().token())) {
+    private WorkerOrders.OrderAnswer handleStart(Worker worker, WorkerOrders.StartOrder order) {
+        if (!worker.accepts(order.run().token())) {
             return answer(OrderOutcome.FENCED);
         }
         if (order.leaseUntilMs() <= clockMs()) {
             return answer(OrderOutcome.LEASE_OVER);
         }
-        worker.mUntilMs = Math.max(worker.mUntilMs, order.leaseUntilMs());
+        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
         worker.mRunning.add(new Run(order.run().task(), order.run().attempt()));
         return answer(OrderOutcome.DONE);
     }
 
-    private WorkerOrders.OrderAnswer stopped(Worker worker, WorkerOrders.RunOrder order) {
-        if (!worker.obeys(order.token())) {
+    private WorkerOrders.OrderAnswer handleStop(Worker worker, WorkerOrders.RunOrder order) {
+        if (!worker.accepts(order.token())) {
             return answer(OrderOutcome.FENCED);
         }
         worker.end(new Run(order.task(), order.attempt()), RunOutcome.STOPPED);
         return answer(OrderOutcome.DONE);
     }
 
-    private WorkerOrders.LookAnswer looked(Worker worker, WorkerOrders.LookOrder order) {
-        if (!worker.obeys(order.token())) {
+    private WorkerOrders.LookAnswer handleLook(Worker worker, WorkerOrders.LookOrder order) {
+        if (!worker.accepts(order.token())) {
             return new WorkerOrders.LookAnswer(
                     OrderOutcome.FENCED, clockMs(), List.of(), List.of());
         }
-        worker.mUntilMs = Math.max(worker.mUntilMs, order.leaseUntilMs());
-        worker.mEnded.removeIf(e -> e.sequence() <= order.acknowledged());
+        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
+        worker.mUnacknowledged.removeIf(e -> e.sequence() <= order.acknowledged());
         List<RunView> running = new ArrayList<>();
         worker.mRunning.forEach(
-                r -> running.add(new RunView(r.task(), r.attempt(), "", AT_WORK, 0)));
-        return new WorkerOrders.LookAnswer(OrderOutcome.DONE, clockMs(), running, worker.mEnded);
+                r -> running.add(new RunView(r.task(), r.attempt(), "", FULL_PROGRESS_PERCENT, 0)));
+        return new WorkerOrders.LookAnswer(
+                OrderOutcome.DONE, clockMs(), running, worker.mUnacknowledged);
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/StillFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FixedFeed.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 import org.foxtailplank.port.Feed;
 
-/** Values that never change. */
-record StillFeed<T>(List<Feed.Item<T>> items) implements Feed<T> {
+/** A feed whose values never change. */
+record FixedFeed<T>(List<Feed.Item<T>> items) implements Feed<T> {
     @Override
     public void newest(Consumer<Result<T>> then) {
         then.accept(new Page<>(items, 0));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
@@ -14,10 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Owners' records and signs that no node has written. */
+/** Tests owner records and heartbeats that no node has written. */
 public class ForeignOwnersTest extends OwnershipTestBase {
     @DataProvider
-    public Object[][] foreignOwners() {
+    public Object[][] foreignOwnerRecords() {
         return new Object[][] {
             {"", new byte[0]},
             {"bytes that are no text", new byte[] {(byte) 0xff, 0, 7}},
@@ -29,75 +29,73 @@
         };
     }
 
-    @Test(dataProvider = "foreignOwners")
-    public void aRecordOfAnotherWriterAmongTheOwnersStopsNobody(String what, byte[] foreign) {
-        // Every node tries for ever to take the place of an owner that is gone, and no job is
-        // started any more: behind the last owner's record stands one that no node has written, so
-        // that the topic doesn't end where the next owner expects it to.
-        anotherOwns();
+    @Test(dataProvider = "foreignOwnerRecords")
+    public void foreignOwnerRecordDoesNotPreventTakeover(String description, byte[] foreign) {
+        // A foreign record after the last owner's moves the end of the owners partition. Nodes must
+        // expect that end, otherwise no takeover ever succeeds.
+        addOtherOwner();
         mLog.records(OWNERS).add(foreign);
         startNode();
-        passWithSigns(400);
+        passWithHeartbeats(400);
         mSigns.mState = OwnerState.GONE;
-        pass(4 * TRY_MS);
+        pass(4 * MAX_ATTEMPT_MS);
 
-        assertEquals(mTaken, List.of(3L), what);
-        assertEquals(mPredecessorsOver, List.of(false), "who came before is not known");
+        assertEquals(mTokens, List.of(3L), description);
+        assertEquals(mPredecessorCallsFinished, List.of(false), "the predecessor is unknown");
     }
 
     @Test
-    public void anOwnerIsLeftAloneThoughARecordOfAnotherWriterStandsBehindIts() {
-        anotherOwns();
+    public void foreignOwnerRecordDoesNotReplaceLiveOwner() {
+        addOtherOwner();
         mLog.records(OWNERS).add(new byte[0]);
         startNode();
-        passWithSigns(4000);
+        passWithHeartbeats(4000);
 
-        assertTrue(mTaken.isEmpty());
+        assertTrue(mTokens.isEmpty());
         assertEquals(mSigns.mOwner.get().token(), 1);
     }
 
     @Test
-    public void aSignOfAnOwnerThatIsNowhereIsNone() {
-        // A sign in the journal names an address that is none. Its reader threw, and nobody read
-        // the journal on: the owner was gone and no other node took its place.
-        anotherOwns();
+    public void heartbeatWithInvalidAddressIsIgnored() {
+        // A heartbeat with an invalid address must not stop the journal reader, which would leave a
+        // failed owner without a successor.
+        addOtherOwner();
         startNode();
-        passWithSigns(400);
+        passWithHeartbeats(400);
         write(new OwnerAlive(1, "nowhere", 0));
         write(new OwnerAlive(9, "10.0.0.9:", 0));
         write(new OwnerAlive(9, "", 0));
-        passWithSigns(1200);
-        boolean early = !mTaken.isEmpty();
+        passWithHeartbeats(1200);
+        boolean takenEarly = !mTokens.isEmpty();
         mSigns.mState = OwnerState.GONE;
-        pass(2 * TRY_MS);
+        pass(2 * MAX_ATTEMPT_MS);
 
-        assertFalse(early);
+        assertFalse(takenEarly);
         assertEquals(mSigns.mOwner.get().address(), new InetSocketAddress("10.0.0.9", 1));
-        assertEquals(mTaken, List.of(2L));
+        assertEquals(mTokens, List.of(2L));
     }
 
     @DataProvider
-    public Object[][] foreignSigns() {
+    public Object[][] recordsWithUnissuedToken() {
         return new Object[][] {
             {new OwnerAlive(1L << 40, "10.0.0.3:1", 0)}, {new OwnerLeft(1L << 40, "third", true)},
         };
     }
 
-    @Test(dataProvider = "foreignSigns")
-    public void aSignWithATokenThatNobodyWasGivenKeepsNobodyFromOwning(JournalRecord foreign) {
-        // A record in the journal names a token far beyond the owners' topic. Every node expected
-        // the topic to end there, so that none could take ownership any more, and the owner's own
-        // signs counted for nothing.
-        anotherOwns();
+    @Test(dataProvider = "recordsWithUnissuedToken")
+    public void recordWithUnissuedTokenDoesNotPreventTakeover(JournalRecord foreign) {
+        // A journal record with a token beyond the owners partition must neither block takeovers
+        // nor hide the real owner's heartbeats.
+        addOtherOwner();
         startNode();
-        passWithSigns(400);
+        passWithHeartbeats(400);
         write(foreign);
-        passWithSigns(8000);
-        boolean replaced = !mTaken.isEmpty();
+        passWithHeartbeats(8000);
+        boolean replaced = !mTokens.isEmpty();
         mSigns.mState = OwnerState.GONE;
-        pass(4 * TRY_MS);
+        pass(4 * MAX_ATTEMPT_MS);
 
-        assertFalse(replaced, "the owner showed itself all the time");
-        assertEquals(mTaken, List.of(2L));
+        assertFalse(replaced, "the owner wrote heartbeats all the time");
+        assertEquals(mTokens, List.of(2L));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
@@ -28,13 +28,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Entries of another writer in the directory of workers, and what the owner does about them.
+ * Tests that foreign entries in the worker directory are ignored.
  *
- * <p>Callers see jobs wait, or done twice: the owner gives tasks to a worker that only a foreign
- * entry names, or goes on giving them to one whose own entry was overwritten.
+ * <p>Otherwise the owner assigns tasks to a worker that only a foreign entry names, or keeps using
+ * one whose own entry was overwritten, and jobs wait or run twice.
  */
 public class ForeignWorkersTest {
-    /** Some reads of the directory. */
+    /** Long enough for several reads of the directory. */
     private static final long READS_MS = 200;
 
     private FakeNode mTime;
@@ -42,7 +42,7 @@
     private FakeFeed<WorkerInfo> mDirectory;
     private FakeFeed<OperatorOrder> mOrders;
     private OperatorFollower mOperator;
-    private Set<String> mLookedAt;
+    private Set<String> mPolled;
     private OwnerWork mOwner;
 
     @BeforeMethod
@@ -52,11 +52,11 @@
         mDirectory = new FakeFeed<>();
         mOrders = new FakeFeed<>();
         mOperator = new OperatorFollower(mOrders, mTime, mTime, NodeLog.silent(mTime));
-        mLookedAt = new HashSet<>();
-        config(1, "surveys");
+        mPolled = new HashSet<>();
+        putConfig(1, "surveys");
     }
 
-    /** Answers every look; nothing runs anywhere. */
+    /** Answers every poll with no runs. */
     private final class Workers implements WorkerOrders {
         @Override
         public void start(WorkerAddress worker, StartOrder order, Consumer<OrderAnswer> then) {
@@ -76,14 +76,14 @@
 
         @Override
         public void look(WorkerAddress worker, LookOrder order, Consumer<LookAnswer> then) {
-            mLookedAt.add(worker.id());
+            mPolled.add(worker.id());
             LookAnswer answer =
                     new LookAnswer(OrderOutcome.DONE, mTime.nowMs(), List.of(), List.of());
             mTime.after(Math.max(1, order.waitMs()), () -> then.accept(answer));
         }
     }
 
-    /** The VM service, which isn't reached. */
+    /** A VM service that cannot be reached. */
     private static final class NoVms implements VmActions {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
@@ -101,7 +101,7 @@
         }
     }
 
-    private void config(long version, String service) {
+    private void putConfig(long version, String service) {
         PoolService pool = new PoolService(service, true, false);
         FleetConfig config = new FleetConfig(version, List.of(), List.of(pool), 1000);
         mOrders.put("config", new OperatorOrder.NewConfig(config));
@@ -136,93 +136,92 @@
     }
 
     @Test
-    public void anEntryThatCannotBeReadNamesNoWorkerAndTheOthersHold() {
+    public void unreadableEntriesAreIgnoredAndOthersApply() {
         mDirectory.put("w1", worker("w1", "surveys"));
         mDirectory.putForeign("w2");
         mDirectory.putForeign("");
         mDirectory.put("w3", worker("w3", "surveys"));
         startOwner();
 
-        assertEquals(mLookedAt, Set.of("w1", "w3"));
+        assertEquals(mPolled, Set.of("w1", "w3"));
         assertTrue(mOwner.scheduler().worker("w2").isEmpty());
     }
 
     @Test
-    public void aWorkerWhoseEntryCannotBeReadAnyMoreIsListedNoMoreUntilItSaysSo() {
-        // A worker was known when another writer overwrote its entry. Its old entry must not go on
-        // counting: nobody knows whether the worker drains. Its next heartbeat brings it back.
+    public void workerWithOverwrittenEntryIsUnlistedUntilItsNextEntry() {
+        // A worker's old entry must not count after a foreign writer has overwritten it, since the
+        // worker may be draining; its next heartbeat lists it again.
         mDirectory.put("w1", worker("w1", "surveys"));
         startOwner();
-        boolean before = isListed("w1");
+        boolean listedBefore = isListed("w1");
         mDirectory.putForeign("w1");
         pass(READS_MS);
-        boolean meanwhile = isListed("w1");
+        boolean listedWhileUnreadable = isListed("w1");
         mDirectory.put("w1", worker("w1", "surveys"));
         pass(READS_MS);
 
-        assertTrue(before);
-        assertFalse(meanwhile);
+        assertTrue(listedBefore);
+        assertFalse(listedWhileUnreadable);
         assertTrue(isListed("w1"));
     }
 
     @Test
-    public void aWorkerOfAServiceThatIsNotNamedIsNeitherListedNorLookedAt() {
+    public void workerOfUnconfiguredServiceIsNeitherListedNorPolled() {
         mDirectory.put("w1", worker("w1", "nobodys"));
         mDirectory.put("w2", worker("w2", "surveys"));
         startOwner();
 
-        assertEquals(mLookedAt, Set.of("w2"));
+        assertEquals(mPolled, Set.of("w2"));
         assertFalse(isListed("w1"));
     }
 
     @Test
-    public void aWorkerIsTakenInOnceTheConfigurationNamesItsService() {
-        // The configuration and the directory are read side by side, so that a worker of a new
-        // service may be read first. Dropped for good it would stand idle until it says something.
+    public void workerIsListedOnceItsServiceIsConfigured() {
+        // The configuration and the directory are read concurrently, so a worker of a new service
+        // may be read first. It must not be dropped until its next entry.
         mDirectory.put("w1", worker("w1", "reports"));
         startOwner();
-        boolean early = isListed("w1");
-        config(2, "reports");
+        boolean listedEarly = isListed("w1");
+        putConfig(2, "reports");
         pass(READS_MS);
 
-        assertFalse(early);
+        assertFalse(listedEarly);
         assertTrue(isListed("w1"));
-        assertEquals(mLookedAt, Set.of("w1"));
+        assertEquals(mPolled, Set.of("w1"));
     }
 
     @Test
-    public void aWorkerThatWasDroppedIsNotTakenInByALaterConfiguration() {
+    public void removedWorkerIsNotListedByALaterConfiguration() {
         mDirectory.put("w1", worker("w1", "reports"));
         startOwner();
         mDirectory.drop("w1");
         pass(READS_MS);
-        config(2, "reports");
+        putConfig(2, "reports");
         pass(READS_MS);
 
-        assertTrue(mLookedAt.isEmpty());
+        assertTrue(mPolled.isEmpty());
         assertFalse(isListed("w1"));
     }
 
     @Test
-    public void aWorkerWhoseServiceIsNamedNoMoreIsListedNoMore() {
+    public void workerThatMovesToUnconfiguredServiceIsUnlisted() {
         mDirectory.put("w1", worker("w1", "surveys"));
         startOwner();
-        boolean before = isListed("w1");
+        boolean listedBefore = isListed("w1");
         mDirectory.put("w1", worker("w1", "nobodys"));
         pass(READS_MS);
 
-        assertTrue(before);
+        assertTrue(listedBefore);
         assertFalse(isListed("w1"));
     }
 
     @Test
-    public void anOwnerWithoutAConfigurationLooksAtAllWorkers() {
-        // A new owner that has no configuration yet must renew the leases of what runs: were its
-        // workers not looked at, all their tasks would end.
+    public void ownerWithoutConfigurationPollsAllWorkers() {
+        // An owner without a configuration must still renew the leases of running tasks.
         mOperator = new OperatorFollower(new FakeFeed<>(), mTime, mTime, NodeLog.silent(mTime));
         mDirectory.put("w1", worker("w1", "surveys"));
         startOwner();
 
-        assertEquals(mLookedAt, Set.of("w1"));
+        assertEquals(mPolled, Set.of("w1"));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
@@ -26,11 +26,10 @@
 import org.testng.annotations.Test;
 
 /**
- * An owner that was replaced without knowing, and a VM service that obeys whoever calls.
+ * Tests owners that were replaced without noticing, with a VM service that does not check tokens.
  *
- * <p>A zone is cut off with the owner in it. Another node takes its place and reboots VMs of a
- * wave. The former owner still reaches the VM service, or reaches it again before the store, and
- * goes on with the same wave: VMs go down that the new owner counts on.
+ * <p>A former owner that still reaches the VM service must not go on rebooting VMs of a wave,
+ * because its successor relies on them.
  */
 public class FormerOwnerTest {
     private static final String VM = "vm1";
@@ -46,7 +45,7 @@
         mCallers = new ArrayList<>();
     }
 
-    /** Obeys nobody's token; says that it did nothing, so that each owner calls again. */
+    /** Ignores tokens and reports that nothing was done, so that each owner repeats its calls. */
     private final class Vms implements VmActions {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
@@ -56,7 +55,7 @@
 
         @Override
         public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
-            throw new AssertionError("no pool lacks a VM");
+            throw new AssertionError("no pool needs another VM");
         }
 
         @Override
@@ -68,13 +67,13 @@
         }
     }
 
-    private OwnerWork owner(SharedLog path, TakeOver taken, boolean checked) {
+    private OwnerWork startOwner(SharedLog log, TakeOver takeover, boolean tokensChecked) {
         PoolService off = new PoolService("off", true, true);
         OperatorOrder config =
                 new OperatorOrder.NewConfig(new FleetConfig(1, List.of(), List.of(off), 1000));
         OperatorOrder wave = new OperatorOrder.NewWave(new WaveOrder(1, List.of(VM), 30_000, 1));
         Feed<OperatorOrder> orders =
-                new StillFeed<>(
+                new FixedFeed<>(
                         List.of(
                                 new Feed.Item<>("config", Optional.of(config)),
                                 new Feed.Item<>("wave/1", Optional.of(wave))));
@@ -84,9 +83,9 @@
         WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
         OwnerParts.Platform platform =
                 new OwnerParts.Platform(
-                        new StillFeed<WorkerInfo>(List.of()), null, new Vms(), null, board);
-        OwnerParts parts = FakeOwnerParts.of(mTime, path, checked, operator, platform);
-        OwnerWork work = new OwnerWork(parts, taken, () -> {});
+                        new FixedFeed<WorkerInfo>(List.of()), null, new Vms(), null, board);
+        OwnerParts parts = FakeOwnerParts.of(mTime, log, tokensChecked, operator, platform);
+        OwnerWork work = new OwnerWork(parts, takeover, () -> {});
         work.start();
         return work;
     }
@@ -99,53 +98,56 @@
     }
 
     @Test
-    public void anOwnerThatIsCutOffStopsCallingBeforeItsSuccessorBegins() {
-        LogPath first = new LogPath(mLog);
-        owner(first, new TakeOver(1, true, true), false);
+    public void disconnectedOwnerStopsCallingBeforeItsSuccessorStarts() {
+        DisconnectableLog first = new DisconnectableLog(mLog);
+        startOwner(first, new TakeOver(1, true, true), false);
         pass(1000);
-        int before = mCallers.size();
-        first.cut();
-        owner(new LogPath(mLog), new TakeOver(2, false, false), false);
+        int callsBefore = mCallers.size();
+        first.disconnect();
+        startOwner(new DisconnectableLog(mLog), new TakeOver(2, false, false), false);
         pass(4000);
 
-        assertTrue(before > 0, "the first owner has called");
+        assertTrue(callsBefore > 0, "the first owner has called");
         assertTrue(mCallers.contains(2L), "the second owner has called");
         List<Long> sorted = mCallers.stream().sorted().toList();
-        assertEquals(mCallers, sorted, "nobody calls after its successor");
+        assertEquals(mCallers, sorted, "no owner calls after its successor");
     }
 
     @Test
-    public void anOwnerThatReachesTheStoreGoesOnCalling() {
-        owner(new LogPath(mLog), new TakeOver(1, true, true), false);
+    public void connectedOwnerKeepsCalling() {
+        startOwner(new DisconnectableLog(mLog), new TakeOver(1, true, true), false);
         pass(1000);
-        int before = mCallers.size();
+        int callsBefore = mCallers.size();
         pass(4000);
 
-        assertTrue(mCallers.size() > before + 30, "a call each 100 ms");
+        assertTrue(mCallers.size() > callsBefore + 30, "one call every 100 ms");
     }
 
     @Test
-    public void theSuccessorOfAnOwnerThatHasLeftDoesNotWait() {
-        OwnerWork first = owner(new LogPath(mLog), new TakeOver(1, true, true), false);
+    public void successorOfOwnerThatLeftDoesNotWait() {
+        OwnerWork first =
+                startOwner(new DisconnectableLog(mLog), new TakeOver(1, true, true), false);
         pass(1000);
         first.leave(() -> {});
         pass(100);
-        owner(new LogPath(mLog), new TakeOver(2, true, true), false);
+        startOwner(new DisconnectableLog(mLog), new TakeOver(2, true, true), false);
         pass(300);
 
         assertTrue(mCallers.contains(2L));
     }
 
     @Test
-    public void whereTheServiceChecksTokensNobodyWaits() {
-        LogPath first = new LogPath(mLog);
-        owner(first, new TakeOver(1, true, true), true);
+    public void successorDoesNotWaitIfTheVmServiceChecksTokens() {
+        DisconnectableLog first = new DisconnectableLog(mLog);
+        startOwner(first, new TakeOver(1, true, true), true);
         pass(1000);
-        first.cut();
-        owner(new LogPath(mLog), new TakeOver(2, false, false), true);
+        first.disconnect();
+        startOwner(new DisconnectableLog(mLog), new TakeOver(2, false, false), true);
         pass(300);
 
         assertTrue(mCallers.contains(2L));
-        assertFalse(mCallers.equals(mCallers.stream().sorted().toList()), "only the lease orders");
+        assertFalse(
+                mCallers.equals(mCallers.stream().sorted().toList()),
+                "calls are only ordered by the lease");
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerPlaceTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerPlaceTest.java
@@ -6,7 +6,7 @@
 import org.foxtailplank.node.LinkRate;
 import org.testng.annotations.Test;
 
-/** Whether an owner gives its place up for its link's sake. */
+/** Tests when an owner on a narrow link steps down. */
 public class NarrowOwnerPlaceTest {
     private static final LinkRate NARROW = new LinkRate(10);
     private static final LinkRate WIDE = new LinkRate(200);
@@ -18,27 +18,27 @@
         return owner;
     }
 
-    /** Guards against a node on a narrow link that stays the owner while better ones follow it. */
+    /** A node on a narrow link must not stay the owner while a follower has an ample link. */
     @Test
-    public void anOwnerOnANarrowLinkGivesUpForAFollowerOnAnAmpleOne() {
+    public void ownerOnNarrowLinkStepsDownForFollowerOnAmpleLink() {
         assertTrue(owner(NARROW).givesUp(LATER_MS - 100, LATER_MS));
     }
 
     @Test
-    public void anOwnerStaysWhileNobodyElseCouldOwn() {
+    public void ownerStaysWithoutStandbyFollower() {
         assertFalse(owner(NARROW).givesUp(Long.MIN_VALUE / 2, LATER_MS));
         assertFalse(owner(NARROW).givesUp(0, LATER_MS));
     }
 
     @Test
-    public void anOwnerOnAnAmpleOrUnknownLinkStays() {
+    public void ownerOnAmpleOrUnknownLinkStays() {
         assertFalse(owner(WIDE).givesUp(LATER_MS, LATER_MS));
         assertFalse(owner(LinkRate.UNKNOWN).givesUp(LATER_MS, LATER_MS));
     }
 
-    /** Guards against a place that two nodes hand to each other again and again. */
+    /** Two nodes must not hand ownership back and forth. */
     @Test
-    public void anOwnerThatIsBackSoonStays() {
+    public void ownerThatSteppedDownRecentlyStays() {
         NarrowOwner owner = owner(NARROW);
         assertFalse(owner.givesUp(100, 100));
         assertTrue(owner.givesUp(LATER_MS, LATER_MS));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
@@ -36,7 +36,7 @@
 import org.foxtailplank.schedule.ScheduleLimits;
 import org.testng.annotations.Test;
 
-/** What an owner sends over a link of 10 Mbit/s while a queue has a backlog. */
+/** Tests what an owner sends over a link of 10 Mbit/s while a queue has a backlog. */
 public class NarrowOwnerTest {
     private static final String SERVICE = "survey";
     private static final LinkRate LINK = new LinkRate(10);
@@ -52,35 +52,35 @@
     private final Map<Long, Integer> mStartsBySecond = new HashMap<>();
     private final Set<TaskName> mStarted = new HashSet<>();
 
-    /** Counts the starts of each second. */
-    private final class CountedWay implements WorkerOrders {
-        private final WorkerOrders mWay = new FakeWorkers(mTime).way();
+    /** Counts the starts per second. */
+    private final class CountingWorkerOrders implements WorkerOrders {
+        private final WorkerOrders mDelegate = new FakeWorkers(mTime).connect();
 
         @Override
         public void start(WorkerAddress to, StartOrder order, Consumer<OrderAnswer> then) {
             mStartsBySecond.merge(mTime.nowMs() / SECOND_MS, 1, Integer::sum);
             mStarted.add(order.run().task());
-            mWay.start(to, order, then);
+            mDelegate.start(to, order, then);
         }
 
         @Override
         public void stop(WorkerAddress to, RunOrder order, Consumer<OrderAnswer> then) {
-            mWay.stop(to, order, then);
+            mDelegate.stop(to, order, then);
         }
 
         @Override
         public void pace(
                 WorkerAddress to, RunOrder order, int percent, Consumer<OrderAnswer> then) {
-            mWay.pace(to, order, percent, then);
+            mDelegate.pace(to, order, percent, then);
         }
 
         @Override
         public void look(WorkerAddress to, LookOrder order, Consumer<LookAnswer> then) {
-            mWay.look(to, order, then);
+            mDelegate.look(to, order, then);
         }
     }
 
-    /** VMs that nobody lists. */
+    /** A VM service without VMs. */
     private static final class NoVms implements VmActions {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
@@ -126,14 +126,14 @@
                 new OperatorOrder.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
         OperatorFollower operator =
                 new OperatorFollower(
-                        new StillFeed<>(List.of(new Feed.Item<>("config", Optional.of(config)))),
+                        new FixedFeed<>(List.of(new Feed.Item<>("config", Optional.of(config)))),
                         mTime,
                         mTime,
                         NodeLog.silent(mTime));
         operator.refresh(read -> {});
         FakeDirectory directory = new FakeDirectory();
         for (int i = 0; i < WORKERS; i++) {
-            directory.list("w" + i, SERVICE);
+            directory.add("w" + i, SERVICE);
         }
         WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
         return FakeOwnerParts.of(
@@ -143,13 +143,14 @@
                 new ScheduleLimits(6000, 250),
                 LINK,
                 operator,
-                new OwnerParts.Platform(directory, new CountedWay(), new NoVms(), null, board),
+                new OwnerParts.Platform(
+                        directory, new CountingWorkerOrders(), new NoVms(), null, board),
                 (record, job) -> work[0].recorded(record, job));
     }
 
-    /** Guards against an owner whose starts fill its link, so that orders and looks time out. */
+    /** Starts must not fill the owner's link, or orders and polls time out. */
     @Test
-    public void startsLeaveHalfOfANarrowLinkFree() {
+    public void startsUseAtMostHalfOfANarrowLink() {
         OwnerWork[] work = new OwnerWork[1];
         OwnerParts parts = parts(work);
         work[0] = new OwnerWork(parts, new TakeOver(1, true, true), () -> {});
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The journal of owners that follow each other. */
+/** Tests the journal writers of successive owners. */
 public class OwnerJournalTest {
     private static final LogPartition SPARE = JournalPartition.all(3).get(1);
     private static final LogPartition THIRD = JournalPartition.all(3).get(2);
@@ -34,11 +34,11 @@
         mParts = FakeOwnerParts.of(mTime, mLog);
     }
 
-    private int stored() {
+    private int storedCount() {
         return mLog.records(JournalPartition.JOURNAL).size();
     }
 
-    private int spare() {
+    private int spareCount() {
         return mLog.records(SPARE).size();
     }
 
@@ -50,9 +50,9 @@
     }
 
     @Test
-    public void anEarlierOwnerCanWriteNothingOnceTheNextOneReads() {
-        // An owner is paused and goes on after another one has taken over. It would acknowledge an
-        // end, or start a task, that the new owner does not find in the journal.
+    public void earlierOwnerIsFencedOnceTheEpochIsRaised() {
+        // A paused owner that resumes after a takeover must not store an end or a start, because
+        // its successor has already read the journal.
         AtomicInteger fenced = new AtomicInteger();
         OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
         OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
@@ -67,11 +67,11 @@
 
         assertFalse(wasStored[0]);
         assertEquals(fenced.get(), 1);
-        assertEquals(stored(), 0);
+        assertEquals(storedCount(), 0);
     }
 
     @Test
-    public void aRecordWhoseAnswerIsLostIsStoredOnce() {
+    public void recordWhoseAnswerIsLostIsStoredOnce() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -84,20 +84,20 @@
         }
 
         assertTrue(wasStored[0]);
-        assertEquals(stored(), 1);
+        assertEquals(storedCount(), 1);
     }
 
     @Test
-    public void whoWaitsForAnOwnerWhoseTimeEndsLearnsThatNobodyKnows() {
-        // Another node has handed a caller's job over when this owner is replaced. The job may be
-        // stored; an answer that never comes would leave the caller without one.
+    public void pendingHandoversAreAnsweredWhenTheJournalIsClosed() {
+        // A caller whose record was handed over must get an answer when the owner is replaced:
+        // unknown if the record was sent, not stored otherwise.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
         List<StoreOutcome> outcomes = new ArrayList<>();
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         journal.storeHandedOver(new byte[] {2}, outcomes::add);
-        journal.end();
+        journal.close();
         journal.storeHandedOver(new byte[] {3}, outcomes::add);
         mLog.answer();
 
@@ -108,33 +108,32 @@
     }
 
     @Test
-    public void recordsOfOthersAreGivenBackWhileTheStoreTakesNothing() {
-        // All partitions are down. Callers of other nodes would wait for all of their time to
-        // learn
-        // what the owner knows at once; its own records go on waiting.
+    public void handedOverRecordsAreRejectedWhileAllPartitionsRefuse() {
+        // Callers of other nodes must learn at once that all partitions are down; the owner's own
+        // records keep waiting.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        boolean[] own = {false};
+        boolean[] ownStored = {false};
         mLog.next(Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
-        journal.store(new OwnerAlive(1, "a", 0), () -> own[0] = true);
+        journal.store(new OwnerAlive(1, "a", 0), () -> ownStored[0] = true);
         journal.storeHandedOver(new byte[] {2}, outcomes::add);
         mLog.answer();
-        List<StoreOutcome> told = List.copyOf(outcomes);
+        List<StoreOutcome> earlyOutcomes = List.copyOf(outcomes);
         mTime.pass(100);
         mLog.answer();
 
-        assertEquals(told, List.of(StoreOutcome.NOT_STORED, StoreOutcome.NOT_STORED));
-        assertTrue(own[0]);
-        assertEquals(stored(), 1);
+        assertEquals(earlyOutcomes, List.of(StoreOutcome.NOT_STORED, StoreOutcome.NOT_STORED));
+        assertTrue(ownStored[0]);
+        assertEquals(storedCount(), 1);
     }
 
     @Test
-    public void anAppendWithoutAnAnswerIsSentOnceMoreAndStoredOnce() {
-        // The store loses a third of its answers. All starts and ends wait for the owner's append,
-        // and each loss cost them the whole timeout.
+    public void unansweredAppendIsResentAndStoredOnce() {
+        // All starts and ends wait for the owner's append, so a lost answer must not cost a whole
+        // timeout.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -142,19 +141,19 @@
         boolean[] wasStored = {false};
         journal.store(new OwnerAlive(1, "a", 0), () -> wasStored[0] = true);
         mLog.answer();
-        boolean before = wasStored[0];
+        boolean storedEarly = wasStored[0];
         mTime.pass(150);
         mLog.answer();
 
-        assertFalse(before);
+        assertFalse(storedEarly);
         assertTrue(wasStored[0]);
-        assertEquals(stored(), 1);
+        assertEquals(storedCount(), 1);
     }
 
     @Test
-    public void recordsOfOthersWaitWhileAnAnswerIsOnlyLate() {
-        // The store is slow. Given back at the first late answer, the records of all nodes came to
-        // the store side by side, and none of them got through for seconds.
+    public void handedOverRecordsWaitWhileAnAnswerIsLate() {
+        // Handed-over records must not be rejected at the first late answer of a slow store: all
+        // nodes would then append concurrently and slow it down further.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -163,19 +162,19 @@
         journal.store(new OwnerAlive(1, "a", 0), () -> {});
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         mLog.answer();
-        List<StoreOutcome> told = List.copyOf(outcomes);
+        List<StoreOutcome> earlyOutcomes = List.copyOf(outcomes);
         mTime.pass(100);
         mLog.answer();
 
-        assertFalse(told.contains(StoreOutcome.NOT_STORED), "it isn't given back");
-        assertFalse(told.contains(StoreOutcome.UNKNOWN), "nor given up");
+        assertFalse(earlyOutcomes.contains(StoreOutcome.NOT_STORED), "it is not rejected");
+        assertFalse(earlyOutcomes.contains(StoreOutcome.UNKNOWN), "nor is its outcome unknown");
         assertEquals(outcomes, List.of(StoreOutcome.STORED));
     }
 
     @Test
-    public void aRecordOfAnotherNodeThatMayBeStoredIsNotGivenBack() {
-        // The answer of the first append is lost, the second try is refused: the caller's job
-        // stands in the journal and will run, so that it must not be told that it won't.
+    public void handedOverRecordThatMayBeStoredIsNotRejected() {
+        // A record whose append may be stored must not be reported as not stored when its retry is
+        // refused.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -188,14 +187,12 @@
         }
 
         assertEquals(outcomes, List.of(StoreOutcome.STORED));
-        assertEquals(stored(), 1);
+        assertEquals(storedCount(), 1);
     }
 
     @Test
     public void recordsGoToTheSparePartitionWhileTheFirstIsDown() {
-        // One partition of the store is down, and it is the journal's. Nothing was accepted,
-        // started
-        // or told for as long, with 128 of 253 jobs of the queue whose turn it was never done.
+        // While the journal's first partition is down, records must go to the spare one.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -205,15 +202,15 @@
             journal.storeHandedOver(new byte[] {(byte) i}, outcomes::add);
             pass(100);
         }
-        int during = spare();
+        int spareWhileDown = spareCount();
         mLog.down(JournalPartition.JOURNAL, false);
         pass(500);
         journal.storeHandedOver(new byte[] {10}, outcomes::add);
         pass(100);
 
         assertEquals(outcomes, Collections.nCopies(11, StoreOutcome.STORED));
-        assertEquals(during, 10);
-        assertEquals(stored(), 1, "the first partition takes records again");
+        assertEquals(spareWhileDown, 10);
+        assertEquals(storedCount(), 1, "the first partition accepts records again");
     }
 
     @Test
@@ -232,7 +229,7 @@
     }
 
     @Test
-    public void recordsGoToTheSparePartitionWhileTheFirstIsSilent() {
+    public void recordsGoToTheSparePartitionWhileTheFirstDoesNotAnswer() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -242,14 +239,13 @@
         pass(500);
 
         assertEquals(outcomes, List.of(StoreOutcome.STORED));
-        assertEquals(spare(), 1);
+        assertEquals(spareCount(), 1);
     }
 
     @Test
-    public void whatMayBeStoredInTheFirstPartitionIsRepeatedAsItWas() {
-        // The store knows a repeated append by its number alone. Had the owner sent other records
-        // with that number once the first partition was back, they would have been taken for the
-        // first ones, and lost.
+    public void appendThatMayBeStoredIsRepeatedUnchanged() {
+        // The store recognises a repeated append by its sequence number alone. Other records sent
+        // with that number would be taken for the first ones and lost.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.answer();
@@ -270,9 +266,9 @@
     }
 
     @Test
-    public void aNewOwnerWaitsUntilItsPredecessorCanWriteToNoPartition() {
-        // The first owner writes to the spare partition. A second one that had raised the epoch of
-        // the first partition alone would miss a start that comes after it has read the journal.
+    public void newOwnerWaitsUntilTheEpochIsRaisedInAllPartitions() {
+        // The first owner may write to any partition. A second one that raises the epoch in the
+        // first partition alone could miss a start recorded after it has read the journal.
         AtomicInteger fenced = new AtomicInteger();
         OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
         first.raiseEpoch(() -> {});
@@ -282,31 +278,31 @@
         OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
         second.raiseEpoch(() -> raised[0] = true);
         pass(1000);
-        boolean early = raised[0];
+        boolean raisedEarly = raised[0];
         mLog.down(SPARE, false);
         pass(500);
         mLog.down(JournalPartition.JOURNAL, true);
         first.store(new OwnerAlive(1, "a", 0), () -> {});
         pass(200);
 
-        assertFalse(early);
+        assertFalse(raisedEarly);
         assertTrue(raised[0]);
         assertEquals(fenced.get(), 1);
-        assertEquals(spare(), 0);
+        assertEquals(spareCount(), 0);
     }
 
     @Test
-    public void recordsThatComeWhileAnAppendIsOnItsWayGoTogether() {
+    public void recordsEnqueuedDuringAnAppendAreSentTogether() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         for (int i = 0; i < 5; i++) {
             journal.store(new OwnerAlive(1, "a" + i, 0), () -> {});
         }
-        assertEquals(stored(), 0);
-        assertTrue(journal.isBehind());
+        assertEquals(storedCount(), 0);
+        assertTrue(journal.hasPendingRecords());
         mLog.answer();
 
-        assertEquals(stored(), 5);
-        assertFalse(journal.isBehind());
+        assertEquals(storedCount(), 5);
+        assertFalse(journal.hasPendingRecords());
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
 import org.testng.annotations.Test;
 
-/** How a node that has just started finds the owner. */
+/** Tests how a node that has just started finds the owner. */
 public class OwnerLookupTest extends OwnershipTestBase {
     private static final int LINK_BYTES = 100;
 
@@ -18,11 +18,10 @@
     }
 
     @Test
-    public void aNodeThatHasNotReadTheJournalYetKnowsTheOwner() {
-        // After the loss of all nodes those with narrow links refused callers' questions and
-        // appended each job by themselves for 8 to 10 s, though an owner worked after 0.7 s: its
-        // signs are at the end of the journal, which they had still to read.
-        anotherOwns();
+    public void ownerIsKnownBeforeTheJournalIsRead() {
+        // The owner's heartbeats are at the end of the journal, which takes seconds to read over a
+        // narrow link. Until then the node must find the owner by its record.
+        addOtherOwner();
         writeLongJournal();
         startNode();
         pass(500);
@@ -31,8 +30,8 @@
     }
 
     @Test
-    public void aNodeThatIsStillReadingLearnsOfTheNextOwner() {
-        anotherOwns();
+    public void nextOwnerIsKnownWhileTheJournalIsBeingRead() {
+        addOtherOwner();
         writeLongJournal();
         startNode();
         pass(500);
@@ -40,6 +39,6 @@
         pass(1000);
 
         assertEquals(mSigns.mOwner.map(KnownOwner::token), Optional.of(2L));
-        assertTrue(mTaken.isEmpty());
+        assertTrue(mTokens.isEmpty());
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerRecordTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerRecordTest.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** How an owner's record is written and read. */
+/** Tests the encoding of owner records. */
 public class OwnerRecordTest {
     @Test
-    public void aRecordIsReadAsItWasWritten() {
+    public void decodeReturnsEncodedRecord() {
         OwnerRecord record = new OwnerRecord("entry 1", "10.0.0.1:7000", "a1b2");
 
         assertEquals(OwnerRecord.decode(record.encode()), Optional.of(record));
     }
 
     @Test
-    public void otherBytesAreNoRecord() {
+    public void decodeRejectsOtherBytes() {
         assertTrue(OwnerRecord.decode("entry".getBytes(StandardCharsets.UTF_8)).isEmpty());
         assertTrue(OwnerRecord.decode(new byte[0]).isEmpty());
     }
