--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnershipTestBase.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnershipTestBase.java
@@ -18,27 +18,27 @@
 import org.foxtailplank.port.VmActions;
 import org.testng.annotations.BeforeMethod;
 
-/** A node beside an owner that the test plays, on a log and a clock in memory. */
+/** A node and a simulated owner, with an in-memory log and a clock that the test controls. */
 abstract class OwnershipTestBase {
     static final LogPartition OWNERS = new LogPartition("foxtail-owners", 0);
-    static final String ELSEWHERE = "10.0.0.9:1";
+    static final String OTHER_ADDRESS = "10.0.0.9:1";
 
-    /** Longest spread of the tries, and the time that a try takes in these tests. */
-    static final long TRY_MS = 450;
+    /** Longest random delay plus the duration of an attempt in these tests. */
+    static final long MAX_ATTEMPT_MS = 450;
 
     static final LinkRate WIDE = new LinkRate(1000);
     static final LinkRate NARROW = new LinkRate(1);
 
-    /** Within this time a node takes the place that no other one takes. */
-    static final long LAST_TRY_MS = 1200;
+    /** Time within which a node on a narrow link takes over if no other node does. */
+    static final long MAX_NARROW_ATTEMPT_MS = 1200;
 
     FakeNode mTime;
     FakeLog mLog;
     FakeSigns mSigns;
-    Optional<List<VmActions.VmInfo>> mVms;
-    List<Long> mTaken;
-    List<Boolean> mPredecessorsOver;
-    List<Boolean> mRenewalsOver;
+    Optional<List<VmActions.VmInfo>> mListedVms;
+    List<Long> mTokens;
+    List<Boolean> mPredecessorCallsFinished;
+    List<Boolean> mRenewalsFinished;
     Ownership mOwnership;
 
     @BeforeMethod
@@ -46,30 +46,30 @@
         mTime = new FakeNode();
         mLog = new FakeLog();
         mSigns = new FakeSigns();
-        mVms = Optional.of(List.of());
-        mTaken = new ArrayList<>();
-        mPredecessorsOver = new ArrayList<>();
-        mRenewalsOver = new ArrayList<>();
+        mListedVms = Optional.of(List.of());
+        mTokens = new ArrayList<>();
+        mPredecessorCallsFinished = new ArrayList<>();
+        mRenewalsFinished = new ArrayList<>();
     }
 
     private final class Vms implements VmActions {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
-            then.accept(mVms);
+            then.accept(mListedVms);
         }
 
         @Override
         public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
-            throw new AssertionError("not an owner yet");
+            throw new AssertionError("called before the takeover");
         }
 
         @Override
         public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
-            throw new AssertionError("not an owner yet");
+            throw new AssertionError("called before the takeover");
         }
     }
 
-    /** A node that starts now and reads what the journal holds. */
+    /** Starts a node, which reads the journal's contents. */
     void startNode() {
         startNode(WIDE);
     }
@@ -97,24 +97,24 @@
                         link,
                         mSigns,
                         new Vms(),
-                        this::taken);
+                        this::recordTakeover);
         reader.follow();
         mOwnership.watch();
     }
 
-    private void taken(TakeOver taken) {
-        mTaken.add(taken.token());
-        mPredecessorsOver.add(taken.predecessorOver());
-        mRenewalsOver.add(taken.renewalsOver());
+    private void recordTakeover(TakeOver takeover) {
+        mTokens.add(takeover.token());
+        mPredecessorCallsFinished.add(takeover.predecessorCallsFinished());
+        mRenewalsFinished.add(takeover.renewalsFinished());
     }
 
     void write(JournalRecord record) {
         mLog.records(JournalPartition.JOURNAL).add(JournalCodec.encode(record));
     }
 
-    void anotherOwns() {
-        mLog.records(OWNERS).add(new OwnerRecord("other", ELSEWHERE, "life").encode());
-        write(new OwnerAlive(1, ELSEWHERE, 0));
+    void addOtherOwner() {
+        mLog.records(OWNERS).add(new OwnerRecord("other", OTHER_ADDRESS, "life").encode());
+        write(new OwnerAlive(1, OTHER_ADDRESS, 0));
     }
 
     void pass(long ms) {
@@ -124,10 +124,10 @@
         }
     }
 
-    /** The owner goes on showing itself in the journal. */
-    void passWithSigns(long ms) {
+    /** Lets time pass while the owner keeps writing heartbeats. */
+    void passWithHeartbeats(long ms) {
         for (long t = 0; t < ms; t += 400) {
-            write(new OwnerAlive(1, ELSEWHERE, 0));
+            write(new OwnerAlive(1, OTHER_ADDRESS, 0));
             pass(400);
         }
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
@@ -11,49 +11,48 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a node that takes an owner's place may take as over of the owners before it. */
+/** Tests what a new owner assumes about VM calls and lease renewals of earlier owners. */
 public class PredecessorTest extends OwnershipTestBase {
-    @Test(dataProvider = "yesAndNo")
-    public void callsOfAnOwnerThatHasLeftAreOverIfItSaysSo(boolean callsOver) {
-        anotherOwns();
+    @Test(dataProvider = "booleans")
+    public void callsOfOwnerThatLeftAreFinishedIfItsRecordSaysSo(boolean callsOver) {
+        addOtherOwner();
         write(new OwnerLeft(1, "other", callsOver));
         startNode();
-        pass(TRY_MS);
+        pass(MAX_ATTEMPT_MS);
 
-        assertEquals(mPredecessorsOver, List.of(callsOver));
+        assertEquals(mPredecessorCallsFinished, List.of(callsOver));
     }
 
     @DataProvider
-    public Object[][] yesAndNo() {
+    public Object[][] booleans() {
         return new Object[][] {{true}, {false}};
     }
 
     @Test
-    public void callsOfAnOwnerWhoseProcessHasEndedAreOver() {
-        // All VMs lose power. The next owner would hold back every move of a VM for the length of a
-        // lease, while the queue whose turn it is waits for them.
-        anotherOwns();
-        write(new OwnerAlive(1, ELSEWHERE, CallLease.WAIT_MS));
+    public void callsOfOwnerWhoseProcessEndedAreFinished() {
+        // After a power loss the next owner must not delay VM moves for the length of a lease.
+        addOtherOwner();
+        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
-        pass(TRY_MS);
+        pass(MAX_ATTEMPT_MS);
 
-        assertEquals(mPredecessorsOver, List.of(true));
+        assertEquals(mPredecessorCallsFinished, List.of(true));
     }
 
     @Test
-    public void anOwnerOfAMomentDoesNotSpeakForTheOneBeforeIt() {
-        // The owner had just taken over from one that was cut off, and was killed. Its process is
-        // over, but calls of the one before may still be under way.
-        anotherOwns();
-        write(new OwnerAlive(1, ELSEWHERE, CallLease.WAIT_MS - 1));
+    public void shortTenureDoesNotProveThatEarlierCallsAreFinished() {
+        // An owner that was killed soon after its takeover says nothing about calls of its
+        // predecessor, which may still be in flight.
+        addOtherOwner();
+        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS - 1));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
-        pass(TRY_MS);
+        pass(MAX_ATTEMPT_MS);
 
-        assertEquals(mPredecessorsOver, List.of(false));
+        assertEquals(mPredecessorCallsFinished, List.of(false));
     }
 
     @DataProvider
@@ -68,39 +67,44 @@
     }
 
     @Test(dataProvider = "predecessors")
-    public void leasesAreRenewedNoMoreOnlyByOwnersWhoseProcessHasEnded(
-            String what, long ownedMs, OwnerState state, boolean saysSo, boolean over) {
-        // A successor that takes the leases of a cut-off owner as over starts tasks a second time.
-        anotherOwns();
-        write(new OwnerAlive(1, ELSEWHERE, ownedMs));
+    public void renewalsAreFinishedOnlyIfTheOwnersProcessEnded(
+            String description,
+            long ownedMs,
+            OwnerState state,
+            boolean reportsCallsOver,
+            boolean expected) {
+        // A successor that assumes that a disconnected owner's renewals have ended starts tasks
+        // twice.
+        addOtherOwner();
+        write(new OwnerAlive(1, OTHER_ADDRESS, ownedMs));
         startNode();
         mSigns.mState = state;
-        mSigns.mCallsOver = saysSo;
-        pass(OwnerState.SILENT.patienceMs() + TRY_MS);
+        mSigns.mCallsOver = reportsCallsOver;
+        pass(OwnerState.SILENT.patienceMs() + MAX_ATTEMPT_MS);
 
-        assertEquals(mRenewalsOver, List.of(over), what);
+        assertEquals(mRenewalsFinished, List.of(expected), description);
     }
 
     @Test
-    public void anOwnerThatHasLeftRenewsNoLeasesIfItOwnedForLongEnough() {
-        anotherOwns();
-        write(new OwnerAlive(1, ELSEWHERE, RenewalWindow.WAIT_MS));
+    public void renewalsAreFinishedIfOwnerLeftAfterLongTenure() {
+        addOtherOwner();
+        write(new OwnerAlive(1, OTHER_ADDRESS, RenewalWindow.WAIT_MS));
         write(new OwnerLeft(1, "other", false));
         startNode();
-        pass(TRY_MS);
+        pass(MAX_ATTEMPT_MS);
 
-        assertEquals(mRenewalsOver, List.of(true));
+        assertEquals(mRenewalsFinished, List.of(true));
     }
 
     @Test
-    public void anOwnerThatIsOnlySilentMayStillCall() {
-        anotherOwns();
-        write(new OwnerAlive(1, ELSEWHERE, CallLease.WAIT_MS));
+    public void callsOfSilentOwnerAreNotFinished() {
+        addOtherOwner();
+        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.SILENT;
         mSigns.mCallsOver = true;
-        pass(OwnerState.SILENT.patienceMs() + TRY_MS);
+        pass(OwnerState.SILENT.patienceMs() + MAX_ATTEMPT_MS);
 
-        assertEquals(mPredecessorsOver, List.of(false));
+        assertEquals(mPredecessorCallsFinished, List.of(false));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveTimesTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveTimesTest.java
@@ -11,60 +11,59 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** When a wave is due for owners that saw its order at different times. */
+/** Tests the deadline of a wave for owners that saw its order at different times. */
 public class WaveTimesTest {
     private static final long NOW_MS = 5000;
     private static final long WALL_MS = 1_700_000_000_000L;
     private static final WaveOrder WAVE = new WaveOrder(1, List.of("a"), 26_000, 1);
 
     private JobBook mBook;
-    private WaveTimes mTimes;
+    private WaveTimes mDeadlines;
 
     @BeforeMethod
     public void setUp() {
         mBook = new JobBook(1000);
-        mTimes = new WaveTimes(mBook);
+        mDeadlines = new WaveTimes(mBook);
     }
 
-    private static List<DueWave> seen(long leftMs) {
+    private static List<DueWave> waveDueIn(long leftMs) {
         return List.of(new DueWave(WAVE, NOW_MS + leftMs));
     }
 
     @Test
-    public void anOwnerThatReadTheOrderLateKeepsTheTimeOfTheEarlierOwner() {
-        // Operators saw a wave late after a change of owner: 10 of 119 VMs were left. The second
-        // owner had been turned away by the store as the wave was ordered, read the order ten
-        // seconds later, and thought it due in 18.7 s when 8.7 s were left.
+    public void recordedDeadlineWinsOverLaterOne() {
+        // An owner that read the order late, such as after a store outage, must not extend the
+        // wave.
         mBook.apply(new WaveDue(1, WALL_MS + 8700));
 
-        assertEquals(mTimes.due(seen(18_700), NOW_MS, WALL_MS), seen(8700));
+        assertEquals(mDeadlines.withDeadlines(waveDueIn(18_700), NOW_MS, WALL_MS), waveDueIn(8700));
     }
 
     @Test
-    public void theFirstOwnerWritesDownWhenAWaveIsDue() {
+    public void unrecordedDeadlineIsRecorded() {
         assertEquals(
-                mTimes.unwritten(seen(26_000), NOW_MS, WALL_MS),
+                mDeadlines.missingRecords(waveDueIn(26_000), NOW_MS, WALL_MS),
                 List.of(new WaveDue(1, WALL_MS + 26_000)));
     }
 
     @Test
-    public void whatIsWrittenDownIsNotWrittenAgain() {
+    public void recordedDeadlineIsNotRecordedAgain() {
         mBook.apply(new WaveDue(1, WALL_MS + 8700));
 
-        assertEquals(mTimes.unwritten(seen(18_700), NOW_MS, WALL_MS), List.of());
+        assertEquals(mDeadlines.missingRecords(waveDueIn(18_700), NOW_MS, WALL_MS), List.of());
     }
 
     @Test
-    public void aNodeThatSawTheOrderSoonerKnowsBetter() {
+    public void earlierDeadlineWinsOverRecordedOne() {
         mBook.apply(new WaveDue(1, WALL_MS + 8700));
 
-        assertEquals(mTimes.due(seen(4000), NOW_MS, WALL_MS), seen(4000));
+        assertEquals(mDeadlines.withDeadlines(waveDueIn(4000), NOW_MS, WALL_MS), waveDueIn(4000));
     }
 
     @Test
-    public void aCompletedWaveIsNotWrittenDown() {
+    public void deadlineOfCompletedWaveIsNotRecorded() {
         mBook.apply(new WaveCompleted(1));
 
-        assertEquals(mTimes.unwritten(seen(26_000), NOW_MS, WALL_MS), List.of());
+        assertEquals(mDeadlines.missingRecords(waveDueIn(26_000), NOW_MS, WALL_MS), List.of());
     }
 }
