--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
@@ -7,12 +7,12 @@
 import org.foxtailplank.job.JobOrder;
 import org.foxtailplank.job.TaskName;
 
-/** A job that has not ended, as its owner handles it. */
+/** A job that has not ended, with the runs of its steps. */
 public final class ActiveJob {
     private final JobEntry mEntry;
     private final List<ActiveRun> mRuns = new ArrayList<>();
     private boolean mEnding;
-    private boolean mBegun;
+    private boolean mStarted;
 
     ActiveJob(JobEntry entry) {
         mEntry = entry;
@@ -37,27 +37,27 @@
         return mRuns;
     }
 
-    Optional<TaskSlot> slot(TaskName task) {
-        if (!order().has(task)) {
+    Optional<ActiveTask> task(TaskName name) {
+        if (!order().has(name)) {
             return Optional.empty();
         }
-        ActiveStep step = mRuns.get(task.run()).steps().get(task.step());
-        return Optional.of(step.slots().get(task.index()));
+        ActiveStep step = mRuns.get(name.run()).steps().get(name.step());
+        return Optional.of(step.tasks().get(name.index()));
     }
 
-    /** A task of it has started; returns whether the journal has yet to tell so. */
-    boolean begin() {
-        boolean isNews = !mBegun && !mEntry.hasBegun();
-        mBegun = true;
-        return isNews;
+    /** Marks the job as started; returns whether the journal doesn't say so yet. */
+    boolean markStarted() {
+        boolean isNew = !mStarted && !mEntry.hasBegun();
+        mStarted = true;
+        return isNew;
     }
 
-    /** Whether nothing of it is started any more: it was cancelled, or a task failed for good. */
+    /** Whether no further tasks are started because the job was cancelled or has failed. */
     boolean isEnding() {
         return mEnding;
     }
 
-    void ending() {
+    void markEnding() {
         mEnding = true;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
@@ -7,7 +7,7 @@
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 
-/** One run of an active job's steps; a job without times has just one. */
+/** One run of an active job's steps; a job without a timetable has exactly one. */
 final class ActiveRun {
     private final ActiveJob mJob;
     private final int mNumber;
@@ -28,12 +28,12 @@
     private ActiveStep step(JobEntry entry, int number) {
         TaskStep spec = entry.order().steps().get(number);
         ActiveStep step = new ActiveStep(this, number, spec);
-        List<TaskSlot> slots = new ArrayList<>(spec.tasks());
+        List<ActiveTask> tasks = new ArrayList<>(spec.tasks());
         for (int i = 0; i < spec.tasks(); i++) {
             TaskName name = new TaskName(entry.order().id(), mNumber, number, i);
-            slots.add(new TaskSlot(name, step, entry.isDone(name)));
+            tasks.add(new ActiveTask(name, step, entry.isDone(name)));
         }
-        step.slots(slots);
+        step.setTasks(tasks);
         return step;
     }
 
@@ -49,42 +49,44 @@
         return mSteps;
     }
 
-    /** When it may start, in milliseconds since 1970; 0 for at once. */
+    /** Earliest start, in milliseconds since 1970; 0 for immediately. */
     long dueWallMs() {
         return mDueWallMs;
     }
 
     boolean isDone() {
         for (ActiveStep s : mSteps) {
-            if (s.left() > 0) {
+            if (s.remainingTasks() > 0) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether all steps that a step waits for are done. */
-    boolean isTurnOf(ActiveStep step) {
+    /** Whether all steps that a step depends on are done. */
+    boolean areDependenciesDone(ActiveStep step) {
         for (int d : step.spec().dependsOn()) {
-            if (mSteps.get(d).left() > 0) {
+            if (mSteps.get(d).remainingTasks() > 0) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether a task whose turn has come waits for a worker. */
-    boolean waits() {
+    /** Whether a task whose dependencies are done waits for a worker. */
+    boolean hasWaitingTask() {
         for (ActiveStep s : mSteps) {
-            if (s.left() > 0 && isTurnOf(s) && s.slots().stream().anyMatch(TaskSlot::isWaiting)) {
+            if (s.remainingTasks() > 0
+                    && areDependenciesDone(s)
+                    && s.tasks().stream().anyMatch(ActiveTask::isWaiting)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Longest chain of estimated work that is still to be done, in milliseconds. */
-    long remainingMs() {
+    /** Estimated duration of the longest chain of unfinished steps, in milliseconds. */
+    long remainingCriticalPathMs() {
         long[] ends = new long[mSteps.size()];
         long longest = 0;
         for (int i = 0; i < ends.length; i++) {
@@ -93,17 +95,17 @@
             for (int d : step.spec().dependsOn()) {
                 start = Math.max(start, ends[d]);
             }
-            ends[i] = start + (step.left() > 0 ? step.spec().estimateMs() : 0);
+            ends[i] = start + (step.remainingTasks() > 0 ? step.spec().estimateMs() : 0);
             longest = Math.max(longest, ends[i]);
         }
         return longest;
     }
 
-    /** Estimated work that is still to be done, in milliseconds of a thousandth of a core. */
+    /** Estimated work left, in milliseconds times thousandths of a core. */
     long remainingWork() {
         long sum = 0;
         for (ActiveStep s : mSteps) {
-            sum += s.left() * s.spec().estimateMs() * s.spec().demand().milliProcessors();
+            sum += s.remainingTasks() * s.spec().estimateMs() * s.spec().demand().milliProcessors();
         }
         return sum;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveStep.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import org.foxtailplank.job.TaskStep;
 
-/** A step in one run of an active job's steps. */
+/** A step in one run of an active job. */
 public final class ActiveStep {
     private final ActiveRun mRun;
     private final int mNumber;
     private final TaskStep mSpec;
     private final Map<String, Ticket> mTickets = new HashMap<>();
-    private final Set<String> mAsked = new HashSet<>();
+    private final Set<String> mAskedWorkers = new HashSet<>();
 
-    private List<TaskSlot> mSlots = List.of();
-    private int mLeft;
-    private boolean mAsking;
+    private List<ActiveTask> mTasks = List.of();
+    private int mRemainingTasks;
+    private boolean mAdvicePending;
 
     private record Ticket(String text, long untilMs) {}
 
@@ -28,16 +28,15 @@
         mSpec = spec;
     }
 
-    void slots(List<TaskSlot> slots) {
-        mSlots = slots;
-        mLeft = (int) slots.stream().filter(s -> !s.isDone()).count();
+    void setTasks(List<ActiveTask> tasks) {
+        mTasks = tasks;
+        mRemainingTasks = (int) tasks.stream().filter(s -> !s.isDone()).count();
     }
 
     ActiveRun run() {
         return mRun;
     }
 
-    /** The job that it belongs to. */
     public ActiveJob job() {
         return mRun.job();
     }
@@ -50,30 +49,30 @@
         return mSpec;
     }
 
-    List<TaskSlot> slots() {
-        return mSlots;
+    List<ActiveTask> tasks() {
+        return mTasks;
     }
 
-    /** Tasks that have not ended done. */
-    int left() {
-        return mLeft;
+    /** Tasks that are not done. */
+    int remainingTasks() {
+        return mRemainingTasks;
     }
 
-    void oneDone() {
-        mLeft--;
+    void recordTaskDone() {
+        mRemainingTasks--;
     }
 
-    /** Tasks that no run of is at work, among those that have to be. */
-    int away() {
-        int away = 0;
-        for (TaskSlot s : mSlots) {
-            away += s.isAtWork() ? 0 : 1;
+    /** Tasks that have no ready run. */
+    int unavailableTasks() {
+        int unavailable = 0;
+        for (ActiveTask s : mTasks) {
+            unavailable += s.isReady() ? 0 : 1;
         }
-        return away;
+        return unavailable;
     }
 
-    /** Runs of this step on a worker, those that are being stopped too. */
-    int on(WorkerState worker) {
+    /** Runs of this step on a worker, including those being stopped. */
+    int runsOn(WorkerState worker) {
         int count = 0;
         for (TaskRun r : worker.runs()) {
             count += r.slot().step() == this ? 1 : 0;
@@ -87,32 +86,32 @@
                 .map(Ticket::text);
     }
 
-    /** Whether the advice may allow the worker: it was not asked about it, or has allowed it. */
-    boolean mayAsk(String worker) {
-        return !mAsked.contains(worker) || mTickets.containsKey(worker);
+    /** Whether the advice service has not been asked about the worker or has allowed it. */
+    boolean mayRequestAdvice(String worker) {
+        return !mAskedWorkers.contains(worker) || mTickets.containsKey(worker);
     }
 
-    boolean isAsking() {
-        return mAsking;
+    boolean isAdvicePending() {
+        return mAdvicePending;
     }
 
-    void asking() {
-        mAsking = true;
+    void markAdvicePending() {
+        mAdvicePending = true;
     }
 
-    /** The answer for these workers; what it allows doesn't change while a worker lives. */
-    void advised(List<String> asked, Map<String, String> tickets, long untilMs) {
-        mAsking = false;
-        mAsked.addAll(asked);
+    /** Records the advice on these workers; it stays valid for a worker's incarnation. */
+    void recordAdvice(List<String> asked, Map<String, String> tickets, long untilMs) {
+        mAdvicePending = false;
+        mAskedWorkers.addAll(asked);
         tickets.forEach((worker, text) -> mTickets.put(worker, new Ticket(text, untilMs)));
     }
 
-    /** No answer came; it may be asked again. */
-    void notAdvised() {
-        mAsking = false;
+    /** Allows the request to be repeated after it went unanswered. */
+    void recordAdviceFailure() {
+        mAdvicePending = false;
     }
 
-    void ticketRefused(String worker) {
+    void removeTicket(String worker) {
         mTickets.remove(worker);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskSlot.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveTask.java
@@ -8,18 +8,18 @@
 import org.foxtailplank.job.TaskStep;
 
 /** A task of an active job, with its runs. */
-public final class TaskSlot {
+public final class ActiveTask {
     private final TaskName mName;
     private final ActiveStep mStep;
     private final List<TaskRun> mRuns = new ArrayList<>(1);
-    private final Set<String> mAvoid = new HashSet<>();
+    private final Set<String> mFailedWorkers = new HashSet<>();
 
     private boolean mDone;
     private int mLastAttempt;
-    private long mNoRoomMs = -1;
+    private long mNoRoomSinceMs = -1;
     private String mCheckpoint = "";
 
-    TaskSlot(TaskName name, ActiveStep step, boolean done) {
+    ActiveTask(TaskName name, ActiveStep step, boolean done) {
         mName = name;
         mStep = step;
         mDone = done;
@@ -45,7 +45,7 @@
         return mDone;
     }
 
-    void done() {
+    void markDone() {
         mDone = true;
     }
 
@@ -53,50 +53,50 @@
         return mLastAttempt;
     }
 
-    void attempt(int attempt) {
+    void recordAttempt(int attempt) {
         mLastAttempt = Math.max(mLastAttempt, attempt);
     }
 
-    /** Where the next run can go on from; empty for the beginning. */
+    /** Checkpoint from which the next run resumes; empty to start from the beginning. */
     public String checkpoint() {
         return mCheckpoint;
     }
 
-    void checkpoint(String checkpoint) {
+    void setCheckpoint(String checkpoint) {
         if (mStep.spec().mode().checkpoints()) {
             mCheckpoint = checkpoint;
         }
     }
 
-    /** Notes that it finds no room; returns for how long it has found none. */
-    long noRoom(long nowMs) {
-        if (mNoRoomMs < 0) {
-            mNoRoomMs = nowMs;
+    /** Records that no worker has capacity; returns for how long that has been so. */
+    long recordNoRoom(long nowMs) {
+        if (mNoRoomSinceMs < 0) {
+            mNoRoomSinceMs = nowMs;
         }
-        return nowMs - mNoRoomMs;
+        return nowMs - mNoRoomSinceMs;
     }
 
-    /** Whether it found no room when it was last tried. */
+    /** Whether the last attempt to place the task found no capacity. */
     boolean lacksRoom() {
-        return mNoRoomMs >= 0;
+        return mNoRoomSinceMs >= 0;
     }
 
-    void hasRoom() {
-        mNoRoomMs = -1;
+    void clearNoRoom() {
+        mNoRoomSinceMs = -1;
     }
 
-    /** Workers on which it has failed. */
-    Set<String> avoid() {
-        return mAvoid;
+    /** Workers on which the task has failed. */
+    Set<String> failedWorkers() {
+        return mFailedWorkers;
     }
 
-    /** Whether it waits for a worker. */
+    /** Whether the task is not done and has no run. */
     boolean isWaiting() {
         return !mDone && mRuns.isEmpty();
     }
 
-    /** Whether a run of it serves or works. */
-    boolean isAtWork() {
-        return mRuns.stream().anyMatch(TaskRun::isAtWork);
+    /** Whether one of its runs is ready to serve. */
+    boolean isReady() {
+        return mRuns.stream().anyMatch(TaskRun::isReady);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ArrivalRate.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ArrivalRate.java
@@ -5,23 +5,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How fast the demand of each service grows by jobs that arrive, over the last moments. */
+/** Tracks how fast the demand of each service grows by arriving jobs. */
 final class ArrivalRate {
-    /** Time looked back, in milliseconds: short against a queue's turn of some seconds. */
+    /** Length of the sliding window, in milliseconds; short compared with a burst. */
     private static final long WINDOW_MS = 400;
 
     private final Map<String, Deque<Arrival>> mArrivals = new HashMap<>();
 
     private record Arrival(long atMs, double milliCores) {}
 
-    /** A job has come that needs so many thousandths of a core. */
-    void arrived(String service, double milliCores, long nowMs) {
+    /** Records the arrival of a job that needs this many thousandths of a core. */
+    void recordArrival(String service, double milliCores, long nowMs) {
         mArrivals
                 .computeIfAbsent(service, s -> new ArrayDeque<>())
                 .add(new Arrival(nowMs, milliCores));
     }
 
-    /** Thousandths of a core that are needed more each millisecond. */
+    /** Demand that arrives per millisecond, in thousandths of a core. */
     double growthPerMs(String service, long nowMs) {
         Deque<Arrival> arrivals = mArrivals.get(service);
         if (arrivals == null) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
@@ -3,39 +3,36 @@
 import org.foxtailplank.job.JobOrder;
 
 /**
- * How many thousandths of a core jobs need to meet their objectives.
+ * Computes the capacity that jobs need to meet their objectives, in thousandths of a core.
  *
- * <p>Answers a queue that asks several times its mean for some seconds. A job whose tasks wait for
- * room counts with its work spread over the longest chain of its tasks: so many cores as it can use
- * now. Spread over all the time until its objective, jobs of the first seconds of a turn called for
- * too few VMs, which come only two seconds later. A job of which nothing waits needs its work done
- * by its objective and no more: counted over its chain too, it kept VMs that stood half idle.
+ * <p>The work of a job with waiting tasks is spread over its critical path, which gives the
+ * capacity that it can use now; a longer period would request VMs too late for a burst, as they
+ * take about two seconds to join. The work of a job without waiting tasks is spread over the time
+ * until its objective, so that a steady queue holds no idle VMs.
  */
 final class CoreDemand {
-    /**
-     * A job that is late needs its work done within this time, in milliseconds: soon, but without
-     * workers of its own, as it earns little.
-     */
+    /** Minimum period over which the work of a late job is spread, in milliseconds. */
     private static final long LATE_MS = 3000;
 
     private CoreDemand() {}
 
-    /** What a run of a job's steps needs from now on. */
+    /** Capacity that the remaining work of a run needs. */
     static double of(ActiveRun run, long nowWallMs) {
-        long chain = Math.max(1, run.remainingMs());
+        long criticalPathMs = Math.max(1, run.remainingCriticalPathMs());
         if (isLate(run, nowWallMs)) {
-            return (double) run.remainingWork() / Math.max(LATE_MS, chain);
+            return (double) run.remainingWork() / Math.max(LATE_MS, criticalPathMs);
         }
-        long time = run.waits() ? chain : Urgency.objectiveMs(run) - nowWallMs;
-        return (double) run.remainingWork() / Math.max(chain, time);
+        long periodMs =
+                run.hasWaitingTask() ? criticalPathMs : Urgency.objectiveMs(run) - nowWallMs;
+        return (double) run.remainingWork() / Math.max(criticalPathMs, periodMs);
     }
 
-    /** Whether a run of a job's steps can't meet its objective any more. */
+    /** Whether a run can no longer meet its objective. */
     static boolean isLate(ActiveRun run, long nowWallMs) {
         return Urgency.slackMs(run, nowWallMs) < 0;
     }
 
-    /** What a job needs that has just come, if it finds room. */
+    /** Capacity that a new job needs if none of its tasks has to wait. */
     static double of(JobOrder order) {
         return order.work() / Math.max(1, Urgency.objectiveLengthMs(order));
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the owner is to do now. */
+/** Actions for the owner to take now. */
 public final class Decisions {
     private final List<TaskRun> mPlanned = new ArrayList<>();
     private final List<Start> mStarts = new ArrayList<>();
@@ -11,13 +11,13 @@
     private final List<Pace> mPaces = new ArrayList<>();
     private final List<Ask> mAsks = new ArrayList<>();
 
-    /** A run to start, or to order again where the answer stayed away. */
+    /** A start order to send, for the first time or again. */
     public record Start(TaskRun run, String ticket) {}
 
-    /** A run that is to work at a share of its speed. */
+    /** A run that is to work at a share of its full speed. */
     public record Pace(TaskRun run, int percent) {}
 
-    /** A step for which the queue's advice is needed. */
+    /** A request for placement advice on a step. */
     public record Ask(ActiveStep step, List<String> workers) {
         public Ask {
             workers = List.copyOf(workers);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** New runs, to be written to the journal before they are started. */
+    /** New runs, which must be recorded in the journal before they are started. */
     public List<TaskRun> planned() {
         return mPlanned;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/DueWave.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/DueWave.java
@@ -3,9 +3,9 @@
 import org.foxtailplank.port.WaveOrder;
 
 /**
- * A wave and its end.
+ * A maintenance wave with its deadline.
  *
- * @param order what the operator ordered
- * @param dueMs when all of its VMs should have been rebooted, on this process's steady clock
+ * @param order the operator's order
+ * @param dueMs time by which all VMs should be rebooted, on this process's monotonic clock
  */
 public record DueWave(WaveOrder order, long dueMs) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/GangPlacement.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/GangPlacement.java
@@ -8,24 +8,23 @@
 import org.foxtailplank.fleet.Resources;
 
 /**
- * Places a gang: all of its tasks at once, or none.
+ * Places all tasks of a gang at once, or none.
  *
- * <p>Guards against gangs that wait for each other's room: a gang of which only some tasks fit
- * holds their room until its members give up waiting. Racks are tried one by one first, since a
- * gang that has to keep together is slow across racks.
+ * <p>Prevents deadlock between gangs that each hold part of the capacity that the other needs. For
+ * gangs that should share a rack, single racks are tried first.
  */
 final class GangPlacement {
     private GangPlacement() {}
 
-    /** A worker for each task; empty if they don't all fit, or a run of the gang is still there. */
-    static Map<TaskSlot, WorkerState> place(
+    /** Returns a worker for each task; empty if not all fit or a run of the gang still exists. */
+    static Map<ActiveTask, WorkerState> place(
             ActiveStep step, List<WorkerState> workers, long nowMs) {
-        if (!step.slots().stream().allMatch(TaskSlot::isWaiting)) {
+        if (!step.tasks().stream().allMatch(ActiveTask::isWaiting)) {
             return Map.of();
         }
         if (step.spec().placement().sameRack()) {
             for (List<WorkerState> rack : byRack(workers)) {
-                Map<TaskSlot, WorkerState> placed = fit(step, rack, nowMs);
+                Map<ActiveTask, WorkerState> placed = fit(step, rack, nowMs);
                 if (!placed.isEmpty()) {
                     return placed;
                 }
@@ -42,19 +41,19 @@
         return new ArrayList<>(racks.values());
     }
 
-    private static Map<TaskSlot, WorkerState> fit(
+    private static Map<ActiveTask, WorkerState> fit(
             ActiveStep step, List<WorkerState> workers, long nowMs) {
-        Map<TaskSlot, WorkerState> placed = new LinkedHashMap<>();
+        Map<ActiveTask, WorkerState> placed = new LinkedHashMap<>();
         Map<WorkerState, Integer> counts = new HashMap<>();
         Map<WorkerState, Resources> free = new HashMap<>();
-        for (TaskSlot slot : step.slots()) {
+        for (ActiveTask task : step.tasks()) {
             WorkerState found = null;
             for (WorkerState w : workers) {
                 Resources room = free.getOrDefault(w, w.free());
-                int most = step.spec().placement().maxPerWorker();
-                boolean belowMost = most == 0 || counts.getOrDefault(w, 0) < most;
+                int maxPerWorker = step.spec().placement().maxPerWorker();
+                boolean belowMax = maxPerWorker == 0 || counts.getOrDefault(w, 0) < maxPerWorker;
                 boolean fits = step.spec().reserved().fitsIn(room);
-                if (belowMost && fits && WorkerChooser.isAllowed(slot, w, nowMs)) {
+                if (belowMax && fits && WorkerChooser.canRunNow(task, w, nowMs)) {
                     found = w;
                     break;
                 }
@@ -62,7 +61,7 @@
             if (found == null) {
                 return Map.of();
             }
-            placed.put(slot, found);
+            placed.put(task, found);
             counts.merge(found, 1, Integer::sum);
             Resources room = free.getOrDefault(found, found.free());
             free.put(found, room.minus(step.spec().reserved()));
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ListedLives.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ListedLives.java
@@ -6,32 +6,32 @@
 import org.foxtailplank.port.VmActions.VmInfo;
 
 /**
- * The lives of workers that a list of VMs names.
+ * The incarnations of workers that a list of VMs names.
  *
- * <p>Guards against taking a life for over whose VM's entry can't be read: its tasks would be
- * started a second time while they run. A list with such an entry says of no life that it is over,
- * since nobody knows which lives the entry should have named.
+ * <p>Guards against treating an incarnation as ended because its VM's entry is unreadable, which
+ * would start its tasks a second time. A list with such an entry doesn't prove that any incarnation
+ * has ended.
  */
 public final class ListedLives {
-    private final Set<String> mLives = new HashSet<>();
+    private final Set<String> mIncarnations = new HashSet<>();
     private final boolean mComplete;
 
     public ListedLives(List<VmInfo> vms) {
-        vms.forEach(v -> mLives.add(v.worker()));
+        vms.forEach(v -> mIncarnations.add(v.worker()));
         mComplete = !vms.isEmpty() && vms.stream().allMatch(VmInfo::isReadable);
     }
 
-    Set<String> lives() {
-        return mLives;
+    Set<String> incarnations() {
+        return mIncarnations;
     }
 
-    /** Whether the list names every life that there is. */
+    /** Whether the list names every incarnation. */
     boolean isComplete() {
         return mComplete;
     }
 
-    /** Whether a life that was there before the list was asked for is surely over. */
-    public boolean isOver(String life) {
-        return mComplete && !mLives.contains(life);
+    /** Whether an incarnation that existed before the list was requested has certainly ended. */
+    public boolean isOver(String incarnation) {
+        return mComplete && !mIncarnations.contains(incarnation);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/LookEffects.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/LookEffects.java
@@ -5,11 +5,11 @@
 import org.foxtailplank.job.RunView;
 
 /**
- * What a look at a worker told.
+ * Results of polling a worker.
  *
  * @param toStore ends that must be stored before they are acknowledged
- * @param lost runs that the worker should have and doesn't list
- * @param orphans runs of jobs that have ended or are not known; they must be stopped
+ * @param lost runs that the worker should have but doesn't list
+ * @param orphans runs that must be stopped since their jobs are unknown or have ended
  */
 public record LookEffects(List<RunEnd> toStore, List<TaskRun> lost, List<RunView> orphans) {
     public LookEffects {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
@@ -4,31 +4,30 @@
 import java.util.List;
 
 /**
- * Slows tasks that fill a worker while they disturb the tasks that serve there.
+ * Throttles tasks that use spare capacity while they disturb serving tasks on the same worker.
  *
- * <p>Guards against a serving task whose tail latency stays over its target because of what fills
- * the worker beside it. How much they disturb isn't known and changes within seconds, so that the
- * pace is found by trying: it is cut by half as soon as a tail nears its target, and given back in
- * steps while all tails are well below.
+ * <p>Guards against a serving task whose tail latency stays above its target. The interference is
+ * unknown and changes within seconds, so the pace follows a feedback loop: it is halved when a tail
+ * latency approaches its target, and raised in steps while all of them are well below.
  */
 final class PaceControl {
-    /** Share of its target at which a tail is too near. */
-    private static final double NEAR = 0.85;
+    /** Share of its target above which a tail latency reduces the pace. */
+    private static final double CUT_THRESHOLD = 0.85;
 
-    /** Share of its target below which a tail is well. */
-    private static final double WELL = 0.6;
+    /** Share of its target below which all tail latencies must be to raise the pace. */
+    private static final double RAISE_THRESHOLD = 0.6;
 
-    private static final double CUT = 0.5;
-    private static final int LOWEST_PACE = 5;
-    private static final int STEP_UP = 15;
-    private static final int FULL = 100;
+    private static final double CUT_FACTOR = 0.5;
+    private static final int MIN_PACE = 5;
+    private static final int RAISE_STEP = 15;
+    private static final int FULL_PACE = 100;
 
-    /** Time for a pace to show in a tail, in milliseconds: tails cover the last half second. */
+    /** Time for a new pace to affect tail latencies, which cover half a second, in milliseconds. */
     private static final long SETTLE_MS = 700;
 
     private PaceControl() {}
 
-    /** Whether the worker has tasks of both kinds. */
+    /** Whether the worker runs both serving tasks and tasks that use spare capacity. */
     static boolean isMixed(WorkerState worker) {
         boolean serves = false;
         boolean fills = false;
@@ -39,42 +38,42 @@
         return serves && fills;
     }
 
-    /** The paces to change after a look at the worker. */
+    /** Returns the pace changes to order after a poll of the worker. */
     static List<Decisions.Pace> adjust(WorkerState worker, long nowMs) {
         if (!isMixed(worker)) {
             return List.of();
         }
         int pace = worker.fillPace();
         if (nowMs - worker.fillPaceMs() >= SETTLE_MS) {
-            pace = next(pace, worstTail(worker));
-            worker.fillPace(pace, nowMs);
+            pace = nextPace(pace, worstTailRatio(worker));
+            worker.setFillPace(pace, nowMs);
         }
         List<Decisions.Pace> changes = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
             boolean fills = r.slot().spec().mode().fills();
             if (fills && r.phase() == RunPhase.RUNNING && r.pace() != pace) {
-                r.pace(pace);
+                r.setPace(pace);
                 changes.add(new Decisions.Pace(r, pace));
             }
         }
         return changes;
     }
 
-    private static int next(int pace, double tail) {
-        if (tail > NEAR) {
-            int cut = (int) (pace * CUT);
-            return cut < LOWEST_PACE ? 0 : cut;
+    private static int nextPace(int pace, double tailRatio) {
+        if (tailRatio > CUT_THRESHOLD) {
+            int cut = (int) (pace * CUT_FACTOR);
+            return cut < MIN_PACE ? 0 : cut;
         }
-        return tail < WELL ? Math.min(FULL, pace + STEP_UP) : pace;
+        return tailRatio < RAISE_THRESHOLD ? Math.min(FULL_PACE, pace + RAISE_STEP) : pace;
     }
 
-    /** The highest tail of a serving task, as a share of its target. */
-    private static double worstTail(WorkerState worker) {
+    /** Highest ratio of tail latency to target among the serving tasks. */
+    private static double worstTailRatio(WorkerState worker) {
         double worst = 0;
         for (TaskRun r : worker.runs()) {
             long target = r.slot().spec().mode().targetMs();
-            if (target > 0 && r.isAtWork()) {
-                worst = Math.max(worst, (double) r.gauge() / target);
+            if (target > 0 && r.isReady()) {
+                worst = Math.max(worst, (double) r.tailLatencyMs() / target);
             }
         }
         return worst;
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolBalance.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolBalance.java
@@ -13,40 +13,37 @@
 import org.foxtailplank.port.VmActions.VmPhase;
 
 /**
- * Moves VMs to the pools whose queues are long, and idle ones to the standby pool.
+ * Moves VMs to pools with long queues, and idle VMs to the standby pool.
  *
- * <p>Answers queues whose demand rises by turns: each asks for some seconds several times what its
- * pool holds while the others are nearly idle. A VM takes one to two seconds to move, a job may
- * take three to five, so that VMs that come in the first second still serve it in time. A VM that
- * is to go gets no more tasks and is moved when those that it has are done; VMs with standing tasks
- * stay.
+ * <p>Serves queues with bursts: for some seconds each may need several times the capacity of its
+ * pool while the others are nearly idle. VMs that are moved early in a burst still help its jobs
+ * meet their objectives. A VM that is to move gets no new tasks and moves when its runs have ended;
+ * VMs with standing tasks stay.
  *
- * <p>Answers a backlog too, as after an outage: jobs that are late already get VMs that nobody else
- * needs, and give theirs up as soon as jobs of another queue can be in time with them. Late jobs
- * earn a small part of their worth. In {@code TurnReplayTest} a queue's turn beside a backlog of 90
- * jobs has 0.84 of its jobs in time; 0.24 while late jobs counted like others.
+ * <p>Late jobs, as in the backlog after an outage, only get VMs that no other pool needs, and lose
+ * them as soon as another queue's jobs can meet their objectives with them.
  */
 final class PoolBalance {
-    /** What a pool has beyond what its jobs need: tasks don't fill workers to the brim. */
+    /** Factor on the demand, since tasks don't fill workers completely. */
     private static final double HEADROOM = 1.1;
 
-    /** Time from the decision to move a VM until it works, in milliseconds. */
+    /** Time from the decision to move a VM until it can work, in milliseconds. */
     private static final long JOIN_MS = 2000;
 
-    /** A VM that was moved stays at least this long, in milliseconds: a move has its price. */
-    private static final long STAY_MS = 2000;
+    /** Minimum time between two moves of a VM, in milliseconds. */
+    private static final long MIN_STAY_MS = 2000;
 
-    /** A pool with spare VMs gives them to the standby pool after this time, in milliseconds. */
-    private static final long IDLE_MS = 1000;
+    /** Delay before a pool's spare VMs move to the standby pool, in milliseconds. */
+    private static final long SPARE_DELAY_MS = 1000;
 
-    /** A pool that lacks more than this share of a VM gets one. */
-    private static final double WORTH_A_VM = 0.5;
+    /** A pool gets a VM if it misses more than this share of one. */
+    private static final double MIN_MISSING_SHARE = 0.5;
 
-    /** VMs without standing tasks that a pool with work keeps at least. */
-    private static final int KEEP_BUSY = 3;
+    /** VMs without standing tasks that a busy pool keeps. */
+    private static final int MIN_BUSY_VMS = 3;
 
-    /** Spare VMs that a serving pool keeps for what comes at once. */
-    private static final int KEEP_IDLE = 1;
+    /** Spare VMs that a pool keeps for new jobs. */
+    private static final int MIN_SPARE_VMS = 1;
 
     private final Scheduler mScheduler;
     private final VmTable mVms;
@@ -62,53 +59,59 @@
     private static final class Pool {
         final String mName;
         final List<VmState> mMovable = new ArrayList<>();
-        final long mSize;
-        double mLack;
-        double mLate;
-        int mComing;
-        int mExtra;
+        final long mVmMilliCores;
+        double mMissingMilliCores;
+        double mLateMilliCores;
+        int mIncomingVms;
+        int mVmsForStanding;
 
         /**
-         * A pool.
+         * Creates a pool without VMs.
          *
-         * @param size thousandths of a core that a VM offers
+         * @param vmMilliCores thousandths of a core of a VM
          */
-        Pool(String name, long size) {
+        Pool(String name, long vmMilliCores) {
             mName = name;
-            mSize = size;
+            mVmMilliCores = vmMilliCores;
         }
 
         /**
-         * VMs that the pool lacks with its late jobs; negative for those that nobody there needs.
+         * VMs that the pool misses, including those for late jobs; negative if it has spare ones.
          */
-        double lackedWithLate() {
-            return lackedVms() + mLate / mSize;
+        double missingVmsWithLate() {
+            return missingVms() + mLateMilliCores / mVmMilliCores;
         }
 
-        /** VMs that jobs lack that can be in time; negative for those they can do without. */
-        double lackedVms() {
-            double forWork = mLack / mSize;
-            return lacksPlaces() ? Math.max(forWork, mExtra - mComing) : forWork;
+        /** VMs that the pool misses for jobs that aren't late; negative if it has spare ones. */
+        double missingVms() {
+            double forBatch = mMissingMilliCores / mVmMilliCores;
+            return needsVmForStanding()
+                    ? Math.max(forBatch, mVmsForStanding - mIncomingVms)
+                    : forBatch;
         }
 
-        /** Whether standing tasks wait for a VM, since none of the pool's admits them. */
-        boolean lacksPlaces() {
-            return mExtra > mComing;
+        /** Whether standing tasks wait for a VM because no worker of the pool admits them. */
+        boolean needsVmForStanding() {
+            return mVmsForStanding > mIncomingVms;
         }
 
-        /** A VM is on its way. */
-        void coming(long size) {
-            mLack -= size;
-            mComing++;
+        /** Counts a VM that is about to join the pool. */
+        void addIncoming(long vmMilliCores) {
+            mMissingMilliCores -= vmMilliCores;
+            mIncomingVms++;
         }
     }
 
     /**
      * Plans moves of VMs.
      *
-     * @param toMove how many tasks have to move of steps that hold up a wave
+     * @param criticalMoves number of tasks that have to move, for each step that delays a wave
      */
-    void plan(FleetConfig config, Map<ActiveStep, Integer> toMove, long nowMs, long nowWallMs) {
+    void plan(
+            FleetConfig config,
+            Map<ActiveStep, Integer> criticalMoves,
+            long nowMs,
+            long nowWallMs) {
         Map<String, Pool> pools = new LinkedHashMap<>();
         for (PoolService s : config.services()) {
             if (!s.standby()) {
@@ -126,17 +129,18 @@
             }
         }
         for (Pool p : pools.values()) {
-            p.mLack += wanted(p.mName, nowMs, nowWallMs);
-            p.mLate = mDemand.late(p.mName, nowWallMs);
-            p.mExtra = mDemand.vmsForStanding(p.mName, toMove, p.mSize, nowMs);
+            p.mMissingMilliCores += forecastMilliCores(p.mName, nowMs, nowWallMs);
+            p.mLateMilliCores = mDemand.lateMilliCores(p.mName, nowWallMs);
+            p.mVmsForStanding =
+                    mDemand.vmsForStanding(p.mName, criticalMoves, p.mVmMilliCores, nowMs);
         }
         pools.values().forEach(p -> p.mMovable.sort(Comparator.comparingLong(this::used)));
-        fill(pools, standby, nowMs);
-        fillForLate(pools.values(), standby, nowMs);
-        park(config, pools, nowMs);
+        assignVms(pools, standby, nowMs);
+        assignVmsForLateJobs(pools.values(), standby, nowMs);
+        releaseSpareVms(config, pools, nowMs);
     }
 
-    /** Thousandths of a core of the largest VM. */
+    /** Capacity of the largest VM, in thousandths of a core. */
     private long largestVm() {
         long largest = 1;
         for (VmState vm : mVms.all()) {
@@ -146,87 +150,86 @@
     }
 
     /**
-     * Counts a VM that is to move for the pool that it goes to, also while its last tasks run.
-     * Without this each pass finds the pool as short of VMs as before, and chooses further ones
-     * until the first has moved.
+     * Counts a VM that is to move for its target pool, even while its last runs continue. Without
+     * this every decision would select further VMs until the first one has moved.
      */
     private static void countPlanned(Map<String, Pool> pools, VmState vm) {
         if (vm.planned().isPresent() && vm.planned().get() instanceof VmAction.Move move) {
             Pool pool = pools.get(move.pool());
             if (pool != null) {
-                pool.coming(vm.info().capacity().milliProcessors());
+                pool.addIncoming(vm.info().capacity().milliProcessors());
             }
         }
     }
 
-    /** Counts the VM's room for tasks that end, and whether it could go. */
+    /** Counts the VM's batch capacity, and notes whether it can move. */
     private void addVm(Pool pool, VmState vm, long nowMs) {
-        long size = vm.info().capacity().milliProcessors();
+        long vmMilliCores = vm.info().capacity().milliProcessors();
         Optional<WorkerState> worker = mScheduler.worker(vm.info().worker());
         boolean moving = vm.info().phase() == VmPhase.MOVING;
         boolean joining = worker.isEmpty() && vm.info().phase() == VmPhase.UP && vm.isFree();
         if (moving || joining) {
-            pool.coming(size);
+            pool.addIncoming(vmMilliCores);
             return;
         }
-        // A new owner has not looked at its workers yet; without them each pool would seem empty.
-        boolean serves = vm.isFree() && worker.isPresent() && worker.get().counts(nowMs);
+        // Workers that a new owner has not polled count too; otherwise each pool would seem empty.
+        boolean serves = vm.isFree() && worker.isPresent() && worker.get().countsAsCapacity(nowMs);
         if (!serves) {
             return;
         }
-        long standing = worker.get().standingUsed();
-        pool.mLack -= size - standing;
-        WorkerState at = worker.get();
-        boolean stays = standing > 0 || at.hasStanding() || at.isKept();
-        boolean known = worker.get().isUsable(nowMs);
-        if (known && !stays && nowMs - vm.movedMs() > STAY_MS) {
+        long standingMilliCores = worker.get().standingMilliCores();
+        pool.mMissingMilliCores -= vmMilliCores - standingMilliCores;
+        WorkerState state = worker.get();
+        boolean pinned =
+                standingMilliCores > 0 || state.hasStandingRuns() || state.isReservedForStanding();
+        boolean usable = worker.get().isUsable(nowMs);
+        if (usable && !pinned && nowMs - vm.lastMoveMs() > MIN_STAY_MS) {
             pool.mMovable.add(vm);
         }
     }
 
-    /**
-     * Thousandths of a core that a service wants: for the jobs that there are, and for those that
-     * will have come when a VM that begins to move now can work.
-     */
-    private double wanted(String service, long nowMs, long nowWallMs) {
-        double coming = mScheduler.arrivals().growthPerMs(service, nowMs) * JOIN_MS;
-        return HEADROOM * (mDemand.inTime(service, nowWallMs) + coming);
+    /** Capacity that a service needs for its jobs and for those expected before a VM could join. */
+    private double forecastMilliCores(String service, long nowMs, long nowWallMs) {
+        double arriving = mScheduler.arrivals().growthPerMs(service, nowMs) * JOIN_MS;
+        return HEADROOM * (mDemand.onTimeMilliCores(service, nowWallMs) + arriving);
     }
 
-    private void fill(Map<String, Pool> pools, List<VmState> standby, long nowMs) {
-        List<Pool> lacking = new ArrayList<>(pools.values());
-        lacking.sort(
-                Comparator.comparing(Pool::lacksPlaces)
-                        .thenComparingDouble(Pool::lackedVms)
+    private void assignVms(Map<String, Pool> pools, List<VmState> standby, long nowMs) {
+        List<Pool> byNeed = new ArrayList<>(pools.values());
+        byNeed.sort(
+                Comparator.comparing(Pool::needsVmForStanding)
+                        .thenComparingDouble(Pool::missingVms)
                         .reversed());
-        for (Pool pool : lacking) {
-            while (pool.lackedVms() > WORTH_A_VM) {
+        for (Pool pool : byNeed) {
+            while (pool.missingVms() > MIN_MISSING_SHARE) {
                 Optional<VmState> vm =
-                        standby.isEmpty() ? lend(pools, pool) : Optional.of(standby.remove(0));
-                if (vm.isEmpty() && pool.lacksPlaces()) {
-                    vm = lendBusy(pools, pool);
+                        standby.isEmpty()
+                                ? takeSpareVm(pools, pool)
+                                : Optional.of(standby.remove(0));
+                if (vm.isEmpty() && pool.needsVmForStanding()) {
+                    vm = takeBusyVm(pools, pool);
                 }
                 if (vm.isEmpty()) {
                     break;
                 }
-                vm.get().plan(new VmAction.Move(pool.mName, "queue is long"), nowMs);
-                pool.coming(vm.get().info().capacity().milliProcessors());
+                vm.get().plan(new VmAction.Move(pool.mName, "the pool lacks VMs"), nowMs);
+                pool.addIncoming(vm.get().info().capacity().milliProcessors());
             }
         }
     }
 
-    /** Late jobs get VMs that are off, and none of another pool's. */
-    private void fillForLate(Collection<Pool> pools, List<VmState> standby, long nowMs) {
+    /** Assigns standby VMs to pools with late jobs. */
+    private void assignVmsForLateJobs(Collection<Pool> pools, List<VmState> standby, long nowMs) {
         for (Pool pool : pools) {
-            while (!standby.isEmpty() && pool.lackedWithLate() > WORTH_A_VM) {
+            while (!standby.isEmpty() && pool.missingVmsWithLate() > MIN_MISSING_SHARE) {
                 VmState vm = standby.remove(0);
-                vm.plan(new VmAction.Move(pool.mName, "late jobs wait"), nowMs);
-                pool.coming(vm.info().capacity().milliProcessors());
+                vm.plan(new VmAction.Move(pool.mName, "late jobs are waiting"), nowMs);
+                pool.addIncoming(vm.info().capacity().milliProcessors());
             }
         }
     }
 
-    /** What tasks have taken of a VM, in thousandths of a core. */
+    /** Capacity reserved on a VM, in thousandths of a core. */
     private long used(VmState vm) {
         return mScheduler
                 .worker(vm.info().worker())
@@ -234,55 +237,57 @@
                 .orElse(0L);
     }
 
-    /** The least used VM of the pool that can best do without. */
-    private static Optional<VmState> lend(Map<String, Pool> pools, Pool to) {
+    /** Takes the least used VM of the pool with the most spare VMs. */
+    private static Optional<VmState> takeSpareVm(Map<String, Pool> pools, Pool to) {
         Pool from = null;
         for (Pool p : pools.values()) {
-            boolean spare = p != to && p.lackedVms() <= -1 - KEEP_IDLE && !p.mMovable.isEmpty();
-            if (spare && (from == null || p.lackedVms() < from.lackedVms())) {
+            boolean spare =
+                    p != to && p.missingVms() <= -1 - MIN_SPARE_VMS && !p.mMovable.isEmpty();
+            if (spare && (from == null || p.missingVms() < from.missingVms())) {
                 from = p;
             }
         }
-        return Optional.ofNullable(from).map(PoolBalance::take);
+        return Optional.ofNullable(from).map(PoolBalance::removeMovable);
     }
 
     /**
-     * The least used VM of the pool that has most. Standing tasks go before other work: without
-     * this they wait for as long as all pools have work, and hold a wave up.
+     * Takes the least used VM of the pool with the most movable VMs. Standing tasks have
+     * precedence: without this they would wait, and delay a wave, as long as all pools are busy.
      */
-    private static Optional<VmState> lendBusy(Map<String, Pool> pools, Pool to) {
+    private static Optional<VmState> takeBusyVm(Map<String, Pool> pools, Pool to) {
         Pool from = null;
         for (Pool p : pools.values()) {
-            boolean may = p != to && !p.lacksPlaces() && p.mMovable.size() > KEEP_BUSY;
-            if (may && (from == null || p.mMovable.size() > from.mMovable.size())) {
+            boolean candidate =
+                    p != to && !p.needsVmForStanding() && p.mMovable.size() > MIN_BUSY_VMS;
+            if (candidate && (from == null || p.mMovable.size() > from.mMovable.size())) {
                 from = p;
             }
         }
-        return Optional.ofNullable(from).map(PoolBalance::take);
+        return Optional.ofNullable(from).map(PoolBalance::removeMovable);
     }
 
-    private static VmState take(Pool pool) {
+    private static VmState removeMovable(Pool pool) {
         VmState vm = pool.mMovable.remove(0);
-        pool.mLack += vm.info().capacity().milliProcessors();
+        pool.mMissingMilliCores += vm.info().capacity().milliProcessors();
         return vm;
     }
 
-    private void park(FleetConfig config, Map<String, Pool> pools, long nowMs) {
+    private void releaseSpareVms(FleetConfig config, Map<String, Pool> pools, long nowMs) {
         Optional<PoolService> standby =
                 config.services().stream().filter(PoolService::standby).findFirst();
         if (standby.isEmpty()) {
             return;
         }
         for (Pool pool : pools.values()) {
-            if (pool.lackedWithLate() > -1 - KEEP_IDLE) {
+            if (pool.missingVmsWithLate() > -1 - MIN_SPARE_VMS) {
                 mSpareSinceMs.remove(pool.mName);
                 continue;
             }
             long since = mSpareSinceMs.computeIfAbsent(pool.mName, n -> nowMs);
-            while (nowMs - since > IDLE_MS
-                    && pool.lackedWithLate() <= -1 - KEEP_IDLE
+            while (nowMs - since > SPARE_DELAY_MS
+                    && pool.missingVmsWithLate() <= -1 - MIN_SPARE_VMS
                     && !pool.mMovable.isEmpty()) {
-                VmState vm = take(pool);
+                VmState vm = removeMovable(pool);
                 vm.plan(new VmAction.Move(standby.get().name(), "the pool has spare VMs"), nowMs);
             }
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolLoad.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolLoad.java
@@ -1,16 +1,16 @@
 package org.foxtailplank.schedule;
 
 /**
- * How busy a service is.
+ * Load of a service.
  *
- * @param service its name
+ * @param service name of the service
  * @param workers workers that may be given tasks
- * @param cores cores that they offer
- * @param standingCores cores that standing tasks have taken
- * @param batchCores cores that other tasks have taken
- * @param jobs jobs that have not ended
- * @param waitingTasks tasks whose turn has come and that wait for a worker
- * @param waitingStanding standing ones among them
+ * @param cores cores of all workers
+ * @param standingCores cores reserved by standing tasks
+ * @param batchCores cores reserved by batch tasks
+ * @param jobs runs that are due and not done
+ * @param waitingTasks tasks that wait for a worker and whose dependencies are done
+ * @param waitingStanding standing tasks among them
  */
 public record PoolLoad(
         String service,
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolLoads.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolLoadCalculator.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Adds up how busy a service is. */
-final class PoolLoads {
+/** Computes the load of a service. */
+final class PoolLoadCalculator {
     private static final long MILLI = 1000;
 
-    private PoolLoads() {}
+    private PoolLoadCalculator() {}
 
     static PoolLoad of(String service, List<WorkerState> workers, List<ActiveRun> due, long nowMs) {
         int usable = 0;
@@ -16,15 +16,15 @@
         for (WorkerState w : workers) {
             usable += w.isUsable(nowMs) ? 1 : 0;
             cores += w.info().capacity().milliProcessors();
-            standing += w.standingUsed();
-            batch += w.used().milliProcessors() - w.standingUsed();
+            standing += w.standingMilliCores();
+            batch += w.used().milliProcessors() - w.standingMilliCores();
         }
         int waiting = 0;
         int waitingStanding = 0;
         for (ActiveRun run : due) {
             for (ActiveStep step : run.steps()) {
-                if (step.left() > 0 && run.isTurnOf(step)) {
-                    int tasks = (int) step.slots().stream().filter(TaskSlot::isWaiting).count();
+                if (step.remainingTasks() > 0 && run.areDependenciesDone(step)) {
+                    int tasks = (int) step.tasks().stream().filter(ActiveTask::isWaiting).count();
                     waiting += tasks;
                     waitingStanding += step.spec().mode().standing() ? tasks : 0;
                 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
@@ -7,40 +7,41 @@
 import org.foxtailplank.fleet.Resources;
 
 /**
- * Makes room for an urgent task by stopping less urgent ones.
+ * Selects runs to stop so that a more urgent task fits.
  *
- * <p>Answers a worker pool filled by jobs of a lower priority when a standing task, or a task of a
- * higher priority, finds no room at all. What is stopped is as little as possible: on one worker,
- * runs that can go on from a checkpoint first, then those that have worked least.
+ * <p>Applies if a standing task, or a task of a higher priority, finds no capacity because jobs of
+ * a lower priority fill the pool. It stops as little work as possible on a single worker: runs with
+ * checkpoints first, then the most recently started ones.
  */
 final class Preemption {
-    /** A task must have found no room for so long, in milliseconds: runs end all the time. */
-    private static final long WAIT_MS = 400;
+    /** A task must have lacked capacity for this time, in milliseconds, as runs end continually. */
+    private static final long MIN_WAIT_MS = 400;
 
     private Preemption() {}
 
-    /** The runs to stop so that the task fits; empty if nothing helps, or room is coming. */
+    /** Returns the runs to stop; empty if nothing helps or capacity is about to be freed. */
     static List<TaskRun> forTask(
-            TaskSlot slot, List<WorkerState> workers, long waitedMs, long nowMs) {
-        if (waitedMs < WAIT_MS || isRoomComing(slot, workers)) {
+            ActiveTask task, List<WorkerState> workers, long waitedMs, long nowMs) {
+        if (waitedMs < MIN_WAIT_MS || isRoomPending(task, workers)) {
             return List.of();
         }
         Optional<List<TaskRun>> best = Optional.empty();
         for (WorkerState w : workers) {
-            if (!w.isUsable(nowMs) || !WorkerChooser.mayRun(slot, w)) {
+            if (!w.isUsable(nowMs) || !WorkerChooser.mayRun(task, w)) {
                 continue;
             }
-            Optional<List<TaskRun>> victims = victims(slot, w);
+            Optional<List<TaskRun>> victims = victims(task, w);
             if (victims.isPresent()
-                    && (best.isEmpty() || lost(victims.get(), nowMs) < lost(best.get(), nowMs))) {
+                    && (best.isEmpty()
+                            || lostWork(victims.get(), nowMs) < lostWork(best.get(), nowMs))) {
                 best = victims;
             }
         }
         return best.orElse(List.of());
     }
 
-    /** Whether stops that are under way already make the room. */
-    private static boolean isRoomComing(TaskSlot slot, List<WorkerState> workers) {
+    /** Whether runs that are already being stopped free enough capacity. */
+    private static boolean isRoomPending(ActiveTask task, List<WorkerState> workers) {
         for (WorkerState w : workers) {
             Resources room = w.free();
             for (TaskRun r : w.runs()) {
@@ -48,21 +49,21 @@
                     room = room.plus(r.slot().spec().reserved());
                 }
             }
-            boolean fits = slot.spec().reserved().fitsIn(room);
-            if (fits && !w.isVacating() && WorkerChooser.mayRun(slot, w)) {
+            boolean fits = task.spec().reserved().fitsIn(room);
+            if (fits && !w.isEvacuating() && WorkerChooser.mayRun(task, w)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static Optional<List<TaskRun>> victims(TaskSlot slot, WorkerState worker) {
-        int priority = slot.step().job().order().terms().priority();
+    private static Optional<List<TaskRun>> victims(ActiveTask task, WorkerState worker) {
+        int priority = task.step().job().order().terms().priority();
         List<TaskRun> candidates = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            boolean less = r.slot().step().job().order().terms().priority() > priority;
+            boolean lowerPriority = r.slot().step().job().order().terms().priority() > priority;
             boolean standing = r.slot().spec().mode().standing();
-            if (less && !standing && r.phase() == RunPhase.RUNNING) {
+            if (lowerPriority && !standing && r.phase() == RunPhase.RUNNING) {
                 candidates.add(r);
             }
         }
@@ -72,22 +73,22 @@
         Resources room = worker.free();
         List<TaskRun> chosen = new ArrayList<>();
         for (TaskRun r : candidates) {
-            if (slot.spec().reserved().fitsIn(room)) {
+            if (task.spec().reserved().fitsIn(room)) {
                 break;
             }
             room = room.plus(r.slot().spec().reserved());
             chosen.add(r);
         }
-        return slot.spec().reserved().fitsIn(room) ? Optional.of(chosen) : Optional.empty();
+        return task.spec().reserved().fitsIn(room) ? Optional.of(chosen) : Optional.empty();
     }
 
-    /** Work that is thrown away, in milliseconds of thousandths of a core. */
-    private static double lost(List<TaskRun> runs, long nowMs) {
+    /** Work that is lost, in milliseconds times thousandths of a core. */
+    private static double lostWork(List<TaskRun> runs, long nowMs) {
         double sum = 0;
         for (TaskRun r : runs) {
-            double age = nowMs - r.startedMs();
-            double share = r.slot().spec().mode().checkpoints() ? 0.1 : 1;
-            sum += share * age * r.slot().spec().demand().milliProcessors();
+            double ageMs = nowMs - r.startedMs();
+            double lostShare = r.slot().spec().mode().checkpoints() ? 0.1 : 1;
+            sum += lostShare * ageMs * r.slot().spec().demand().milliProcessors();
         }
         return sum;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/RunPhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunPhase.java
@@ -1,13 +1,13 @@
 package org.foxtailplank.schedule;
 
-/** Where a run stands, as far as the owner knows. */
+/** Phase of a run, as known to the owner. */
 public enum RunPhase {
-    /** Its start is being written to the journal; nothing has been sent. */
+    /** The start is being recorded in the journal; no order has been sent. */
     PLANNED,
-    /** The start is on its way. */
+    /** The start is recorded and its order is being sent. */
     STARTING,
-    /** The worker has it. */
+    /** The worker has confirmed the run, or a previous owner may have started it. */
     RUNNING,
-    /** It has been told to stop; its room is not free yet. */
+    /** The run is to stop; it holds its capacity until it has ended. */
     STOPPING
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
@@ -17,15 +17,15 @@
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.port.WorkerOrders.LookAnswer;
 
-/** All active jobs and where their tasks run; takes in what workers list. */
+/** Tracks active jobs and the runs of their tasks, and applies the workers' reports. */
 final class RunTable {
-    /** A worker lists this many ends at a time; a run may be missing because its end is beyond. */
-    private static final int ENDS_A_LOOK = 500;
+    /** Most ends in one answer; if it is full, a missing run may have ended in a later one. */
+    private static final int MAX_ENDS_PER_POLL = 500;
 
-    private final UsualTimes mUsual = new UsualTimes();
+    private final UsualTimes mUsualTimes = new UsualTimes();
     private final Map<String, ActiveJob> mJobs = new LinkedHashMap<>();
     private final Map<TaskName, Set<Integer>> mFailures = new HashMap<>();
-    private final List<String> mBegun = new ArrayList<>();
+    private final List<String> mStartedJobs = new ArrayList<>();
 
     Optional<ActiveJob> job(String id) {
         return Optional.ofNullable(mJobs.get(id));
@@ -35,7 +35,7 @@
         return mJobs.values();
     }
 
-    /** Takes a job on; returns whether it is new. */
+    /** Adds a job unless it is known or final; returns whether it was added. */
     boolean add(JobEntry entry) {
         boolean isNew = !entry.phase().isFinal() && !mJobs.containsKey(entry.order().id());
         if (isNew) {
@@ -44,84 +44,84 @@
         return isNew;
     }
 
-    /** A run that an earlier owner wrote down and that may still be there. */
+    /** Adds a run that a previous owner recorded and that may still be running. */
     void inherit(StartedRun start, WorkerState worker, long nowMs) {
-        Optional<TaskSlot> slot = job(start.task().job()).flatMap(j -> j.slot(start.task()));
-        if (slot.isPresent() && worker.run(start.task(), start.attempt()).isEmpty()) {
-            TaskRun run = new TaskRun(slot.get(), worker, start.attempt(), nowMs);
-            run.inherited(nowMs);
-            start(run);
+        Optional<ActiveTask> task = job(start.task().job()).flatMap(j -> j.task(start.task()));
+        if (task.isPresent() && worker.run(start.task(), start.attempt()).isEmpty()) {
+            TaskRun run = new TaskRun(task.get(), worker, start.attempt(), nowMs);
+            run.markInherited(nowMs);
+            addRun(run);
         }
     }
 
-    /** The number of the next run of a task; it rises over owners too. */
-    int nextAttempt(TaskSlot slot) {
-        int attempt = slot.lastAttempt() + 1;
-        slot.attempt(attempt);
+    /** Returns the next attempt number of a task; numbers increase across owners. */
+    int nextAttempt(ActiveTask task) {
+        int attempt = task.lastAttempt() + 1;
+        task.recordAttempt(attempt);
         return attempt;
     }
 
-    /** The number of the next run of a gang, the same for all members. */
+    /** Returns the next attempt number of a gang, which all of its members share. */
     int nextAttempt(ActiveStep gang) {
         int last = 0;
-        for (TaskSlot s : gang.slots()) {
+        for (ActiveTask s : gang.tasks()) {
             last = Math.max(last, s.lastAttempt());
         }
-        for (TaskSlot s : gang.slots()) {
-            s.attempt(last + 1);
+        for (ActiveTask s : gang.tasks()) {
+            s.recordAttempt(last + 1);
         }
         return last + 1;
     }
 
-    /** The journal tells of an end, of this owner's or of an earlier one's. */
-    void recorded(TaskName task, RunOutcome outcome, long nowMs) {
-        Optional<TaskSlot> slot = job(task.job()).flatMap(j -> j.slot(task));
-        if (outcome == RunOutcome.DONE && slot.isPresent()) {
-            markAllDone(slot.get(), nowMs);
+    /** Applies an end that the journal reports, whichever owner recorded it. */
+    void recordEnd(TaskName name, RunOutcome outcome, long nowMs) {
+        Optional<ActiveTask> task = job(name.job()).flatMap(j -> j.task(name));
+        if (outcome == RunOutcome.DONE && task.isPresent()) {
+            markTaskOrGangDone(task.get(), nowMs);
         }
     }
 
-    void start(TaskRun run) {
+    void addRun(TaskRun run) {
         run.slot().runs().add(run);
         run.worker().add(run);
     }
 
-    void remove(TaskRun run) {
+    void removeRun(TaskRun run) {
         run.slot().runs().remove(run);
         run.worker().remove(run);
     }
 
-    /** Marks the runs of a job that must not go on. */
+    /** Stops all runs of a job and prevents further starts. */
     void endJob(ActiveJob job, String reason, long nowMs) {
-        job.ending();
+        job.markEnding();
         for (ActiveRun run : job.runs()) {
             for (ActiveStep step : run.steps()) {
-                for (TaskSlot slot : step.slots()) {
-                    stopRuns(slot, reason, nowMs);
+                for (ActiveTask task : step.tasks()) {
+                    stopRuns(task, reason, nowMs);
                 }
             }
         }
     }
 
-    static void stopRuns(TaskSlot slot, String reason, long nowMs) {
-        for (TaskRun r : slot.runs()) {
-            boolean sent = r.phase() == RunPhase.STARTING || r.phase() == RunPhase.RUNNING;
-            if (sent) {
-                r.stopping(reason, nowMs);
+    static void stopRuns(ActiveTask task, String reason, long nowMs) {
+        for (TaskRun r : task.runs()) {
+            boolean active = r.phase() == RunPhase.STARTING || r.phase() == RunPhase.RUNNING;
+            if (active) {
+                r.requestStop(reason, nowMs);
             }
         }
     }
 
-    /** Forgets jobs of which nothing is left to do. */
-    void forgetEnded() {
+    /** Removes ended jobs that have no runs left. */
+    void removeEndedJobs() {
         mJobs.values().removeIf(j -> (j.isEnding() || j.entry().phase().isFinal()) && hasNoRuns(j));
     }
 
     private static boolean hasNoRuns(ActiveJob job) {
         for (ActiveRun run : job.runs()) {
             for (ActiveStep step : run.steps()) {
-                for (TaskSlot slot : step.slots()) {
-                    if (!slot.runs().isEmpty()) {
+                for (ActiveTask task : step.tasks()) {
+                    if (!task.runs().isEmpty()) {
                         return false;
                     }
                 }
@@ -130,166 +130,167 @@
         return true;
     }
 
-    /** Takes in what a worker lists; the look was sent at {@code sentMs}. */
-    LookEffects looked(WorkerState worker, LookAnswer answer, long sentMs, long nowMs) {
+    /** Applies a worker's answer to a poll that was sent at {@code sentMs}. */
+    LookEffects applyPoll(WorkerState worker, LookAnswer answer, long sentMs, long nowMs) {
         List<RunEnd> toStore = new ArrayList<>();
-        long last = 0;
+        long lastSequence = 0;
         for (RunEnd end : answer.ended()) {
-            last = Math.max(last, end.sequence());
+            lastSequence = Math.max(lastSequence, end.sequence());
             if (end.sequence() > worker.seenEnds()) {
-                ended(worker, end, nowMs);
+                handleEnd(worker, end, nowMs);
                 if (end.outcome().counts()) {
                     toStore.add(end);
                 }
             }
         }
-        worker.seenEnds(last);
+        worker.setSeenEnds(lastSequence);
         Set<TaskRun> listed = new HashSet<>();
         List<RunView> orphans = new ArrayList<>();
         for (RunView view : answer.running()) {
-            running(worker, view, nowMs).ifPresentOrElse(listed::add, () -> orphans.add(view));
+            updateRun(worker, view, nowMs).ifPresentOrElse(listed::add, () -> orphans.add(view));
         }
-        boolean allEnds = answer.ended().size() < ENDS_A_LOOK;
-        List<TaskRun> lost = allEnds ? unlisted(worker, listed, sentMs) : List.of();
-        lost.forEach(this::remove);
+        boolean allEnds = answer.ended().size() < MAX_ENDS_PER_POLL;
+        List<TaskRun> lost = allEnds ? findLostRuns(worker, listed, sentMs) : List.of();
+        lost.forEach(this::removeRun);
         return new LookEffects(toStore, lost, orphans);
     }
 
-    /** A worker has said that a run of the job has started. */
-    void begun(ActiveJob job) {
-        if (job.begin()) {
-            mBegun.add(job.id());
+    /** Notes that a worker confirmed a run of the job. */
+    void recordJobStarted(ActiveJob job) {
+        if (job.markStarted()) {
+            mStartedJobs.add(job.id());
         }
     }
 
-    /** Jobs that have begun since this was last asked. */
-    List<String> takeBegun() {
-        List<String> begun = List.copyOf(mBegun);
-        mBegun.clear();
-        return begun;
+    /** Returns the jobs that have started since the last call. */
+    List<String> takeStartedJobs() {
+        List<String> started = List.copyOf(mStartedJobs);
+        mStartedJobs.clear();
+        return started;
     }
 
-    private Optional<TaskRun> running(WorkerState worker, RunView view, long nowMs) {
+    private Optional<TaskRun> updateRun(WorkerState worker, RunView view, long nowMs) {
         Optional<TaskRun> known = worker.run(view.task(), view.attempt());
         if (known.isPresent()) {
-            known.get().seen(view, nowMs);
-            begun(known.get().slot().step().job());
+            known.get().update(view, nowMs);
+            recordJobStarted(known.get().slot().step().job());
             return known;
         }
-        Optional<TaskSlot> slot = job(view.task().job()).flatMap(j -> j.slot(view.task()));
-        if (slot.isEmpty()) {
+        Optional<ActiveTask> task = job(view.task().job()).flatMap(j -> j.task(view.task()));
+        if (task.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(adopt(slot.get(), worker, view, nowMs));
+        return Optional.of(adopt(task.get(), worker, view, nowMs));
     }
 
-    /** A run that an earlier owner started: it goes on, unless the task needs it no more. */
-    private TaskRun adopt(TaskSlot slot, WorkerState worker, RunView view, long nowMs) {
-        boolean wanted = slot.isWaiting() && !slot.step().job().isEnding();
-        TaskRun run = new TaskRun(slot, worker, view.attempt(), nowMs);
-        slot.attempt(view.attempt());
-        start(run);
-        run.seen(view, nowMs);
-        begun(slot.step().job());
-        if (!wanted) {
-            run.stopping("not needed", nowMs);
+    /** Adds a run started by a previous owner; stops it if the task doesn't need it. */
+    private TaskRun adopt(ActiveTask task, WorkerState worker, RunView view, long nowMs) {
+        boolean needed = task.isWaiting() && !task.step().job().isEnding();
+        TaskRun run = new TaskRun(task, worker, view.attempt(), nowMs);
+        task.recordAttempt(view.attempt());
+        addRun(run);
+        run.update(view, nowMs);
+        recordJobStarted(task.step().job());
+        if (!needed) {
+            run.requestStop("the task needs no further run", nowMs);
         }
         return run;
     }
 
     /**
-     * Runs that the worker had confirmed, or been told to stop, before the look was sent and that
-     * it lists neither as running nor as ended: they are not there.
+     * Finds runs that were confirmed, or told to stop, before the poll was sent and that the worker
+     * lists neither as running nor as ended.
      */
-    private static List<TaskRun> unlisted(WorkerState worker, Set<TaskRun> listed, long sentMs) {
+    private static List<TaskRun> findLostRuns(
+            WorkerState worker, Set<TaskRun> listed, long sentMs) {
         List<TaskRun> lost = new ArrayList<>();
         for (TaskRun run : worker.runs()) {
-            boolean known = run.confirmedMs() >= 0 && run.confirmedMs() < sentMs;
-            if (known && !listed.contains(run)) {
+            boolean confirmedBefore = run.confirmedMs() >= 0 && run.confirmedMs() < sentMs;
+            if (confirmedBefore && !listed.contains(run)) {
                 lost.add(run);
             }
         }
         return lost;
     }
 
-    private void ended(WorkerState worker, RunEnd end, long nowMs) {
+    private void handleEnd(WorkerState worker, RunEnd end, long nowMs) {
         Optional<ActiveJob> job = job(end.task().job());
-        Optional<TaskSlot> found = job.flatMap(j -> j.slot(end.task()));
+        Optional<ActiveTask> found = job.flatMap(j -> j.task(end.task()));
         if (found.isEmpty()) {
             return;
         }
-        TaskSlot slot = found.get();
-        slot.attempt(end.attempt());
-        begun(slot.step().job());
+        ActiveTask task = found.get();
+        task.recordAttempt(end.attempt());
+        recordJobStarted(task.step().job());
         Optional<TaskRun> run = worker.run(end.task(), end.attempt());
-        run.ifPresent(this::remove);
+        run.ifPresent(this::removeRun);
         if (end.outcome() == RunOutcome.DONE) {
-            run.ifPresent(r -> learn(r, nowMs));
+            run.ifPresent(r -> recordRunTime(r, nowMs));
         }
         if (!end.checkpoint().isEmpty()) {
-            slot.checkpoint(end.checkpoint());
+            task.setCheckpoint(end.checkpoint());
         }
         if (end.outcome() == RunOutcome.DONE) {
-            done(slot, worker, nowMs);
+            handleDone(task, worker, nowMs);
         } else if (end.outcome() == RunOutcome.FAILED) {
-            failed(slot, worker, end, nowMs);
+            handleFailure(task, worker, end, nowMs);
         }
     }
 
-    private void learn(TaskRun run, long nowMs) {
-        double took = nowMs - run.firstSeenMs();
-        double ratio = took / Math.max(1, run.slot().spec().estimateMs());
-        mUsual.done(run.slot().step().job().order().service(), ratio);
+    private void recordRunTime(TaskRun run, long nowMs) {
+        double elapsedMs = nowMs - run.firstSeenMs();
+        double ratio = elapsedMs / Math.max(1, run.slot().spec().estimateMs());
+        mUsualTimes.recordRun(run.slot().step().job().order().service(), ratio);
     }
 
-    /** How long runs of a service usually take, against their estimates. */
-    double usual(String service) {
-        return mUsual.ratio(service);
+    /** Typical ratio of actual to estimated run time in a service. */
+    double usualRatio(String service) {
+        return mUsualTimes.ratio(service);
     }
 
-    private void done(TaskSlot slot, WorkerState worker, long nowMs) {
-        worker.health().done();
-        markAllDone(slot, nowMs);
+    private void handleDone(ActiveTask task, WorkerState worker, long nowMs) {
+        worker.health().recordSuccess();
+        markTaskOrGangDone(task, nowMs);
     }
 
-    private static void markAllDone(TaskSlot slot, long nowMs) {
-        if (slot.spec().mode().standing()) {
+    private static void markTaskOrGangDone(ActiveTask task, long nowMs) {
+        if (task.spec().mode().standing()) {
             return;
         }
-        if (!slot.spec().placement().gang()) {
-            markDone(slot, nowMs);
+        if (!task.spec().placement().gang()) {
+            markDone(task, nowMs);
             return;
         }
-        // The members of a gang end together: one end that is done stands for all of them.
-        for (TaskSlot member : slot.step().slots()) {
+        // The members of a gang end together, so one successful end completes all of them.
+        for (ActiveTask member : task.step().tasks()) {
             markDone(member, nowMs);
         }
     }
 
-    private static void markDone(TaskSlot slot, long nowMs) {
-        if (slot.isDone()) {
+    private static void markDone(ActiveTask task, long nowMs) {
+        if (task.isDone()) {
             return;
         }
-        slot.done();
-        slot.step().oneDone();
-        stopRuns(slot, "another copy is done", nowMs);
+        task.markDone();
+        task.step().recordTaskDone();
+        stopRuns(task, "another run completed the task", nowMs);
     }
 
-    private void failed(TaskSlot slot, WorkerState worker, RunEnd end, long nowMs) {
-        ActiveJob job = slot.step().job();
-        worker.health().failed(job.id(), nowMs);
-        slot.avoid().add(worker.id());
-        if (slot.spec().mode().standing()) {
+    private void handleFailure(ActiveTask task, WorkerState worker, RunEnd end, long nowMs) {
+        ActiveJob job = task.step().job();
+        worker.health().recordFailure(job.id(), nowMs);
+        task.failedWorkers().add(worker.id());
+        if (task.spec().mode().standing()) {
             return;
         }
-        // An end may be listed again to a new owner although it is stored already: runs are counted
-        // by their numbers, so that it does not count twice.
+        // A stored end may be reported again to a new owner. Counting distinct attempt numbers
+        // keeps it from counting twice.
         TaskName counted = job.entry().counted(end.task());
         Set<Integer> attempts = mFailures.computeIfAbsent(counted, t -> new HashSet<>());
         attempts.addAll(job.entry().failedAttempts(counted));
         attempts.add(end.attempt());
         if (attempts.size() >= job.order().terms().maxAttempts()) {
-            endJob(job, "a task has failed for good", nowMs);
+            endJob(job, "a task reached its maximum number of attempts", nowMs);
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ScheduleLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ScheduleLimits.java
@@ -1,19 +1,19 @@
 package org.foxtailplank.schedule;
 
 /**
- * Times that the platform promises or bounds, in milliseconds.
+ * Times bounded by the platform, in milliseconds.
  *
- * @param leaseMs longest lease that a worker takes
- * @param earlyMs how much before its time a timed run may start
+ * @param leaseMs longest lease of a worker
+ * @param earlyMs how long before its due time a run may start
  */
 public record ScheduleLimits(long leaseMs, long earlyMs) {
-    /** A worker's clock may be this much slower than ours. */
+    /** Maximum relative drift of a worker's clock against ours. */
     static final double CLOCK_DRIFT = 0.02;
 
-    /** Slack for the age of the clock reading on which a lease was computed. */
+    /** Allowance for the age of the clock reading from which a lease was computed. */
     private static final long CLOCK_READING_MS = 200;
 
-    /** How long after a lease was given nothing can run under it any more. */
+    /** Time after which a lease has certainly expired, counted from when it was granted. */
     public long surelyLapsedMs() {
         return (long) (leaseMs * (1 + 2 * CLOCK_DRIFT)) + CLOCK_READING_MS;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
@@ -20,31 +20,31 @@
 import org.foxtailplank.port.WorkerOrders.LookAnswer;
 
 /**
- * The owner's view of all jobs and workers, and what it decides.
+ * Tracks jobs and workers for the owner and decides which runs to start and stop.
  *
- * <p>It is told of jobs, workers and answers as they come, and {@link #decide} says what to do. It
- * holds nothing that the journal and the workers could not tell a new owner. Times are those of a
- * steady clock in milliseconds, but for those called wall time.
+ * <p>Callers report jobs, workers and answers as they arrive, and {@link #decide} returns the
+ * actions to take. A new owner can rebuild all state from the journal and the workers. Times are
+ * milliseconds of a monotonic clock unless named wall time.
  */
 public final class Scheduler {
-    /** An order that went unanswered is sent again after this time. */
-    private static final long REPEAT_MS = 250;
+    /** Delay before an unanswered order is sent again, in milliseconds. */
+    private static final long RESEND_MS = 250;
 
-    /** A worker without room is asked again after this time, unless a run ends there before. */
-    private static final long NO_ROOM_MS = 150;
+    /** Pause for a worker that refused a start for lack of capacity, in milliseconds. */
+    private static final long NO_ROOM_PAUSE_MS = 150;
 
     private final ScheduleLimits mLimits;
     private final RunTable mRuns;
     private final TaskPlacer mPlacer;
     private final Map<String, WorkerState> mWorkers = new LinkedHashMap<>();
-    private final List<Decisions.Pace> mPaces = new ArrayList<>();
+    private final List<Decisions.Pace> mPaceChanges = new ArrayList<>();
     private final ArrivalRate mArrivals = new ArrivalRate();
-    private long mOthersUntilMs = Long.MIN_VALUE / 2;
+    private long mOthersRenewedUntilMs = Long.MIN_VALUE / 2;
 
     /**
-     * The view of a new owner.
+     * Creates a scheduler without jobs and workers.
      *
-     * @param limits times that the platform bounds
+     * @param limits times bounded by the platform
      */
     public Scheduler(ScheduleLimits limits) {
         mLimits = limits;
@@ -52,29 +52,32 @@
         mPlacer = new TaskPlacer(mRuns);
     }
 
-    /** A worker is new or says something new of itself. */
+    /** Adds a worker or updates what is known of it. */
     public void worker(WorkerInfo info, long nowMs) {
         WorkerState known = mWorkers.get(info.id());
         if (known == null) {
             mWorkers.put(info.id(), new WorkerState(info, nowMs));
         } else {
-            known.info(info);
+            known.updateInfo(info);
         }
     }
 
-    /** The directory names a worker no more; what runs there goes on until its lease is over. */
+    /**
+     * Handles the removal of a worker from the directory. Its runs continue until they end or its
+     * lease expires.
+     */
     public void workerUnlisted(String id) {
-        worker(id).ifPresent(WorkerState::unlisted);
+        worker(id).ifPresent(WorkerState::markUnlisted);
     }
 
-    /** A life of a worker is surely over, and all that ran there. */
+    /** Removes a worker whose incarnation has ended and returns the runs that ended with it. */
     public List<TaskRun> workerOver(String id) {
         WorkerState worker = mWorkers.remove(id);
         if (worker == null) {
             return List.of();
         }
         List<TaskRun> ended = List.copyOf(worker.runs());
-        ended.forEach(mRuns::remove);
+        ended.forEach(mRuns::removeRun);
         return ended;
     }
 
@@ -94,12 +97,12 @@
         return mLimits;
     }
 
-    /** A job was accepted. */
+    /** Adds an accepted job, unless it is known or final. */
     public void job(JobEntry entry, long nowMs) {
         JobOrder order = entry.order();
         boolean isNew = mRuns.add(entry);
         if (isNew && !order.isStanding() && !order.timetable().isTimed()) {
-            mArrivals.arrived(order.service(), CoreDemand.of(order), nowMs);
+            mArrivals.recordArrival(order.service(), CoreDemand.of(order), nowMs);
         }
     }
 
@@ -108,9 +111,9 @@
     }
 
     /**
-     * A job that an earlier owner has worked on. Each start that it wrote down and of which no end
-     * is known counts as running until its worker has been looked at, is over, or can't have a
-     * lease any more: the task is not started a second time before that.
+     * Adds a job that a previous owner may have worked on. Each recorded start without a recorded
+     * end counts as running until its worker has been polled, its incarnation has ended or its
+     * lease has expired, so that no task is started twice.
      */
     public void inherit(JobEntry entry, Predicate<String> isOver, long nowMs) {
         if (!mRuns.add(entry)) {
@@ -118,206 +121,210 @@
         }
         for (StartedRun start : entry.lastStarts()) {
             mRuns.job(entry.order().id())
-                    .flatMap(j -> j.slot(start.task()))
-                    .ifPresent(s -> s.attempt(start.attempt()));
+                    .flatMap(j -> j.task(start.task()))
+                    .ifPresent(s -> s.recordAttempt(start.attempt()));
             if (!entry.hasEnded(start) && !isOver.test(start.worker())) {
                 WorkerState worker =
                         mWorkers.computeIfAbsent(
                                 start.worker(),
-                                id -> WorkerState.unknown(id, entry.order().service(), nowMs));
+                                id -> WorkerState.withoutInfo(id, entry.order().service(), nowMs));
                 mRuns.inherit(start, worker, nowMs);
             }
         }
     }
 
-    /** The journal says that a job will not go on. */
+    /** Stops the runs of a job that the journal reports as final. */
     public void jobEnded(String id, long nowMs) {
         mRuns.job(id).ifPresent(j -> mRuns.endJob(j, "job " + j.entry().phase(), nowMs));
     }
 
-    /** A look was answered. */
+    /** Applies a worker's answer to a poll. */
     public LookEffects looked(WorkerState worker, LookAnswer answer, long sentMs, long nowMs) {
-        worker.contact(answer.clockMs(), nowMs);
-        worker.looked();
-        LookEffects effects = mRuns.looked(worker, answer, sentMs, nowMs);
+        worker.recordAnswer(answer.clockMs(), nowMs);
+        worker.markPolled();
+        LookEffects effects = mRuns.applyPoll(worker, answer, sentMs, nowMs);
         if (effects.toStore().isEmpty()) {
-            worker.noteStored();
+            worker.updateStoredEnds();
         } else {
-            worker.storing();
+            worker.beginStore();
         }
-        mPaces.addAll(PaceControl.adjust(worker, nowMs));
-        for (TaskRun r : SlowWorkers.find(worker, mRuns.usual(worker.info().service()), nowMs)) {
-            if (hasBetterPlace(r, nowMs)) {
-                r.stopping(SlowWorkers.describe(r, nowMs), nowMs);
+        mPaceChanges.addAll(PaceControl.adjust(worker, nowMs));
+        for (TaskRun r :
+                SlowWorkers.find(worker, mRuns.usualRatio(worker.info().service()), nowMs)) {
+            if (hasBetterWorker(r, nowMs)) {
+                r.requestStop(SlowWorkers.describe(r, nowMs), nowMs);
             }
         }
         return effects;
     }
 
-    /** Starts stand in the journal; those that are still wanted may be sent. */
+    /** Releases starts for sending once the journal has them; drops those no longer needed. */
     public void recorded(List<TaskRun> starts) {
         for (TaskRun r : starts) {
             if (r.phase() != RunPhase.PLANNED || !r.slot().runs().contains(r)) {
                 continue;
             }
             if (r.slot().isDone() || r.slot().step().job().isEnding()) {
-                mRuns.remove(r);
+                mRuns.removeRun(r);
             } else {
-                r.recorded();
+                r.markRecorded();
             }
         }
     }
 
-    /** Jobs of which a first task has started since this was last asked. */
+    /** Returns the jobs whose first task has started since the last call. */
     public List<String> takeBegun() {
-        return mRuns.takeBegun();
+        return mRuns.takeStartedJobs();
     }
 
-    /** The journal tells of the end of a run. */
-    public void recorded(TaskName task, RunOutcome outcome, long nowMs) {
-        mRuns.recorded(task, outcome, nowMs);
+    /** Applies the end of a run that the journal reports. */
+    public void recorded(TaskName name, RunOutcome outcome, long nowMs) {
+        mRuns.recordEnd(name, outcome, nowMs);
     }
 
-    /** Whether a sound worker has room for the run's task now. */
-    private boolean hasBetterPlace(TaskRun run, long nowMs) {
+    /** Whether a worker that isn't slow has capacity for the run's task now. */
+    private boolean hasBetterWorker(TaskRun run, long nowMs) {
         for (WorkerState w : workersOf(run.worker().info().service())) {
-            boolean sound = w != run.worker() && !w.isSlow(nowMs);
-            if (sound && WorkerChooser.isAllowed(run.slot(), w, nowMs)) {
+            boolean suitable = w != run.worker() && !w.isSlow(nowMs);
+            if (suitable && WorkerChooser.canRunNow(run.slot(), w, nowMs)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A look went unanswered. */
+    /** Marks a worker that didn't answer a poll as unresponsive. */
     public void lookFailed(WorkerState worker) {
-        worker.silent();
+        worker.markUnresponsive();
     }
 
-    /** A start could not be sent yet; it is due again. */
+    /** Queues a start again that could not be sent yet. */
     public void startDelayed(TaskRun run) {
-        run.orderDue(true);
+        run.setOrderDue(true);
     }
 
-    /** What a worker said to a start. */
+    /** Applies a worker's answer to a start order. */
     public void startAnswered(TaskRun run, OrderOutcome outcome, long nowMs) {
         WorkerState worker = run.worker();
         switch (outcome) {
             case DONE -> {
-                run.confirmed(nowMs);
-                mRuns.begun(run.slot().step().job());
+                run.confirm(nowMs);
+                mRuns.recordJobStarted(run.slot().step().job());
             }
             case NO_ROOM -> {
-                worker.fullUntil(nowMs + NO_ROOM_MS);
-                giveUp(run, nowMs);
+                worker.markFullUntil(nowMs + NO_ROOM_PAUSE_MS);
+                dropRefusedRun(run, nowMs);
             }
             case UNHEALTHY -> {
-                worker.health().refused(nowMs);
-                giveUp(run, nowMs);
+                worker.health().recordRefusal(nowMs);
+                dropRefusedRun(run, nowMs);
             }
             case NO_TICKET -> {
-                run.slot().step().ticketRefused(worker.id());
-                giveUp(run, nowMs);
+                run.slot().step().removeTicket(worker.id());
+                dropRefusedRun(run, nowMs);
             }
             case NOT_SENT -> {
-                worker.silent();
-                giveUp(run, nowMs);
+                worker.markUnresponsive();
+                dropRefusedRun(run, nowMs);
             }
             case UNANSWERED -> {
-                run.uncertain();
-                run.orderDue(true);
+                run.markUncertain();
+                run.setOrderDue(true);
             }
-            case OUTDATED, LEASE_OVER, INVALID -> giveUp(run, nowMs);
+            case OUTDATED, LEASE_OVER, INVALID -> dropRefusedRun(run, nowMs);
             case FENCED, OTHER_LIFE -> {
-                // The runtime handles both: the owner is no longer it, or the worker is over.
+                // The caller handles both: it stops owning, or removes the worker.
             }
             default -> throw new IllegalStateException("no rule for " + outcome);
         }
     }
 
     /**
-     * Gives a run up that its worker refused. Where an earlier order for it went unanswered it may
-     * begin later, so that it is stopped first: a stop keeps it from ever beginning.
+     * Drops a run that its worker refused. If an earlier start order went unanswered, the run may
+     * still begin, so it is stopped instead: a stop prevents it from starting.
      */
-    private void giveUp(TaskRun run, long nowMs) {
+    private void dropRefusedRun(TaskRun run, long nowMs) {
         if (run.phase() != RunPhase.STARTING) {
             return;
         }
         if (run.isUncertain()) {
-            run.stopping("start refused", nowMs);
+            run.requestStop("start refused", nowMs);
         } else {
-            mRuns.remove(run);
+            mRuns.removeRun(run);
         }
     }
 
-    /** What a worker said to a stop. */
+    /** Applies a worker's answer to a stop order. */
     public void stopAnswered(TaskRun run, OrderOutcome outcome, long nowMs) {
         if (outcome == OrderOutcome.DONE) {
-            run.stopTaken(nowMs);
+            run.recordStopAccepted(nowMs);
         } else {
-            run.orderDue(true);
+            run.setOrderDue(true);
         }
     }
 
-    /** The advice that was asked for has come, or hasn't. */
+    /** Applies the answer to an advice request, or its failure. */
     public void advised(Decisions.Ask ask, Advice advice, long nowMs) {
         if (advice.answered()) {
-            ask.step().advised(ask.workers(), advice.tickets(), nowMs + advice.validMs());
+            ask.step().recordAdvice(ask.workers(), advice.tickets(), nowMs + advice.validMs());
         } else {
-            ask.step().notAdvised();
+            ask.step().recordAdviceFailure();
         }
     }
 
-    /** An earlier owner that knows of no successor may have renewed leases until this time. */
-    public void renewedByOthersUntil(long untilMs) {
-        mOthersUntilMs = untilMs;
+    /**
+     * Sets the time until which a previous owner, unaware of its replacement, may have renewed
+     * leases.
+     */
+    public void renewedByOthersUntil(long renewedUntilMs) {
+        mOthersRenewedUntilMs = renewedUntilMs;
     }
 
-    /** Runs whose worker fell silent and whose lease is surely over. */
+    /** Removes and returns the runs of unresponsive workers whose leases have certainly expired. */
     public List<TaskRun> takeLapsed(long nowMs) {
         List<TaskRun> lapsed = new ArrayList<>();
         for (WorkerState w : mWorkers.values()) {
-            long renewed = Math.max(w.grantedMs(), mOthersUntilMs);
-            boolean over = nowMs > renewed + mLimits.surelyLapsedMs();
-            if (w.isSilent() && over) {
+            long renewedMs = Math.max(w.grantedMs(), mOthersRenewedUntilMs);
+            boolean expired = nowMs > renewedMs + mLimits.surelyLapsedMs();
+            if (w.isSilent() && expired) {
                 lapsed.addAll(w.runs());
             }
         }
-        lapsed.forEach(mRuns::remove);
+        lapsed.forEach(mRuns::removeRun);
         return lapsed;
     }
 
-    /** Drops the workers that neither the directory names nor a run ties, and returns them. */
+    /** Removes and returns unresponsive workers that are unlisted and have no runs. */
     public List<WorkerState> takeForgotten() {
-        List<WorkerState> forgotten = new ArrayList<>();
+        List<WorkerState> stale = new ArrayList<>();
         for (WorkerState w : mWorkers.values()) {
             if (!w.isListed() && w.isSilent() && w.runs().isEmpty()) {
-                forgotten.add(w);
+                stale.add(w);
             }
         }
-        mWorkers.values().removeAll(forgotten);
-        return forgotten;
+        mWorkers.values().removeAll(stale);
+        return stale;
     }
 
-    /** How busy each service is, for the log. */
+    /** Summarizes the load of each service, for the log. */
     public List<PoolLoad> loads(FleetConfig config, long nowMs, long nowWallMs) {
-        Map<String, List<ActiveRun>> due = runsByService(nowWallMs);
+        Map<String, List<ActiveRun>> due = dueRunsByService(nowWallMs);
         List<PoolLoad> loads = new ArrayList<>();
         for (PoolService s : config.services()) {
             List<ActiveRun> runs = due.getOrDefault(s.name(), List.of());
-            loads.add(PoolLoads.of(s.name(), workersOf(s.name()), runs, nowMs));
+            loads.add(PoolLoadCalculator.of(s.name(), workersOf(s.name()), runs, nowMs));
         }
         return loads;
     }
 
-    /** What to do now. */
+    /** Returns the actions to take now. */
     public Decisions decide(FleetConfig config, long nowMs, long nowWallMs) {
         Decisions out = new Decisions();
-        mRuns.forgetEnded();
-        out.paces().addAll(mPaces);
-        mPaces.clear();
-        repeatOrders(out, nowMs);
-        for (Map.Entry<String, List<ActiveRun>> e : runsByService(nowWallMs).entrySet()) {
+        mRuns.removeEndedJobs();
+        out.paces().addAll(mPaceChanges);
+        mPaceChanges.clear();
+        resendOrders(out, nowMs);
+        for (Map.Entry<String, List<ActiveRun>> e : dueRunsByService(nowWallMs).entrySet()) {
             List<ActiveRun> sorted =
                     Urgency.sort(e.getValue(), batchCores(e.getKey(), nowMs), nowWallMs);
             mPlacer.place(sorted, workersOf(e.getKey()), out, nowMs);
@@ -325,21 +332,21 @@
         return out;
     }
 
-    /** What a service's workers offer besides standing tasks, in thousandths of a core. */
+    /** Capacity that a service's workers have for batch tasks, in thousandths of a core. */
     private long batchCores(String service, long nowMs) {
         long sum = 0;
         for (WorkerState w : workersOf(service)) {
             if (w.isUsable(nowMs)) {
-                sum += w.info().capacity().milliProcessors() - w.standingUsed();
+                sum += w.info().capacity().milliProcessors() - w.standingMilliCores();
             }
         }
         return sum;
     }
 
-    private void repeatOrders(Decisions out, long nowMs) {
+    private void resendOrders(Decisions out, long nowMs) {
         for (WorkerState w : mWorkers.values()) {
             for (TaskRun r : w.runs()) {
-                if (r.isOrderDue() && nowMs - r.orderedMs() >= REPEAT_MS) {
+                if (r.isOrderDue() && nowMs - r.lastOrderMs() >= RESEND_MS) {
                     send(r, out, nowMs);
                 }
             }
@@ -352,15 +359,15 @@
         } else if (run.phase() == RunPhase.STARTING) {
             out.starts().add(new Decisions.Start(run, ticket(run, nowMs)));
         }
-        run.orderDue(false);
-        run.ordered(nowMs);
+        run.setOrderDue(false);
+        run.recordOrderSent(nowMs);
     }
 
     private static String ticket(TaskRun run, long nowMs) {
         return run.slot().step().ticket(run.worker().id(), nowMs).orElse("");
     }
 
-    private Map<String, List<ActiveRun>> runsByService(long nowWallMs) {
+    private Map<String, List<ActiveRun>> dueRunsByService(long nowWallMs) {
         Map<String, List<ActiveRun>> found = new LinkedHashMap<>();
         for (ActiveJob job : mRuns.jobs()) {
             if (job.isEnding()) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/SlowWorkers.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/SlowWorkers.java
@@ -4,126 +4,130 @@
 import java.util.List;
 
 /**
- * Finds runs that stand still or crawl, and takes them to other workers.
+ * Finds runs that are stalled or slow, to be moved to other workers.
  *
- * <p>Guards against workers that take tasks and do nothing, or work several times slower, while
- * they answer looks as usual: without the guard a job waits for its slowest task, and the worker
- * looks free for more. A single slow run may just be a long one; a worker is slow when its runs
- * together take several times their estimates.
+ * <p>Guards against workers that answer polls normally but make no progress or run tasks several
+ * times slower: a job would wait for its slowest task while the worker appears to have capacity. A
+ * single slow run may just be a long one, so a worker counts as slow only if the mean of its runs
+ * exceeds their estimates several times.
  */
 final class SlowWorkers {
-    /** A run whose progress stays the same for so long stands still, in milliseconds. */
-    private static final long STILL_MS = 1800;
+    /** A run without progress for this time is stalled, in milliseconds. */
+    private static final long STALLED_MS = 1800;
 
-    /** A standing task that is not at work makes progress within this time, in milliseconds. */
+    /**
+     * A standing task that is not ready and makes no progress for this time is stalled, in
+     * milliseconds.
+     */
     private static final long STARTUP_MS = 6000;
 
     /**
-     * Runs that take so many times as long as others of their service, against their estimates,
-     * make a worker slow: slowed workers take four times as long or more, and estimates are off by
-     * half, so that the mean of a few runs of a sound worker stays below.
+     * A worker is slow if its runs take this many times as long as usual in their service, relative
+     * to their estimates. Errors of the estimates stay below it.
      */
     private static final double SLOW_RATIO = 3;
 
-    /** Runs that are needed to judge a worker. */
-    private static final int RUNS_TO_JUDGE = 3;
+    /** Minimum number of runs before a worker is classified as slow. */
+    private static final int MIN_SAMPLES = 3;
 
-    /** A run must be this old to tell anything, in milliseconds. */
-    private static final long YOUNG_MS = 500;
+    /** Minimum age of a run that is considered, in milliseconds. */
+    private static final long MIN_AGE_MS = 500;
 
-    /** Progress below which a run tells nothing. */
-    private static final double FIRST_PERCENT = 2;
+    /** Minimum progress of a run that is considered, in percent. */
+    private static final double MIN_PERCENT = 2;
 
-    /** A slow or still worker is left alone for so long, in milliseconds. */
+    /** Time for which a slow worker is avoided, in milliseconds. */
     private static final long AVOID_MS = 2500;
 
-    /** A run is only taken elsewhere if it would take so many times as long where it is. */
-    private static final double GAIN = 1.5;
+    /** Minimum ratio of a run's remaining time to the time of a new run elsewhere. */
+    private static final double MIN_SPEEDUP = 1.5;
 
-    private static final double WHOLE = 100;
+    private static final double FULL_PERCENT = 100;
 
     private SlowWorkers() {}
 
     /**
-     * Runs that should be stopped and started elsewhere.
+     * Returns the runs to stop and start elsewhere.
      *
-     * @param usual how long runs of the service usually take, against their estimates
+     * @param usualRatio typical ratio of actual to estimated run time in the service
      */
-    static List<TaskRun> find(WorkerState worker, double usual, long nowMs) {
+    static List<TaskRun> find(WorkerState worker, double usualRatio, long nowMs) {
         List<TaskRun> found = new ArrayList<>();
         double ratios = 0;
-        int judged = 0;
+        int samples = 0;
         for (TaskRun r : worker.runs()) {
-            if (r.phase() != RunPhase.RUNNING || r.pace() < WHOLE) {
+            if (r.phase() != RunPhase.RUNNING || r.pace() < FULL_PERCENT) {
                 continue;
             }
-            if (isStill(r, nowMs)) {
+            if (isStalled(r, nowMs)) {
                 found.add(r);
-            } else if (tells(r, nowMs)) {
+            } else if (isRepresentative(r, nowMs)) {
                 ratios += ratio(r, nowMs);
-                judged++;
+                samples++;
             }
         }
         if (!found.isEmpty()) {
-            worker.slowUntil(nowMs + AVOID_MS);
+            worker.markSlowUntil(nowMs + AVOID_MS);
         }
-        if (judged >= RUNS_TO_JUDGE && ratios / judged > SLOW_RATIO * usual) {
-            worker.slowUntil(nowMs + AVOID_MS);
-            addCrawling(worker, usual, nowMs, found);
+        if (samples >= MIN_SAMPLES && ratios / samples > SLOW_RATIO * usualRatio) {
+            worker.markSlowUntil(nowMs + AVOID_MS);
+            addSlowRuns(worker, usualRatio, nowMs, found);
         }
         return found;
     }
 
-    /** Why a run is stopped, for the log. */
+    /** Explains why a run is stopped, for the log. */
     static String describe(TaskRun run, long nowMs) {
         return String.format(
                 "%s at %.0f%% after %d ms, estimate %d ms",
-                isStill(run, nowMs) ? "stands still" : "crawls",
-                run.percent(),
+                isStalled(run, nowMs) ? "stalled" : "slow",
+                run.progress(),
                 nowMs - run.firstSeenMs(),
                 run.slot().spec().estimateMs());
     }
 
-    private static void addCrawling(
-            WorkerState worker, double usual, long nowMs, List<TaskRun> found) {
+    private static void addSlowRuns(
+            WorkerState worker, double usualRatio, long nowMs, List<TaskRun> found) {
         for (TaskRun r : worker.runs()) {
             boolean batch = !r.slot().spec().mode().standing();
             if (batch
                     && r.phase() == RunPhase.RUNNING
                     && !found.contains(r)
-                    && gains(r, usual, nowMs)) {
+                    && endsSoonerElsewhere(r, usualRatio, nowMs)) {
                 found.add(r);
             }
         }
     }
 
-    /** Whether the run would end sooner if it began anew elsewhere. */
-    private static boolean gains(TaskRun run, double usual, long nowMs) {
-        double age = nowMs - run.firstSeenMs();
-        double left = age / Math.max(1, run.percent()) * (WHOLE - run.percent());
-        double anew = usual * run.slot().spec().estimateMs();
-        return age > YOUNG_MS && left > GAIN * anew;
+    /** Whether the run would end clearly sooner if restarted elsewhere. */
+    private static boolean endsSoonerElsewhere(TaskRun run, double usualRatio, long nowMs) {
+        double ageMs = nowMs - run.firstSeenMs();
+        double leftMs = ageMs / Math.max(1, run.progress()) * (FULL_PERCENT - run.progress());
+        double restartMs = usualRatio * run.slot().spec().estimateMs();
+        return ageMs > MIN_AGE_MS && leftMs > MIN_SPEEDUP * restartMs;
     }
 
-    private static boolean isStill(TaskRun run, long nowMs) {
+    private static boolean isStalled(TaskRun run, long nowMs) {
         if (run.slot().spec().mode().standing()) {
-            return run.percent() < WHOLE && nowMs - run.percentMs() > STARTUP_MS;
+            return run.progress() < FULL_PERCENT && nowMs - run.progressChangedMs() > STARTUP_MS;
         }
         boolean gang = run.slot().spec().placement().gang();
-        return !gang && run.percent() < WHOLE && nowMs - run.percentMs() > STILL_MS;
+        return !gang
+                && run.progress() < FULL_PERCENT
+                && nowMs - run.progressChangedMs() > STALLED_MS;
     }
 
-    private static boolean tells(TaskRun run, long nowMs) {
+    private static boolean isRepresentative(TaskRun run, long nowMs) {
         return !run.slot().spec().mode().standing()
                 && !run.slot().spec().mode().fills()
-                && !WorkerChooser.isFar(run.slot(), run.worker())
-                && run.percent() > FIRST_PERCENT
-                && nowMs - run.firstSeenMs() > YOUNG_MS;
+                && !WorkerChooser.isRemote(run.slot(), run.worker())
+                && run.progress() > MIN_PERCENT
+                && nowMs - run.firstSeenMs() > MIN_AGE_MS;
     }
 
-    /** Expected run time against the estimate. */
+    /** Ratio of the projected run time to the estimate. */
     static double ratio(TaskRun run, long nowMs) {
-        double expected = (nowMs - run.firstSeenMs()) * WHOLE / run.percent();
+        double expected = (nowMs - run.firstSeenMs()) * FULL_PERCENT / run.progress();
         return expected / Math.max(1, run.slot().spec().estimateMs());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingMoves.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingMoves.java
@@ -8,58 +8,59 @@
 /**
  * The moves of standing tasks that a wave still needs, by step.
  *
- * <p>Of a step only so many tasks may be away at a time, so that its moves follow each other
- * however many VMs they are on. A step whose moves take about all the time that is left is
- * pressing: its VMs are chosen before others, and only as many at a time as keep its moves going.
+ * <p>A step allows only a limited number of unavailable tasks, so its moves are serialized however
+ * many VMs they are on. A step whose moves need about all the remaining time is time-critical: its
+ * VMs are selected before others, but only as many at a time as keep its moves going.
  */
 final class StandingMoves {
-    /** Time until a standing task that was taken away is at work elsewhere, in milliseconds. */
+    /** Time from stopping a standing task until it is ready elsewhere, in milliseconds. */
     private static final long MOVE_MS = 2000;
 
     private final Scheduler mScheduler;
-    private final Map<ActiveStep, Step> mSteps = new LinkedHashMap<>();
-    private int mMostOnOneVm;
+    private final Map<ActiveStep, StepMoves> mSteps = new LinkedHashMap<>();
+    private int mMaxTasksOnOneVm;
 
-    /** What the wave's VMs have of one step. */
-    private static final class Step {
-        final int mAtOnce;
+    /** The moves of one step that the wave still needs. */
+    private static final class StepMoves {
+        final int mMaxConcurrent;
         int mTasks;
-        int mReady;
+        int mChosenTasks;
 
-        Step(int atOnce) {
-            mAtOnce = atOnce;
+        StepMoves(int maxConcurrent) {
+            mMaxConcurrent = maxConcurrent;
         }
 
-        long neededMs() {
-            return (mTasks + mAtOnce - 1) / mAtOnce * MOVE_MS;
+        long minDurationMs() {
+            return (mTasks + mMaxConcurrent - 1) / mMaxConcurrent * MOVE_MS;
         }
     }
 
     /**
-     * The moves for some VMs.
+     * Counts the moves that some VMs need.
      *
-     * @param left VMs that have not begun their reboot
+     * @param remaining VMs whose reboot has not begun
      */
-    StandingMoves(List<VmState> left, Scheduler scheduler) {
+    StandingMoves(List<VmState> remaining, Scheduler scheduler) {
         mScheduler = scheduler;
-        for (VmState v : left) {
+        for (VmState v : remaining) {
             Map<ActiveStep, Integer> tasks = tasks(v);
             tasks.forEach((step, count) -> step(step).mTasks += count);
-            mMostOnOneVm = Math.max(mMostOnOneVm, tasks.values().stream().mapToInt(n -> n).sum());
+            mMaxTasksOnOneVm =
+                    Math.max(mMaxTasksOnOneVm, tasks.values().stream().mapToInt(n -> n).sum());
             if (v.planned().isPresent()) {
-                chosen(v);
+                recordChosen(v);
             }
         }
     }
 
-    private Step step(ActiveStep step) {
-        int atOnce = Math.max(1, step.spec().mode().mayMiss());
-        return mSteps.computeIfAbsent(step, s -> new Step(atOnce));
+    private StepMoves step(ActiveStep step) {
+        int maxConcurrent = Math.max(1, step.spec().mode().mayMiss());
+        return mSteps.computeIfAbsent(step, s -> new StepMoves(maxConcurrent));
     }
 
     private Map<ActiveStep, Integer> tasks(VmState vm) {
         Map<ActiveStep, Integer> tasks = new LinkedHashMap<>();
-        worker(vm).ifPresent(w -> w.countStanding(tasks));
+        worker(vm).ifPresent(w -> w.addStandingCounts(tasks));
         return tasks;
     }
 
@@ -67,51 +68,51 @@
         return mScheduler.worker(vm.info().worker());
     }
 
-    /** A VM was chosen: its tasks move as soon as their steps can miss them. */
-    void chosen(VmState vm) {
+    /** Records that a VM was selected, so that its tasks move as soon as their budget allows. */
+    void recordChosen(VmState vm) {
         worker(vm)
                 .ifPresent(
                         w -> {
                             for (TaskRun r : w.runs()) {
                                 boolean standing = r.slot().spec().mode().standing();
                                 if (standing && r.phase() != RunPhase.STOPPING) {
-                                    step(r.slot().step()).mReady++;
+                                    step(r.slot().step()).mChosenTasks++;
                                 }
                             }
                         });
     }
 
-    /** Time that the moves take at least, in milliseconds: those of one VM or step are in line. */
-    long neededMs() {
-        long slowest = mSteps.values().stream().mapToLong(Step::neededMs).max().orElse(0);
-        return Math.max(slowest, mMostOnOneVm * MOVE_MS);
+    /** Minimum time for all moves, in milliseconds; moves of one VM or step are serialized. */
+    long minDurationMs() {
+        long slowest = mSteps.values().stream().mapToLong(StepMoves::minDurationMs).max().orElse(0);
+        return Math.max(slowest, mMaxTasksOnOneVm * MOVE_MS);
     }
 
-    /** How many tasks have to move of each step whose moves take more than a time. */
-    Map<ActiveStep, Integer> pressing(long timeMs) {
-        Map<ActiveStep, Integer> pressing = new LinkedHashMap<>();
+    /** Number of tasks to move, for each step whose moves need more than the given time. */
+    Map<ActiveStep, Integer> criticalSteps(long timeMs) {
+        Map<ActiveStep, Integer> critical = new LinkedHashMap<>();
         mSteps.forEach(
-                (step, s) -> {
-                    if (isPressing(s, timeMs)) {
-                        pressing.put(step, s.mTasks);
+                (step, moves) -> {
+                    if (isCritical(moves, timeMs)) {
+                        critical.put(step, moves.mTasks);
                     }
                 });
-        return pressing;
+        return critical;
     }
 
-    /** Whether a VM has a task of a step whose moves take more than a time, in milliseconds. */
-    boolean isPressing(VmState vm, long timeMs) {
-        return tasks(vm).keySet().stream().anyMatch(s -> isPressing(step(s), timeMs));
+    /** Whether a VM has a task of a step whose moves need more than the given time. */
+    boolean isCritical(VmState vm, long timeMs) {
+        return tasks(vm).keySet().stream().anyMatch(s -> isCritical(step(s), timeMs));
     }
 
-    /** Whether such a step has too few tasks on chosen VMs to go on with. */
-    boolean isWanted(VmState vm, long timeMs) {
+    /** Whether such a step has too few tasks on selected VMs to keep its moves going. */
+    boolean isNeededNow(VmState vm, long timeMs) {
         return tasks(vm).keySet().stream()
                 .map(this::step)
-                .anyMatch(s -> isPressing(s, timeMs) && s.mReady < s.mAtOnce);
+                .anyMatch(s -> isCritical(s, timeMs) && s.mChosenTasks < s.mMaxConcurrent);
     }
 
-    private static boolean isPressing(Step step, long timeMs) {
-        return step.mTasks > step.mAtOnce && step.neededMs() > timeMs;
+    private static boolean isCritical(StepMoves step, long timeMs) {
+        return step.mTasks > step.mMaxConcurrent && step.minDurationMs() > timeMs;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingPlaces.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingPlaces.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * Keeps workers for the standing tasks whose VMs are to be rebooted.
+ * Reserves workers for the standing tasks whose VMs are to be rebooted.
  *
- * <p>Such a task is only stopped when it has a place elsewhere. Where the queue's jobs wait they
- * take any room as soon as it is free, and the task would find none for as long as they do: workers
- * that admit it get no other new tasks until it has moved.
+ * <p>Such a task is stopped only if another worker can take it. Batch tasks would otherwise use all
+ * capacity as soon as it is freed, so workers that admit the task get no new batch tasks until it
+ * has moved.
  */
 final class StandingPlaces {
-    /** Workers that are kept for each task that a step may miss: the next move's too. */
-    private static final int KEPT_FOR_EACH = 2;
+    /** Workers reserved for each concurrent move, to cover the next move too. */
+    private static final int RESERVED_PER_CONCURRENT_MOVE = 2;
 
     private final Scheduler mScheduler;
 
@@ -25,54 +25,58 @@
         mScheduler = scheduler;
     }
 
-    /** Chooses the workers that are kept from now on; those kept so far are free otherwise. */
-    void keep(Iterable<VmState> vms, long nowMs) {
-        Map<ActiveStep, List<TaskSlot>> moving = moving(vms);
-        Set<WorkerState> before = new HashSet<>();
+    /** Selects the workers to reserve from now on and releases all others. */
+    void reserve(Iterable<VmState> vms, long nowMs) {
+        Map<ActiveStep, List<ActiveTask>> tasksByStep = tasksToMove(vms);
+        Set<WorkerState> reservedBefore = new HashSet<>();
         for (WorkerState w : mScheduler.workers()) {
-            if (w.isKept()) {
-                before.add(w);
-                w.kept(false);
+            if (w.isReservedForStanding()) {
+                reservedBefore.add(w);
+                w.setReservedForStanding(false);
             }
         }
-        moving.forEach((step, slots) -> keep(slots, before, nowMs));
+        tasksByStep.forEach((step, tasks) -> reserve(tasks, reservedBefore, nowMs));
     }
 
-    /** The tasks that have to move, by step. */
-    private Map<ActiveStep, List<TaskSlot>> moving(Iterable<VmState> vms) {
-        Map<ActiveStep, List<TaskSlot>> moving = new LinkedHashMap<>();
+    /** Standing tasks that have to move, by step. */
+    private Map<ActiveStep, List<ActiveTask>> tasksToMove(Iterable<VmState> vms) {
+        Map<ActiveStep, List<ActiveTask>> tasksByStep = new LinkedHashMap<>();
         for (VmState v : vms) {
-            boolean leaves = v.planned().isPresent() && v.isRebooting();
-            if (leaves) {
-                mScheduler.worker(v.info().worker()).ifPresent(w -> addStanding(w, moving));
+            boolean leaving = v.planned().isPresent() && v.isRebooting();
+            if (leaving) {
+                mScheduler.worker(v.info().worker()).ifPresent(w -> addStanding(w, tasksByStep));
             }
         }
-        return moving;
+        return tasksByStep;
     }
 
-    private static void addStanding(WorkerState worker, Map<ActiveStep, List<TaskSlot>> moving) {
+    private static void addStanding(
+            WorkerState worker, Map<ActiveStep, List<ActiveTask>> tasksByStep) {
         for (TaskRun r : worker.runs()) {
             if (r.slot().spec().mode().standing() && r.phase() != RunPhase.STOPPING) {
-                moving.computeIfAbsent(r.slot().step(), s -> new ArrayList<>()).add(r.slot());
+                tasksByStep.computeIfAbsent(r.slot().step(), s -> new ArrayList<>()).add(r.slot());
             }
         }
     }
 
-    private void keep(List<TaskSlot> slots, Set<WorkerState> before, long nowMs) {
-        TaskSlot slot = slots.get(0);
-        int each = Math.max(1, slot.spec().placement().maxPerWorker());
-        int atOnce = Math.max(1, slot.spec().mode().mayMiss());
-        int needed = Math.min((slots.size() + each - 1) / each, KEPT_FOR_EACH * atOnce);
+    private void reserve(List<ActiveTask> tasks, Set<WorkerState> reservedBefore, long nowMs) {
+        ActiveTask task = tasks.get(0);
+        int tasksPerWorker = Math.max(1, task.spec().placement().maxPerWorker());
+        int maxConcurrent = Math.max(1, task.spec().mode().mayMiss());
+        int needed =
+                Math.min(
+                        (tasks.size() + tasksPerWorker - 1) / tasksPerWorker,
+                        RESERVED_PER_CONCURRENT_MOVE * maxConcurrent);
         List<WorkerState> places = new ArrayList<>();
-        for (WorkerState w : mScheduler.workersOf(slot.step().job().order().service())) {
-            if (!w.isKept() && WorkerChooser.couldRun(slot, w, nowMs)) {
+        for (WorkerState w : mScheduler.workersOf(task.step().job().order().service())) {
+            if (!w.isReservedForStanding() && WorkerChooser.canRunAfterBatch(task, w, nowMs)) {
                 places.add(w);
             }
         }
         places.sort(
-                Comparator.comparing((WorkerState w) -> !before.contains(w))
+                Comparator.comparing((WorkerState w) -> !reservedBefore.contains(w))
                         .thenComparing(w -> -w.free().milliProcessors())
                         .thenComparing(WorkerState::id));
-        places.stream().limit(needed).forEach(w -> w.kept(true));
+        places.stream().limit(needed).forEach(w -> w.setReservedForStanding(true));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskPlacer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskPlacer.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Gives the tasks whose turn it is to workers, and makes room where an urgent one finds none. */
+/** Assigns runnable tasks to workers and preempts others for urgent tasks that don't fit. */
 final class TaskPlacer {
     private final RunTable mRuns;
 
@@ -12,11 +12,11 @@
         mRuns = runs;
     }
 
-    /** Plans starts of the tasks whose turn it is, in the order of their runs. */
+    /** Plans starts of the tasks whose dependencies are done, in the order of the given runs. */
     void place(List<ActiveRun> runs, List<WorkerState> workers, Decisions out, long nowMs) {
         for (ActiveRun run : runs) {
             for (ActiveStep step : run.steps()) {
-                if (step.left() > 0 && run.isTurnOf(step)) {
+                if (step.remainingTasks() > 0 && run.areDependenciesDone(step)) {
                     placeStep(step, workers, out, nowMs);
                 }
             }
@@ -25,54 +25,57 @@
 
     private void placeStep(ActiveStep step, List<WorkerState> workers, Decisions out, long nowMs) {
         if (step.job().order().terms().advice().isPresent()) {
-            AdviceNeed.ask(step, workers, out, nowMs);
+            AdviceRequests.request(step, workers, out, nowMs);
         }
         if (step.spec().placement().gang()) {
             startGang(step, GangPlacement.place(step, workers, nowMs), out, nowMs);
             return;
         }
-        for (TaskSlot slot : step.slots()) {
-            if (!slot.isWaiting()) {
+        for (ActiveTask task : step.tasks()) {
+            if (!task.isWaiting()) {
                 continue;
             }
-            Optional<WorkerState> worker = WorkerChooser.choose(slot, workers, nowMs);
+            Optional<WorkerState> worker = WorkerChooser.choose(task, workers, nowMs);
             if (worker.isEmpty()) {
-                makeRoom(slot, workers, nowMs);
-                step.slots().stream().filter(TaskSlot::isWaiting).forEach(s -> s.noRoom(nowMs));
+                preempt(task, workers, nowMs);
+                step.tasks().stream()
+                        .filter(ActiveTask::isWaiting)
+                        .forEach(s -> s.recordNoRoom(nowMs));
                 return;
             }
-            slot.hasRoom();
-            start(slot, worker.get(), mRuns.nextAttempt(slot), out, nowMs);
+            task.clearNoRoom();
+            start(task, worker.get(), mRuns.nextAttempt(task), out, nowMs);
         }
     }
 
-    private void makeRoom(TaskSlot slot, List<WorkerState> workers, long nowMs) {
-        long waited = slot.noRoom(nowMs);
-        for (TaskRun r : Preemption.forTask(slot, workers, waited, nowMs)) {
-            r.stopping("makes room for " + slot.name(), nowMs);
+    private void preempt(ActiveTask task, List<WorkerState> workers, long nowMs) {
+        long waited = task.recordNoRoom(nowMs);
+        for (TaskRun r : Preemption.forTask(task, workers, waited, nowMs)) {
+            r.requestStop("makes room for " + task.name(), nowMs);
         }
     }
 
-    /** All members carry the same number and the same checkpoint. */
+    /** Starts a gang; all members share one attempt number and checkpoint. */
     private void startGang(
-            ActiveStep step, Map<TaskSlot, WorkerState> placed, Decisions out, long nowMs) {
+            ActiveStep step, Map<ActiveTask, WorkerState> placed, Decisions out, long nowMs) {
         if (placed.isEmpty()) {
             return;
         }
         int attempt = mRuns.nextAttempt(step);
         String checkpoint = "";
-        for (TaskSlot s : step.slots()) {
+        for (ActiveTask s : step.tasks()) {
             checkpoint = s.checkpoint().isEmpty() ? checkpoint : s.checkpoint();
         }
-        for (Map.Entry<TaskSlot, WorkerState> e : placed.entrySet()) {
-            e.getKey().checkpoint(checkpoint);
+        for (Map.Entry<ActiveTask, WorkerState> e : placed.entrySet()) {
+            e.getKey().setCheckpoint(checkpoint);
             start(e.getKey(), e.getValue(), attempt, out, nowMs);
         }
     }
 
-    private void start(TaskSlot slot, WorkerState worker, int attempt, Decisions out, long nowMs) {
-        TaskRun run = new TaskRun(slot, worker, attempt, nowMs);
-        mRuns.start(run);
+    private void start(
+            ActiveTask task, WorkerState worker, int attempt, Decisions out, long nowMs) {
+        TaskRun run = new TaskRun(task, worker, attempt, nowMs);
+        mRuns.addRun(run);
         out.planned().add(run);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
@@ -6,47 +6,47 @@
 public final class TaskRun {
     private static final int FULL_PACE = 100;
 
-    private final TaskSlot mSlot;
+    private final ActiveTask mTask;
     private final WorkerState mWorker;
     private final int mAttempt;
     private final long mStartedMs;
 
     private RunPhase mPhase = RunPhase.PLANNED;
-    private String mReason = "";
-    private double mPercent;
-    private long mPercentMs;
-    private long mGauge;
+    private String mStopReason = "";
+    private double mProgress;
+    private long mProgressChangedMs;
+    private long mTailLatencyMs;
     private long mConfirmedMs = -1;
-    private long mOrderedMs;
+    private long mLastOrderMs;
     private int mPace = FULL_PACE;
-    private long mAtWorkMs = -1;
+    private long mReadyMs = -1;
     private boolean mUncertain;
     private boolean mOrderDue;
 
-    TaskRun(TaskSlot slot, WorkerState worker, int attempt, long nowMs) {
-        mSlot = slot;
+    TaskRun(ActiveTask task, WorkerState worker, int attempt, long nowMs) {
+        mTask = task;
         mWorker = worker;
         mAttempt = attempt;
         mStartedMs = nowMs;
-        mOrderedMs = nowMs;
-        mPercentMs = nowMs;
+        mLastOrderMs = nowMs;
+        mProgressChangedMs = nowMs;
     }
 
-    /** The start stands in the journal and may be sent. */
-    void recorded() {
+    /** Releases the start for sending after it was recorded in the journal. */
+    void markRecorded() {
         mPhase = RunPhase.STARTING;
         mOrderDue = true;
-        mOrderedMs = Long.MIN_VALUE / 2;
+        mLastOrderMs = Long.MIN_VALUE / 2;
     }
 
-    /** A run that an earlier owner may have started. */
-    void inherited(long nowMs) {
+    /** Treats the run as running because a previous owner may have started it. */
+    void markInherited(long nowMs) {
         mPhase = RunPhase.RUNNING;
         mConfirmedMs = nowMs;
     }
 
-    public TaskSlot slot() {
-        return mSlot;
+    public ActiveTask slot() {
+        return mTask;
     }
 
     public WorkerState worker() {
@@ -61,93 +61,96 @@
         return mPhase;
     }
 
-    /** Why it is being stopped. */
+    /** Why the run is being stopped. */
     public String reason() {
-        return mReason;
+        return mStopReason;
     }
 
     public long startedMs() {
         return mStartedMs;
     }
 
-    /** Whether a standing task's run serves. */
-    public boolean isAtWork() {
-        return mPhase == RunPhase.RUNNING && mPercent >= RunView.AT_WORK;
+    /** Whether the run of a standing task is ready to serve. */
+    public boolean isReady() {
+        return mPhase == RunPhase.RUNNING && mProgress >= RunView.AT_WORK;
     }
 
-    /** When it was first known to be there. */
+    /** Time of the worker's first confirmation, or else of the start. */
     long firstSeenMs() {
         return mConfirmedMs < 0 ? mStartedMs : mConfirmedMs;
     }
 
-    /** Progress as the worker last said it. */
-    public double percent() {
-        return mPercent;
+    /** Progress in percent, as last reported by the worker. */
+    public double progress() {
+        return mProgress;
     }
 
-    /** When the progress last changed. */
-    long percentMs() {
-        return mPercentMs;
+    /** Time at which the progress last changed. */
+    long progressChangedMs() {
+        return mProgressChangedMs;
     }
 
-    /** Tail latency of a serving task, in milliseconds. */
-    long gauge() {
-        return mGauge;
+    /** Tail latency in milliseconds; meaningful for serving tasks only. */
+    long tailLatencyMs() {
+        return mTailLatencyMs;
     }
 
     public int pace() {
         return mPace;
     }
 
-    void pace(int percent) {
+    void setPace(int percent) {
         mPace = percent;
     }
 
-    /** When the worker first confirmed it; -1 before. */
+    /** Time at which the worker first confirmed the run; -1 before. */
     long confirmedMs() {
         return mConfirmedMs;
     }
 
-    /** When the last order for it was sent. */
-    long orderedMs() {
-        return mOrderedMs;
+    /** Time at which the last order for the run was sent. */
+    long lastOrderMs() {
+        return mLastOrderMs;
     }
 
-    void ordered(long nowMs) {
-        mOrderedMs = nowMs;
+    void recordOrderSent(long nowMs) {
+        mLastOrderMs = nowMs;
     }
 
-    /** Whether an order to start it went unanswered, so that it may begin later. */
+    /** Whether a start order went unanswered, so that the run may still begin. */
     boolean isUncertain() {
         return mUncertain;
     }
 
-    void uncertain() {
+    void markUncertain() {
         mUncertain = true;
     }
 
-    /** Whether its order must be sent, for the first time or again. */
+    /** Whether an order must be sent or repeated. */
     boolean isOrderDue() {
         return mOrderDue;
     }
 
-    void orderDue(boolean due) {
+    void setOrderDue(boolean due) {
         mOrderDue = due;
     }
 
-    /** The worker has taken the stop: from now on a look either lists the run, or it is gone. */
-    void stopTaken(long nowMs) {
+    /**
+     * Records that the worker accepted the stop. From now on a poll that doesn't list the run means
+     * that it has ended.
+     */
+    void recordStopAccepted(long nowMs) {
         if (mConfirmedMs < 0) {
             mConfirmedMs = nowMs;
         }
     }
 
-    /** When it was first seen at work; -1 before. */
-    long atWorkMs() {
-        return mAtWorkMs;
+    /** Time at which the run was first ready; -1 before. */
+    long readyMs() {
+        return mReadyMs;
     }
 
-    void confirmed(long nowMs) {
+    void confirm(long nowMs) {
         if (mConfirmedMs < 0) {
             mConfirmedMs = nowMs;
         }
@@ -156,25 +159,25 @@
         }
     }
 
-    void stopping(String reason, long nowMs) {
+    void requestStop(String reason, long nowMs) {
         mPhase = RunPhase.STOPPING;
-        mReason = reason;
+        mStopReason = reason;
         mOrderDue = true;
-        mOrderedMs = Long.MIN_VALUE / 2;
+        mLastOrderMs = Long.MIN_VALUE / 2;
     }
 
-    void seen(RunView view, long nowMs) {
-        confirmed(nowMs);
-        if (view.percent() != mPercent) {
-            mPercent = view.percent();
-            mPercentMs = nowMs;
+    void update(RunView view, long nowMs) {
+        confirm(nowMs);
+        if (view.percent() != mProgress) {
+            mProgress = view.percent();
+            mProgressChangedMs = nowMs;
         }
-        if (isAtWork() && mAtWorkMs < 0) {
-            mAtWorkMs = nowMs;
+        if (isReady() && mReadyMs < 0) {
+            mReadyMs = nowMs;
         }
-        mGauge = view.gauge();
+        mTailLatencyMs = view.gauge();
         if (!view.checkpoint().isEmpty()) {
-            mSlot.checkpoint(view.checkpoint());
+            mTask.setCheckpoint(view.checkpoint());
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Urgency.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Urgency.java
@@ -11,17 +11,15 @@
 import org.foxtailplank.job.JobOrder;
 
 /**
- * In which order jobs get workers when there is too little room for all.
+ * Orders jobs by urgency when there is too little capacity for all.
  *
- * <p>Answers the load of a queue that asks several times what its workers can do for some seconds.
- * A lower priority number goes first, and standing tasks before others of the same priority. Among
- * the rest the jobs that can all meet their objectives with the room there is are found: they are
- * taken in the order of their objectives, and whenever the work up to one of them is more than the
- * workers can do until then, the largest job so far is left out. That order meets the most
- * objectives on one machine of the pool's size; going by objectives alone, every job of an overload
- * waits for all that came before it and just misses its own. Jobs that are left out follow, the
- * shortest first, and then those that are late already: they earn little and lose little by
- * waiting.
+ * <p>Lower priority numbers come first, and within a priority standing tasks come before batch
+ * tasks. The batch jobs that can meet their objectives together follow. They are found by the
+ * Moore-Hodgson algorithm: jobs are taken in the order of their objectives, and whenever the work
+ * so far exceeds what the workers can do by then, the largest job is deferred. This maximizes the
+ * number of objectives met on a single machine of the pool's size, while plain earliest-deadline
+ * order makes all jobs of an overloaded queue slightly late. Deferred jobs follow, the shortest
+ * first, and then late jobs, which have little value left.
  */
 final class Urgency {
     private static final Comparator<Ranked> ORDER =
@@ -35,16 +33,16 @@
     private enum Group {
         STANDING,
         IN_TIME,
-        LEFT_OUT,
+        DEFERRED,
         LATE
     }
 
     private record Ranked(ActiveRun run, int priority, Group group, long key) {}
 
     /**
-     * Sorts runs, the most urgent first.
+     * Sorts runs by decreasing urgency.
      *
-     * @param milliCores what the workers offer besides standing tasks, in thousandths of a core
+     * @param milliCores capacity of the workers for batch tasks, in thousandths of a core
      */
     static List<ActiveRun> sort(List<ActiveRun> runs, long milliCores, long nowWallMs) {
         Set<ActiveRun> inTime = inTime(runs, milliCores, nowWallMs);
@@ -68,51 +66,51 @@
         if (inTime.contains(run)) {
             return new Ranked(run, priority, Group.IN_TIME, slack);
         }
-        Group group = slack < 0 ? Group.LATE : Group.LEFT_OUT;
+        Group group = slack < 0 ? Group.LATE : Group.DEFERRED;
         return new Ranked(run, priority, group, run.remainingWork());
     }
 
-    /** The runs that can meet their objectives together. */
+    /** Finds the runs that can meet their objectives together. */
     private static Set<ActiveRun> inTime(List<ActiveRun> runs, long milliCores, long nowWallMs) {
         List<ActiveRun> candidates = new ArrayList<>();
-        Map<ActiveRun, Long> works = new HashMap<>();
+        Map<ActiveRun, Long> workByRun = new HashMap<>();
         for (ActiveRun r : runs) {
             if (!r.job().order().isStanding() && slackMs(r, nowWallMs) >= 0) {
                 candidates.add(r);
-                works.put(r, r.remainingWork());
+                workByRun.put(r, r.remainingWork());
             }
         }
         candidates.sort(Comparator.comparingLong(Urgency::objectiveMs));
         PriorityQueue<ActiveRun> largest =
                 new PriorityQueue<>(
-                        Comparator.comparingLong((ActiveRun r) -> works.get(r)).reversed());
+                        Comparator.comparingLong((ActiveRun r) -> workByRun.get(r)).reversed());
         double work = 0;
         for (ActiveRun r : candidates) {
             largest.add(r);
-            work += works.get(r);
-            double room = (double) milliCores * (objectiveMs(r) - nowWallMs);
-            while (work > room && !largest.isEmpty()) {
-                work -= works.get(largest.poll());
+            work += workByRun.get(r);
+            double capacity = (double) milliCores * (objectiveMs(r) - nowWallMs);
+            while (work > capacity && !largest.isEmpty()) {
+                work -= workByRun.get(largest.poll());
             }
         }
         return new HashSet<>(largest);
     }
 
     /**
-     * Time until the run must go on without a pause to meet its objective; negative if it can't.
+     * Time by which the run can be delayed and still meet its objective; negative if it is late.
      */
     static long slackMs(ActiveRun run, long nowWallMs) {
-        return objectiveMs(run) - nowWallMs - run.remainingMs();
+        return objectiveMs(run) - nowWallMs - run.remainingCriticalPathMs();
     }
 
-    /** When the run's objective ends, in milliseconds since 1970. */
+    /** Deadline set by the run's objective, in milliseconds since 1970. */
     static long objectiveMs(ActiveRun run) {
         JobOrder order = run.job().order();
         long begin = run.dueWallMs() > 0 ? run.dueWallMs() : order.acceptedMs();
         return begin + objectiveLengthMs(order);
     }
 
-    /** How long a run of the job's steps may take, in milliseconds. */
+    /** Time that the objective allows for one run of the steps, in milliseconds. */
     static long objectiveLengthMs(JobOrder order) {
         return (long) (order.terms().stretch() * order.chainMs()) + order.terms().sloMs();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/UsualTimes.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/UsualTimes.java
@@ -3,18 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How long tasks of each service take against their estimates, as a mean that moves slowly. */
+/** Tracks the ratio of actual to estimated run time by service, as a moving average. */
 final class UsualTimes {
-    /** Weight of the newest run. */
-    private static final double NEWEST = 0.05;
+    /** Weight of the newest run in the average. */
+    private static final double NEWEST_WEIGHT = 0.05;
 
     private final Map<String, Double> mRatios = new HashMap<>();
 
-    void done(String service, double ratio) {
-        mRatios.merge(service, Math.max(1, ratio), (old, r) -> old + NEWEST * (r - old));
+    void recordRun(String service, double ratio) {
+        mRatios.merge(service, Math.max(1, ratio), (old, r) -> old + NEWEST_WEIGHT * (r - old));
     }
 
-    /** The mean; 1 for a service of which nothing is known, and never less. */
+    /** Returns the average, at least 1; 1 if no run of the service has completed. */
     double ratio(String service) {
         return Math.max(1, mRatios.getOrDefault(service, 1.0));
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmAction.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmAction.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.schedule;
 
-/** What the owner does with a VM. */
+/** An action of the owner on a VM. */
 public sealed interface VmAction {
 
-    /** The VM joins another pool. */
+    /** Moves the VM to another pool. */
     record Move(String pool, String why) implements VmAction {}
 
-    /** The VM is rebooted for a wave. */
+    /** Reboots the VM for a maintenance wave. */
     record Reboot(long wave) implements VmAction {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
@@ -14,33 +14,33 @@
 import org.foxtailplank.port.VmActions.VmOutcome;
 import org.foxtailplank.port.WaveOrder;
 
-/** Decides which VMs are rebooted and moved, and empties their workers first. */
+/** Decides which VMs are rebooted or moved, and evacuates their workers first. */
 public final class VmPlanner {
-    /** A worker may be in the directory this much before its VM is listed with it. */
-    private static final long JOINING_MS = 2000;
+    /** Maximum time between a worker's entry in the directory and its VM's in the list. */
+    private static final long JOIN_LEAD_MS = 2000;
 
     private final Scheduler mScheduler;
     private final VmTable mVms = new VmTable();
     private final WaveKeeper mWaves = new WaveKeeper();
     private final PoolBalance mBalance;
-    private final StandingPlaces mPlaces;
-    private final Map<String, Long> mActedMs = new HashMap<>();
+    private final StandingPlaces mReservations;
+    private final Map<String, Long> mLastActionMs = new HashMap<>();
     private final Map<Long, Set<String>> mRebooted = new HashMap<>();
-    private final Set<Long> mReported = new HashSet<>();
-    private final Set<String> mSeenLives = new HashSet<>();
+    private final Set<Long> mReportedWaves = new HashSet<>();
+    private final Set<String> mSeenIncarnations = new HashSet<>();
 
-    /** A planner for the VMs whose workers a scheduler knows. */
+    /** Creates a planner for the VMs of a scheduler's workers. */
     public VmPlanner(Scheduler scheduler) {
         mScheduler = scheduler;
         mBalance = new PoolBalance(scheduler, mVms);
-        mPlaces = new StandingPlaces(scheduler);
+        mReservations = new StandingPlaces(scheduler);
     }
 
     /**
-     * What is to be done about VMs now.
+     * Actions to take on VMs now.
      *
      * @param actions calls to the platform
-     * @param completed waves that are completed and not yet reported so
+     * @param completed completed waves that have not been reported
      */
     public record VmDecisions(List<Call> actions, List<Long> completed) {
         public VmDecisions {
@@ -53,52 +53,55 @@
     public record Call(VmState vm, VmAction action) {}
 
     /**
-     * Lives of workers that are over: a complete list of VMs that was asked for well after a worker
-     * was first seen names each VM's life. A worker that crashed shows so here at once, while its
-     * lease would have to be waited for. One that has answered since the list was asked for is
-     * alive: the list is read in pages, between which a VM may have gone from one to the other.
-     * Where an entry of the list can't be read, a life is over only if the VM that had it is listed
-     * with another one.
+     * Returns the incarnations of workers that have ended according to a list of VMs: a complete
+     * list that was requested well after a worker was first seen names its incarnation. This
+     * detects crashed workers without waiting for their leases.
+     *
+     * <p>A worker that has answered since the request is alive: the list is read in pages, and a VM
+     * may move between them. If an entry is unreadable, an incarnation has ended only if its VM is
+     * listed with another one or with none.
      */
     public List<WorkerState> overLives(List<VmInfo> vms, long askedMs) {
         ListedLives listed = new ListedLives(vms);
-        Set<String> replaced = mVms.replacedLives(vms);
-        List<WorkerState> over = new ArrayList<>();
+        Set<String> replaced = mVms.replacedIncarnations(vms);
+        List<WorkerState> ended = new ArrayList<>();
         for (WorkerState w : mScheduler.workers()) {
-            boolean old = mSeenLives.contains(w.id()) || w.firstSeenMs() + JOINING_MS < askedMs;
-            boolean gone = listed.isOver(w.id()) || replaced.contains(w.id());
-            if (old && gone && !w.hasAnsweredSince(askedMs)) {
-                over.add(w);
+            boolean listable =
+                    mSeenIncarnations.contains(w.id()) || w.firstSeenMs() + JOIN_LEAD_MS < askedMs;
+            boolean missing = listed.isOver(w.id()) || replaced.contains(w.id());
+            if (listable && missing && !w.hasAnsweredSince(askedMs)) {
+                ended.add(w);
             }
         }
         if (listed.isComplete()) {
-            mSeenLives.clear();
+            mSeenIncarnations.clear();
         }
-        mSeenLives.addAll(listed.lives());
-        return over;
+        mSeenIncarnations.addAll(listed.incarnations());
+        return ended;
     }
 
-    /** A list of all VMs, asked for at {@code askedMs}. */
+    /** Applies a list of all VMs that was requested at {@code askedMs}. */
     public void listed(List<VmInfo> vms, long askedMs) {
-        mVms.listed(vms, askedMs, mActedMs);
+        mVms.update(vms, askedMs, mLastActionMs);
     }
 
-    /** What the platform said to a call. */
+    /** Applies the platform's answer to a call. */
     public void answered(Call call, VmOutcome outcome, long nowMs) {
-        mActedMs.put(call.vm().id(), nowMs);
-        VmTable.answered(call.vm(), call.action(), outcome, nowMs);
+        mLastActionMs.put(call.vm().id(), nowMs);
+        VmTable.applyOutcome(call.vm(), call.action(), outcome, nowMs);
         if (outcome == VmOutcome.DONE && call.action() instanceof VmAction.Reboot reboot) {
             mRebooted.computeIfAbsent(reboot.wave(), w -> new HashSet<>()).add(call.vm().id());
         }
         if (call.vm().planned().isEmpty()) {
-            worker(call.vm()).ifPresent(w -> w.vacating(false));
+            worker(call.vm()).ifPresent(w -> w.setEvacuating(false));
         }
     }
 
     /**
-     * What to do now.
+     * Returns the actions to take now.
      *
-     * @param mayCall whether the platform may be called; if not, VMs are chosen and emptied only
+     * @param mayCall whether the platform may be called; if not, VMs are only selected and
+     *     evacuated
      */
     public VmDecisions decide(
             FleetConfig config,
@@ -108,7 +111,7 @@
             long nowMs,
             long nowWallMs) {
         List<Long> completed = new ArrayList<>();
-        mWaves.begin();
+        mWaves.reset();
         for (DueWave due : waves) {
             WaveOrder wave = due.order();
             if (mVms.all().isEmpty() || book.isCompleted(wave.number())) {
@@ -116,16 +119,18 @@
             }
             boolean done =
                     mWaves.advance(due, rebooted(wave, book), mVms, mScheduler, config, nowMs);
-            if (done && mReported.add(wave.number())) {
+            if (done && mReportedWaves.add(wave.number())) {
                 completed.add(wave.number());
             }
         }
-        mPlaces.keep(mVms.all(), nowMs);
-        mBalance.plan(config, mWaves.toMove(), nowMs, nowWallMs);
-        return new VmDecisions(carryOut(config, mayCall, nowMs, nowWallMs), completed);
+        mReservations.reserve(mVms.all(), nowMs);
+        mBalance.plan(config, mWaves.criticalMoves(), nowMs, nowWallMs);
+        return new VmDecisions(executePlans(config, mayCall, nowMs, nowWallMs), completed);
     }
 
-    /** VMs of a wave that have not begun their reboot, and what keeps each, for the log. */
+    /**
+     * Describes the VMs of a wave whose reboot has not begun, and what delays each, for the log.
+     */
     public List<String> left(WaveOrder wave, JobBook book, long nowMs) {
         WaveReport report = new WaveReport(mScheduler, nowMs);
         Set<String> rebooted = rebooted(wave, book);
@@ -139,44 +144,45 @@
         return left;
     }
 
-    /** VMs of a wave that have begun their reboot, whether the journal has it already or not. */
+    /** VMs of a wave whose reboot has begun, including those not yet in the journal. */
     private Set<String> rebooted(WaveOrder wave, JobBook book) {
-        Set<String> all = new HashSet<>(book.rebooted(wave.number()));
-        all.addAll(mRebooted.getOrDefault(wave.number(), Set.of()));
-        return all;
+        Set<String> rebooted = new HashSet<>(book.rebooted(wave.number()));
+        rebooted.addAll(mRebooted.getOrDefault(wave.number(), Set.of()));
+        return rebooted;
     }
 
-    /** A report of a completed wave was not stored; it is due again. */
+    /** Schedules the report of a completed wave again after it could not be stored. */
     public void notReported(long wave) {
-        mReported.remove(wave);
+        mReportedWaves.remove(wave);
     }
 
-    private List<Call> carryOut(FleetConfig config, boolean mayCall, long nowMs, long nowWallMs) {
+    private List<Call> executePlans(
+            FleetConfig config, boolean mayCall, long nowMs, long nowWallMs) {
         List<Call> calls = new ArrayList<>();
         for (VmState vm : mVms.all()) {
-            if (vm.planned().isEmpty() || vm.isCalling()) {
+            if (vm.planned().isEmpty() || vm.isCallPending()) {
                 continue;
             }
             Optional<WorkerState> worker = worker(vm);
-            worker.ifPresent(w -> vacate(vm, w, config, nowMs, nowWallMs));
+            worker.ifPresent(w -> evacuate(vm, w, config, nowMs, nowWallMs));
             boolean standby = config.isStandby(vm.info().pool());
             boolean empty = worker.isPresent() && worker.get().isEmpty();
             if (mayCall && (empty || standby && worker.isEmpty())) {
-                vm.calling(true);
+                vm.setCallPending(true);
                 calls.add(new Call(vm, vm.planned().get()));
             }
         }
         return calls;
     }
 
-    private void vacate(
+    private void evacuate(
             VmState vm, WorkerState worker, FleetConfig config, long nowMs, long nowWallMs) {
-        worker.vacating(true);
+        worker.setEvacuating(true);
         List<WorkerState> others = mScheduler.workersOf(worker.info().service());
         if (vm.planned().get() instanceof VmAction.Reboot) {
-            Vacating.step(worker, others, vm.plannedMs(), nowMs);
+            Vacating.stopRuns(worker, others, vm.plannedMs(), nowMs);
         } else if (!config.isStandby(((VmAction.Move) vm.planned().get()).pool())) {
-            Vacating.lend(worker, nowMs, nowWallMs);
+            Vacating.stopLateRuns(worker, nowMs, nowWallMs);
         }
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmState.java
@@ -4,20 +4,20 @@
 import org.foxtailplank.port.VmActions.VmInfo;
 import org.foxtailplank.port.VmActions.VmPhase;
 
-/** A VM as the owner knows it, with what the owner is about to do with it. */
+/** A VM and the action that the owner plans for it. */
 public final class VmState {
     private VmInfo mInfo;
     private Optional<VmAction> mPlanned = Optional.empty();
-    private boolean mCalling;
+    private boolean mCallPending;
     private long mPlannedMs;
-    private String mWorkerBefore = "";
-    private long mMovedMs = Long.MIN_VALUE / 2;
+    private String mPreviousWorker = "";
+    private long mLastMoveMs = Long.MIN_VALUE / 2;
 
     VmState(VmInfo info) {
         mInfo = info;
     }
 
-    void info(VmInfo info) {
+    void updateInfo(VmInfo info) {
         mInfo = info;
     }
 
@@ -29,12 +29,12 @@
         return mInfo;
     }
 
-    /** Whether it is up, in no action of the owner's, and no answer of one is awaited. */
+    /** Whether the VM is up and no action is planned for it. */
     boolean isFree() {
         return mPlanned.isEmpty() && mInfo.phase() == VmPhase.UP;
     }
 
-    /** Whether it is down for a reboot, or is to be. */
+    /** Whether the VM is being rebooted or a reboot is planned. */
     boolean isRebooting() {
         boolean chosen = mPlanned.isPresent() && mPlanned.get() instanceof VmAction.Reboot;
         return chosen || mInfo.phase() == VmPhase.REBOOTING;
@@ -47,45 +47,48 @@
     void plan(VmAction action, long nowMs) {
         mPlanned = Optional.of(action);
         mPlannedMs = nowMs;
-        mCalling = false;
+        mCallPending = false;
     }
 
     long plannedMs() {
         return mPlannedMs;
     }
 
-    /** Whether the platform has been called and has not answered. */
-    boolean isCalling() {
-        return mCalling;
+    /** Whether the platform was called and has not answered. */
+    boolean isCallPending() {
+        return mCallPending;
     }
 
-    void calling(boolean calling) {
-        mCalling = calling;
+    void setCallPending(boolean calling) {
+        mCallPending = calling;
     }
 
-    void unplan() {
+    void cancelPlan() {
         mPlanned = Optional.empty();
-        mCalling = false;
+        mCallPending = false;
     }
 
-    /** The platform has taken the action; the VM is down until it lists another life. */
-    void taken(VmInfo expected) {
-        mWorkerBefore = mInfo.worker();
+    /**
+     * Applies an action that the platform accepted; the VM is down until a list shows its next
+     * incarnation.
+     */
+    void applyAction(VmInfo expected) {
+        mPreviousWorker = mInfo.worker();
         mInfo = expected;
-        unplan();
+        cancelPlan();
     }
 
-    /** The life that ended by the last action. */
-    String workerBefore() {
-        return mWorkerBefore;
+    /** The incarnation that the last action ended. */
+    String previousWorker() {
+        return mPreviousWorker;
     }
 
-    /** When it last began to move to its pool. */
-    long movedMs() {
-        return mMovedMs;
+    /** Time at which the last move began. */
+    long lastMoveMs() {
+        return mLastMoveMs;
     }
 
-    void moved(long nowMs) {
-        mMovedMs = nowMs;
+    void recordMove(long nowMs) {
+        mLastMoveMs = nowMs;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmTable.java
@@ -11,24 +11,25 @@
 import org.foxtailplank.port.VmActions.VmOutcome;
 import org.foxtailplank.port.VmActions.VmPhase;
 
-/** All VMs as the platform lists them and as the owner has changed them since. */
+/** All VMs, as listed by the platform and changed by the owner since. */
 public final class VmTable {
     private final Map<String, VmState> mVms = new LinkedHashMap<>();
     private boolean mComplete = true;
 
     /**
-     * Takes a list in; it tells nothing of VMs that were acted on after it was asked for.
+     * Applies a list of VMs, which may be outdated for VMs acted on after it was requested.
      *
-     * <p>A list in which an entry can't be read drops no VM: the entry may be that of any VM that
-     * it doesn't name. Dropped, a VM would lose its planned reboot and count as done in its wave.
+     * <p>A list with an unreadable entry removes no VM, since the entry may be that of any VM that
+     * is missing. A removed VM would lose its planned reboot and count as done in its wave.
      */
-    void listed(List<VmInfo> infos, long askedMs, Map<String, Long> actedMs) {
+    void update(List<VmInfo> infos, long askedMs, Map<String, Long> lastActionMs) {
         Set<String> names = new HashSet<>();
         mComplete = infos.stream().allMatch(VmInfo::isReadable);
         for (VmInfo info : infos) {
             names.add(info.id());
-            if (info.isReadable() && actedMs.getOrDefault(info.id(), Long.MIN_VALUE) < askedMs) {
-                mVms.computeIfAbsent(info.id(), id -> new VmState(info)).info(info);
+            if (info.isReadable()
+                    && lastActionMs.getOrDefault(info.id(), Long.MIN_VALUE) < askedMs) {
+                mVms.computeIfAbsent(info.id(), id -> new VmState(info)).updateInfo(info);
             }
         }
         if (mComplete) {
@@ -36,18 +37,18 @@
         }
     }
 
-    /** Whether all of the last list could be read, so that no other VMs exist. */
+    /** Whether every entry of the last list was readable, so that no other VMs exist. */
     boolean isComplete() {
         return mComplete;
     }
 
-    /** Lives whose VMs a newer list names with another life, or with none. */
-    Set<String> replacedLives(List<VmInfo> infos) {
+    /** Incarnations whose VMs a newer list shows with another incarnation or none. */
+    Set<String> replacedIncarnations(List<VmInfo> infos) {
         Set<String> replaced = new HashSet<>();
         for (VmInfo info : infos) {
             VmState known = mVms.get(info.id());
-            boolean other = known != null && !known.info().worker().equals(info.worker());
-            if (other && info.isReadable()) {
+            boolean changed = known != null && !known.info().worker().equals(info.worker());
+            if (changed && info.isReadable()) {
                 replaced.add(known.info().worker());
             }
         }
@@ -72,17 +73,18 @@
         return Optional.empty();
     }
 
-    /** Applies what the platform said to an action. */
-    static void answered(VmState vm, VmAction action, VmOutcome outcome, long nowMs) {
-        vm.calling(false);
+    /** Applies the platform's answer to an action. */
+    static void applyOutcome(VmState vm, VmAction action, VmOutcome outcome, long nowMs) {
+        vm.setCallPending(false);
         VmInfo info = vm.info();
         if (outcome == VmOutcome.DONE && action instanceof VmAction.Move move) {
-            vm.taken(new VmInfo(info.id(), move.pool(), VmPhase.MOVING, "", info.capacity()));
-            vm.moved(nowMs);
+            vm.applyAction(new VmInfo(info.id(), move.pool(), VmPhase.MOVING, "", info.capacity()));
+            vm.recordMove(nowMs);
         } else if (outcome == VmOutcome.DONE) {
-            vm.taken(new VmInfo(info.id(), info.pool(), VmPhase.REBOOTING, "", info.capacity()));
+            vm.applyAction(
+                    new VmInfo(info.id(), info.pool(), VmPhase.REBOOTING, "", info.capacity()));
         } else if (outcome != VmOutcome.UNANSWERED && outcome != VmOutcome.NOT_DONE) {
-            vm.unplan();
+            vm.cancelPlan();
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveKeeper.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveKeeper.java
@@ -12,37 +12,37 @@
 import org.foxtailplank.port.WaveOrder;
 
 /**
- * Chooses the VMs of maintenance waves that are rebooted next.
+ * Selects the VMs of maintenance waves to reboot next.
  *
- * <p>VMs that are off go first, then idle ones, then those with the fewest standing tasks: each
- * reboot costs as little running work as there is a choice; while there is time to spare, VMs with
- * work wait for a quiet moment. VMs whose standing tasks can only move one after the other, for
- * about all the time that is left, go before all others. No more are chosen at a time than the wave
- * allows to be down, so that a VM is never emptied long before its turn.
+ * <p>VMs that are off come first, then idle ones, then those with the fewest standing tasks and the
+ * least load; while there is time to spare, only idle VMs are selected. VMs of time-critical steps,
+ * whose standing tasks need about all the remaining time to move one after the other, come before
+ * all others. No more VMs are selected than the wave allows to be down at a time, so that none is
+ * evacuated long before its reboot.
  */
 final class WaveKeeper {
-    /** Time that one round of a wave takes, in milliseconds: to empty VMs and to reboot them. */
+    /** Time to evacuate and reboot one batch of VMs, in milliseconds. */
     private static final long ROUND_MS = 5000;
 
-    /** With this much time to spare only VMs on which nothing runs are taken, in milliseconds. */
-    private static final long AMPLE_MS = 7000;
+    /** With this much time to spare only idle VMs are rebooted, in milliseconds. */
+    private static final long AMPLE_TIME_MS = 7000;
 
-    /** VMs fewer that are chosen while others wait for standing tasks that move before theirs. */
-    private static final int KEPT_ROOM = 1;
+    /** Reboots held back while VMs of time-critical steps wait for their turn. */
+    private static final int RESERVED_REBOOTS = 1;
 
-    /** Cost of a VM that is off or idle. */
-    private static final double NO_COST = 0.02;
+    /** Upper bound on the cost of a VM that is off or idle. */
+    private static final double IDLE_COST = 0.02;
 
-    private final Map<ActiveStep, Integer> mToMove = new LinkedHashMap<>();
+    private final Map<ActiveStep, Integer> mCriticalMoves = new LinkedHashMap<>();
 
-    /** Begins a decision on all waves. */
-    void begin() {
-        mToMove.clear();
+    /** Starts a new decision on all waves. */
+    void reset() {
+        mCriticalMoves.clear();
     }
 
-    /** How many tasks have to move of each step that holds a wave up. */
-    Map<ActiveStep, Integer> toMove() {
-        return mToMove;
+    /** Number of tasks that have to move, for each time-critical step. */
+    Map<ActiveStep, Integer> criticalMoves() {
+        return mCriticalMoves;
     }
 
     /** Plans reboots of a wave; returns whether all of its VMs have begun theirs. */
@@ -54,69 +54,69 @@
             FleetConfig config,
             long nowMs) {
         WaveOrder wave = due.order();
-        List<VmState> left = new ArrayList<>();
+        List<VmState> remaining = new ArrayList<>();
         int down = 0;
         int planned = 0;
-        boolean unseen = false;
+        boolean maybeUnlisted = false;
         for (String id : wave.vms()) {
             Optional<VmState> vm = vms.vm(id);
             if (vm.isEmpty()) {
-                // Its entry may be the one that can't be read; it may still lack its reboot.
-                unseen |= !vms.isComplete() && !rebooted.contains(id);
+                // The VM may be the one with the unreadable entry, so it may still lack its reboot.
+                maybeUnlisted |= !vms.isComplete() && !rebooted.contains(id);
                 continue;
             }
             VmState v = vm.get();
-            // Only reboots count: a VM that has had its own may be moving or down for other causes.
+            // Only reboots count: a VM that was rebooted may be moving or down for other reasons.
             down += v.info().phase() == VmPhase.REBOOTING ? 1 : 0;
             if (rebooted.contains(id)) {
                 continue;
             }
-            left.add(v);
+            remaining.add(v);
             planned += v.planned().isPresent() ? 1 : 0;
         }
-        int room = wave.atOnce() - down - planned;
-        List<VmState> free = new ArrayList<>(left);
-        free.removeIf(v -> !v.isFree() || isMissed(v, vms, scheduler));
-        free.sort(Comparator.comparingDouble(v -> cost(v, scheduler, config)));
-        long rounds = (left.size() + wave.atOnce() - 1) / wave.atOnce();
-        StandingMoves moves = new StandingMoves(left, scheduler);
-        long needed = rounds * ROUND_MS + moves.neededMs();
-        long timeMs = due.dueMs() - nowMs;
-        boolean ample = timeMs - needed > AMPLE_MS;
+        int budget = wave.atOnce() - down - planned;
+        List<VmState> candidates = new ArrayList<>(remaining);
+        candidates.removeIf(v -> !v.isFree() || isHalfOfPoolDown(v, vms, scheduler));
+        candidates.sort(Comparator.comparingDouble(v -> cost(v, scheduler, config)));
+        long rounds = (remaining.size() + wave.atOnce() - 1) / wave.atOnce();
+        StandingMoves moves = new StandingMoves(remaining, scheduler);
+        long neededMs = rounds * ROUND_MS + moves.minDurationMs();
+        long leftMs = due.dueMs() - nowMs;
+        boolean hasAmpleTime = leftMs - neededMs > AMPLE_TIME_MS;
         VmAction reboot = new VmAction.Reboot(wave.number());
-        long pressingMs = timeMs - ROUND_MS - AMPLE_MS;
-        moves.pressing(pressingMs).forEach((s, n) -> mToMove.merge(s, n, Integer::sum));
-        for (VmState v : free) {
-            if (room > 0 && moves.isWanted(v, pressingMs)) {
+        long criticalMs = leftMs - ROUND_MS - AMPLE_TIME_MS;
+        moves.criticalSteps(criticalMs).forEach((s, n) -> mCriticalMoves.merge(s, n, Integer::sum));
+        for (VmState v : candidates) {
+            if (budget > 0 && moves.isNeededNow(v, criticalMs)) {
                 v.plan(reboot, nowMs);
-                moves.chosen(v);
-                room--;
+                moves.recordChosen(v);
+                budget--;
             }
         }
-        free.removeIf(v -> !v.isFree());
-        // The rest of the pressing ones follows as tasks before them have moved.
-        if (free.removeIf(v -> moves.isPressing(v, pressingMs))) {
-            room -= KEPT_ROOM;
+        candidates.removeIf(v -> !v.isFree());
+        // The other VMs of time-critical steps follow as the moves before theirs complete.
+        if (candidates.removeIf(v -> moves.isCritical(v, criticalMs))) {
+            budget -= RESERVED_REBOOTS;
         }
-        free.stream()
-                .filter(v -> !ample || cost(v, scheduler, config) < NO_COST)
-                .limit(Math.max(0, room))
+        candidates.stream()
+                .filter(v -> !hasAmpleTime || cost(v, scheduler, config) < IDLE_COST)
+                .limit(Math.max(0, budget))
                 .forEach(v -> v.plan(reboot, nowMs));
-        return left.isEmpty() && !unseen;
+        return remaining.isEmpty() && !maybeUnlisted;
     }
 
-    /** Whether half of the VMs of its pool are already being rebooted or emptied for it. */
-    private static boolean isMissed(VmState vm, VmTable vms, Scheduler scheduler) {
-        int all = 0;
-        int out = 0;
+    /** Whether the VM has a worker and half of its pool is being rebooted or evacuated for it. */
+    private static boolean isHalfOfPoolDown(VmState vm, VmTable vms, Scheduler scheduler) {
+        int total = 0;
+        int down = 0;
         for (VmState v : vms.all()) {
             if (v.info().pool().equals(vm.info().pool())) {
-                all++;
-                out += v.isRebooting() ? 1 : 0;
+                total++;
+                down += v.isRebooting() ? 1 : 0;
             }
         }
         boolean hasWorker = scheduler.worker(vm.info().worker()).isPresent();
-        return hasWorker && 2 * out >= all;
+        return hasWorker && 2 * down >= total;
     }
 
     private static double cost(VmState vm, Scheduler scheduler, FleetConfig config) {
@@ -129,7 +129,7 @@
         }
         int standing = worker.get().standingRuns();
         long used = worker.get().used().milliProcessors();
-        long all = Math.max(1, worker.get().info().capacity().milliProcessors());
-        return standing + (double) used / all;
+        long capacity = Math.max(1, worker.get().info().capacity().milliProcessors());
+        return standing + (double) used / capacity;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveReport.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveReport.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Says what keeps a VM from its reboot, for the log. */
+/** Describes what delays the reboot of a VM, for the log. */
 final class WaveReport {
-    /** Standing tasks of a VM that are named; the others wait for them. */
-    private static final int MOST_TASKS = 2;
+    /** Most standing tasks to describe for each VM. */
+    private static final int MAX_TASKS = 2;
 
     private final Scheduler mScheduler;
     private final long mNowMs;
@@ -17,24 +17,24 @@
         mNowMs = nowMs;
     }
 
-    /** One VM: its phase, what runs there, what is planned, and what its tasks wait for. */
+    /** Describes the VM's phase, runs and planned action, and what its standing tasks wait for. */
     String describe(VmState vm) {
         Optional<WorkerState> worker = mScheduler.worker(vm.info().worker());
         StringBuilder text = new StringBuilder(vm.id()).append(' ').append(vm.info().phase());
         text.append(worker.map(w -> ", " + w.runs().size() + " runs").orElse(", no worker"));
-        text.append(vm.planned().map(p -> ", " + p + sinceMs(vm)).orElse(", not chosen"));
-        worker.ifPresent(w -> standing(w).forEach(t -> text.append(", ").append(t)));
+        text.append(vm.planned().map(p -> ", " + p + plannedAge(vm)).orElse(", not selected"));
+        worker.ifPresent(w -> describeStanding(w).forEach(t -> text.append(", ").append(t)));
         return text.toString();
     }
 
-    private String sinceMs(VmState vm) {
+    private String plannedAge(VmState vm) {
         return " for " + (mNowMs - vm.plannedMs()) + " ms";
     }
 
-    private List<String> standing(WorkerState worker) {
+    private List<String> describeStanding(WorkerState worker) {
         List<String> tasks = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            if (r.slot().spec().mode().standing() && tasks.size() < MOST_TASKS) {
+            if (r.slot().spec().mode().standing() && tasks.size() < MAX_TASKS) {
                 tasks.add(describe(r));
             }
         }
@@ -42,19 +42,19 @@
     }
 
     private String describe(TaskRun run) {
-        TaskSlot slot = run.slot();
+        ActiveTask task = run.slot();
         int admitting = 0;
         int withRoom = 0;
         for (WorkerState w : mScheduler.workersOf(run.worker().info().service())) {
-            admitting += w.isUsable(mNowMs) && WorkerChooser.mayRun(slot, w) ? 1 : 0;
-            withRoom += WorkerChooser.isAllowed(slot, w, mNowMs) ? 1 : 0;
+            admitting += w.isUsable(mNowMs) && WorkerChooser.mayRun(task, w) ? 1 : 0;
+            withRoom += WorkerChooser.canRunNow(task, w, mNowMs) ? 1 : 0;
         }
         return String.format(
-                "%s %s (%d away of %d, %d workers admit it, %d have room)",
-                slot.name(),
+                "%s %s (%d unavailable of %d allowed, %d workers admit it, %d have room)",
+                task.name(),
                 run.phase(),
-                slot.step().away(),
-                slot.spec().mode().mayMiss(),
+                task.step().unavailableTasks(),
+                task.spec().mode().mayMiss(),
                 admitting,
                 withRoom);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerHealthRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerHealthRecord.java
@@ -4,42 +4,42 @@
 import java.util.Set;
 
 /**
- * Whether a worker does what it is given.
+ * Tracks whether a worker can run the tasks that it is given.
  *
- * <p>Guards against a worker that fails all that it starts while its reports look good: without the
- * guard it is always free and draws task after task until their attempts are used up. Two failures
- * of different jobs in a row, with no task done between them, keep work away; the pause doubles
- * with each further one. A job whose tasks fail anywhere counts once.
+ * <p>Guards against a worker that fails every task although its reports look healthy: it would
+ * always have capacity and use up the attempts of one task after the other. Failures of two
+ * different jobs without a success between them pause the worker; each further one doubles the
+ * pause. A job counts only once, since its tasks may fail on every worker.
  */
 final class WorkerHealthRecord {
-    /** Different jobs that fail in a row before the worker is blamed. */
-    private static final int SUSPICIOUS_JOBS = 2;
+    /** Number of different jobs that fail in a row before the worker is paused. */
+    private static final int FAILED_JOBS_THRESHOLD = 2;
 
-    /** First pause, in milliseconds: about the run time of two tasks. */
+    /** First pause, in milliseconds. */
     private static final long FIRST_PAUSE_MS = 2000;
 
-    /** Longest pause, in milliseconds: a mended worker is back within it. */
+    /** Longest pause, in milliseconds; bounds how long a repaired worker stays unused. */
     private static final long LONGEST_PAUSE_MS = 8000;
 
     private final Set<String> mFailedJobs = new HashSet<>();
     private long mPauseMs = FIRST_PAUSE_MS;
     private long mPausedUntilMs;
 
-    void done() {
+    void recordSuccess() {
         mFailedJobs.clear();
         mPauseMs = FIRST_PAUSE_MS;
         mPausedUntilMs = 0;
     }
 
-    void failed(String job, long nowMs) {
+    void recordFailure(String job, long nowMs) {
         mFailedJobs.add(job);
-        if (mFailedJobs.size() >= SUSPICIOUS_JOBS) {
+        if (mFailedJobs.size() >= FAILED_JOBS_THRESHOLD) {
             pause(nowMs);
         }
     }
 
-    /** The worker said that it is unhealthy. */
-    void refused(long nowMs) {
+    /** Records that the worker rejected an order because it is unhealthy. */
+    void recordRefusal(long nowMs) {
         pause(nowMs);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
@@ -9,7 +9,7 @@
 import org.foxtailplank.port.WorkerInfo;
 import org.foxtailplank.port.WorkerOrders.WorkerAddress;
 
-/** One life of a worker, as the owner knows it. */
+/** One incarnation of a worker, as known to the owner. */
 public final class WorkerState {
     private final String mId;
     private final long mFirstSeenMs;
@@ -18,19 +18,19 @@
 
     private WorkerInfo mInfo;
     private Resources mUsed = Resources.NONE;
-    private boolean mLooked;
+    private boolean mPolled;
     private boolean mListed = true;
-    private boolean mVacating;
-    private boolean mKept;
+    private boolean mEvacuating;
+    private boolean mReservedForStanding;
     private boolean mHasClock;
-    private long mClockAheadMs;
-    private long mContactMs;
+    private long mClockOffsetMs;
+    private long mLastAnswerMs;
     private long mGrantedMs;
     private long mSeenEnds;
     private long mStoredEnds;
-    private int mStores;
+    private int mPendingStores;
     private long mFullUntilMs;
-    private boolean mSilent;
+    private boolean mUnresponsive;
     private int mFillPace = 100;
     private long mFillPaceMs = Long.MIN_VALUE / 2;
     private long mSlowUntilMs = Long.MIN_VALUE / 2;
@@ -38,17 +38,19 @@
     WorkerState(WorkerInfo info, long nowMs) {
         mId = info.id();
         mInfo = info;
-        mContactMs = nowMs;
+        mLastAnswerMs = nowMs;
         mGrantedMs = nowMs;
         mFirstSeenMs = nowMs;
     }
 
-    /** A worker of which only its life is known, from an earlier owner's starts. */
-    static WorkerState unknown(String id, String service, long nowMs) {
+    /**
+     * Creates a worker of which only the incarnation is known, from the starts of a previous owner.
+     */
+    static WorkerState withoutInfo(String id, String service, long nowMs) {
         WorkerInfo info = new WorkerInfo(id, service, "", "", Resources.NONE, Set.of(), "", false);
         WorkerState worker = new WorkerState(info, nowMs);
         worker.mListed = false;
-        worker.mSilent = true;
+        worker.mUnresponsive = true;
         return worker;
     }
 
@@ -60,7 +62,7 @@
         return mInfo;
     }
 
-    void info(WorkerInfo info) {
+    void updateInfo(WorkerInfo info) {
         mInfo = info;
         mListed = true;
     }
@@ -96,8 +98,8 @@
         return mUsed;
     }
 
-    /** What standing tasks have taken, in thousandths of a core. */
-    long standingUsed() {
+    /** Capacity reserved by standing tasks, in thousandths of a core. */
+    long standingMilliCores() {
         long sum = 0;
         for (TaskRun r : mRuns) {
             if (r.slot().spec().mode().standing()) {
@@ -107,8 +109,8 @@
         return sum;
     }
 
-    /** What is left when only standing tasks run there. */
-    Resources freeBesideStanding() {
+    /** Capacity left if only the standing tasks ran here. */
+    Resources freeWithoutBatch() {
         Resources free = mInfo.capacity();
         for (TaskRun r : mRuns) {
             if (r.slot().spec().mode().standing()) {
@@ -118,11 +120,11 @@
         return free;
     }
 
-    boolean hasStanding() {
+    boolean hasStandingRuns() {
         return standingRuns() > 0;
     }
 
-    /** Runs of standing tasks. */
+    /** Number of runs of standing tasks. */
     int standingRuns() {
         int count = 0;
         for (TaskRun r : mRuns) {
@@ -131,8 +133,8 @@
         return count;
     }
 
-    /** Adds the standing tasks that run there to the number of each step's. */
-    void countStanding(Map<ActiveStep, Integer> tasks) {
+    /** Adds the number of standing runs here to the count of each step. */
+    void addStandingCounts(Map<ActiveStep, Integer> tasks) {
         for (TaskRun r : mRuns) {
             if (r.slot().spec().mode().standing()) {
                 tasks.merge(r.slot().step(), 1, Integer::sum);
@@ -140,138 +142,138 @@
         }
     }
 
-    /** Whether a standing task is on its way to work there; others may wait for it. */
+    /** Whether a standing task here is not ready yet; a reboot elsewhere may wait for it. */
     public boolean hasStandingToCome() {
         for (TaskRun r : mRuns) {
-            if (r.slot().spec().mode().standing() && !r.isAtWork()) {
+            if (r.slot().spec().mode().standing() && !r.isReady()) {
                 return true;
             }
         }
         return false;
     }
 
-    Optional<TaskRun> run(TaskName task, int attempt) {
+    Optional<TaskRun> run(TaskName name, int attempt) {
         for (TaskRun r : mRuns) {
-            if (r.attempt() == attempt && r.slot().name().equals(task)) {
+            if (r.attempt() == attempt && r.slot().name().equals(name)) {
                 return Optional.of(r);
             }
         }
         return Optional.empty();
     }
 
-    /** When this owner first heard of it. */
+    /** Time at which this owner first learned of the worker. */
     long firstSeenMs() {
         return mFirstSeenMs;
     }
 
-    /** Whether this owner has seen that nothing runs there. */
+    /** Whether this owner has polled the worker and knows of no run on it. */
     boolean isEmpty() {
-        return mLooked && mRuns.isEmpty();
+        return mPolled && mRuns.isEmpty();
     }
 
-    /** Whether this owner has seen what runs there. */
-    public boolean isLooked() {
-        return mLooked;
+    /** Whether this owner has polled the worker. */
+    public boolean isPolled() {
+        return mPolled;
     }
 
-    /** Whether the directory still names it. */
+    /** Whether the directory lists the worker. */
     public boolean isListed() {
         return mListed;
     }
 
-    void unlisted() {
+    void markUnlisted() {
         mListed = false;
     }
 
-    /** Whether it is being emptied for a move or a reboot. */
-    public boolean isVacating() {
-        return mVacating;
+    /** Whether the worker is being emptied for a move or a reboot of its VM. */
+    public boolean isEvacuating() {
+        return mEvacuating;
     }
 
-    void vacating(boolean vacating) {
-        mVacating = vacating;
+    void setEvacuating(boolean evacuating) {
+        mEvacuating = evacuating;
     }
 
-    /** Whether its room is kept for standing tasks that have to move. */
-    boolean isKept() {
-        return mKept;
+    /** Whether new batch tasks are kept off, since standing tasks have to move here. */
+    boolean isReservedForStanding() {
+        return mReservedForStanding;
     }
 
-    void kept(boolean kept) {
-        mKept = kept;
+    void setReservedForStanding(boolean reserved) {
+        mReservedForStanding = reserved;
     }
 
-    /** Whether its last look went unanswered. */
+    /** Whether the last poll went unanswered. */
     public boolean isSilent() {
-        return mSilent;
+        return mUnresponsive;
     }
 
-    void silent() {
-        mSilent = true;
+    void markUnresponsive() {
+        mUnresponsive = true;
     }
 
-    void contact(long clockMs, long nowMs) {
-        mSilent = false;
-        mContactMs = nowMs;
+    void recordAnswer(long clockMs, long nowMs) {
+        mUnresponsive = false;
+        mLastAnswerMs = nowMs;
         if (clockMs >= 0) {
             mHasClock = true;
-            mClockAheadMs = clockMs - nowMs;
+            mClockOffsetMs = clockMs - nowMs;
         }
     }
 
-    void looked() {
-        mLooked = true;
+    void markPolled() {
+        mPolled = true;
     }
 
-    /** Whether an answer of it has come after this time. */
+    /** Whether the worker has answered after this time. */
     boolean hasAnsweredSince(long ms) {
-        return mLooked && mContactMs > ms;
+        return mPolled && mLastAnswerMs > ms;
     }
 
-    long contactMs() {
-        return mContactMs;
+    long lastAnswerMs() {
+        return mLastAnswerMs;
     }
 
     /**
-     * Renews its lease with an order that is about to be sent. A silent worker's lease stays as it
-     * was: each order that may still arrive would put off the time at which the lease is surely
-     * over, and its tasks would start nowhere for as long as the worker is cut off.
+     * Renews the lease with an order that is about to be sent. The lease of an unresponsive worker
+     * is not extended: any such order may still arrive, so extending it would postpone the time at
+     * which the lease has certainly expired and at which its tasks may start elsewhere.
      *
-     * @return the end of the lease on the worker's clock; 0 for none
+     * @return end of the lease on the worker's clock; 0 for none
      */
     public long renew(long nowMs, long leaseMs) {
         if (leaseMs <= 0) {
             return 0;
         }
-        if (!mSilent && mHasClock) {
-            granted(nowMs);
+        if (!mUnresponsive && mHasClock) {
+            recordLeaseGrant(nowMs);
         }
-        return leaseUntilMs(mSilent ? mGrantedMs : nowMs, leaseMs);
+        return leaseUntilMs(mUnresponsive ? mGrantedMs : nowMs, leaseMs);
     }
 
-    /** End of a lease that begins then, on the worker's clock; 0 while its clock is unknown. */
+    /** End of a lease that starts at {@code nowMs}, on the worker's clock; 0 if that is unknown. */
     long leaseUntilMs(long nowMs, long leaseMs) {
         if (!mHasClock) {
             return 0;
         }
-        // A worker that takes orders while its answers are lost runs behind the clock that was read
-        // from it: by seconds after minutes, and its lease would last longer than is waited for.
-        long readAgo = Math.max(0, nowMs - mContactMs);
-        long behind = (long) (readAgo * 2 * ScheduleLimits.CLOCK_DRIFT);
-        return nowMs + mClockAheadMs + leaseMs - behind;
+        // A worker whose answers are lost may run on a slower clock than the last reading suggests.
+        // Without this correction its lease would outlast the time that owners wait for.
+        long readingAgeMs = Math.max(0, nowMs - mLastAnswerMs);
+        long maxLagMs = (long) (readingAgeMs * 2 * ScheduleLimits.CLOCK_DRIFT);
+        return nowMs + mClockOffsetMs + leaseMs - maxLagMs;
     }
 
-    /** Whether its clock was read. */
+    /** Whether the worker's clock has been read. */
     public boolean hasClock() {
         return mHasClock;
     }
 
-    /** A lease was sent at this time. */
-    void granted(long nowMs) {
+    /** Records that a lease was sent at this time. */
+    void recordLeaseGrant(long nowMs) {
         mGrantedMs = Math.max(mGrantedMs, nowMs);
     }
 
-    /** When its lease was last renewed, or else when this owner first heard of it. */
+    /** Time of the last lease renewal, or else the time at which the worker was first known. */
     public long grantedMs() {
         return mGrantedMs;
     }
@@ -280,87 +282,91 @@
         return mSeenEnds;
     }
 
-    void seenEnds(long sequence) {
+    void setSeenEnds(long sequence) {
         mSeenEnds = Math.max(mSeenEnds, sequence);
     }
 
-    /** Ends up to this number are stored. */
+    /** Highest sequence number up to which ends are stored. */
     public long storedEnds() {
         return mStoredEnds;
     }
 
-    /** A store of ends has begun; until it is over nothing newer may be acknowledged. */
-    public void storing() {
-        mStores++;
+    /** Records that a store of ends began; newer ends can't be acknowledged before it completes. */
+    public void beginStore() {
+        mPendingStores++;
     }
 
-    /** A store of ends has succeeded. */
+    /** Records that a store of ends has succeeded. */
     public void stored() {
-        mStores--;
-        noteStored();
+        mPendingStores--;
+        updateStoredEnds();
     }
 
     /**
-     * Moves the acknowledged position on where no store is under way. Guards against losing an end:
-     * a look that is repeated while the store is away lists the same ends again, and nothing in
-     * them is new; to acknowledge them then would let the worker forget what the journal lacks.
+     * Advances the acknowledged sequence number if no store is in progress. A poll during a store
+     * lists the same ends again as if nothing were new; acknowledging them would let the worker
+     * drop ends that the journal lacks.
      */
-    void noteStored() {
-        if (mStores == 0) {
+    void updateStoredEnds() {
+        if (mPendingStores == 0) {
             mStoredEnds = mSeenEnds;
         }
     }
 
-    /** Whether it lists ends that are not stored yet. */
+    /** Whether the worker has reported ends that are not stored yet. */
     public boolean hasUnstoredEnds() {
         return mSeenEnds > mStoredEnds;
     }
 
-    void fullUntil(long untilMs) {
+    void markFullUntil(long untilMs) {
         mFullUntilMs = untilMs;
     }
 
-    /** Share of their speed at which tasks that fill it work, in percent. */
+    /** Share of full speed for tasks that use spare capacity, in percent. */
     int fillPace() {
         return mFillPace;
     }
 
-    /** When that share was last set. */
+    /** Time at which the fill pace last changed. */
     long fillPaceMs() {
         return mFillPaceMs;
     }
 
-    void fillPace(int percent, long nowMs) {
+    void setFillPace(int percent, long nowMs) {
         if (percent != mFillPace) {
             mFillPace = percent;
             mFillPaceMs = nowMs;
         }
     }
 
-    void slowUntil(long untilMs) {
+    void markSlowUntil(long untilMs) {
         mSlowUntilMs = untilMs;
     }
 
-    /** Whether its runs stand still or crawl. */
+    /** Whether runs here have recently stalled or been slow. */
     boolean isSlow(long nowMs) {
         return nowMs < mSlowUntilMs;
     }
 
-    /** Whether serving tasks there have to be watched more closely. */
+    /** Whether serving tasks run beside tasks that use spare capacity. */
     public boolean isMixed() {
         return PaceControl.isMixed(this);
     }
 
     /**
-     * Whether its room counts for its pool, also before this owner has looked at it and in the
-     * moments in which it refuses tasks.
+     * Whether the worker counts as capacity of its pool, even before the first poll and while it
+     * rejects tasks for lack of room.
      */
-    boolean counts(long nowMs) {
-        return mListed && !mSilent && !mVacating && !mInfo.draining() && mHealth.isTrusted(nowMs);
+    boolean countsAsCapacity(long nowMs) {
+        return mListed
+                && !mUnresponsive
+                && !mEvacuating
+                && !mInfo.draining()
+                && mHealth.isTrusted(nowMs);
     }
 
-    /** Whether it may be given tasks. */
+    /** Whether the worker may be given tasks. */
     boolean isUsable(long nowMs) {
-        return mLooked && mHasClock && nowMs >= mFullUntilMs && counts(nowMs);
+        return mPolled && mHasClock && nowMs >= mFullUntilMs && countsAsCapacity(nowMs);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decides which worker runs which task, and what VMs do; without I/O, for one owner at a time.
+ * Assigns tasks to workers and plans moves and reboots of VMs. Performs no I/O and serves one owner
+ * at a time.
  *
- * <p>{@code Scheduler} is where to begin: it is told what happened and says what to do next.
+ * <p>{@code Scheduler} is the entry point: callers report events to it and ask for decisions.
  */
 package org.foxtailplank.schedule;
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/BegunJobsTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/BegunJobsTest.java
@@ -8,21 +8,21 @@
 import org.testng.annotations.Test;
 
 /**
- * When a job counts as begun.
+ * Tests when a job counts as started.
  *
- * <p>A zone is cut off and its owner killed. Callers ask how many jobs of a queue wait, and are
- * told hardly any: starts that were written down count as begun, although their orders never
- * arrived and the next owner must wait the leases of the silent workers out.
+ * <p>Guards against jobs that are reported as started because their starts are in the journal,
+ * although the orders never arrived.
  */
 public class BegunJobsTest {
     private static final String JOB = "00000000000000aa";
 
     @Test
-    public void aJobHasBegunOnceAWorkerHasTakenItsFirstTask() {
-        Owner owner = new Owner();
-        owner.worker("w1", "surveys", 8);
-        owner.accept(Owner.order(JOB, "surveys", 0, Owner.step(2, 1, 1000, List.of())));
-        owner.record(owner.decide().planned());
+    public void aJobHasStartedOnceAWorkerConfirmsItsFirstTask() {
+        OwnerHarness owner = new OwnerHarness();
+        owner.addWorker("w1", "surveys", 8);
+        owner.accept(
+                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
+        owner.recordStarts(owner.decide().planned());
         List<Decisions.Start> starts = owner.decide().starts();
         List<String> written = owner.mScheduler.takeBegun();
         owner.mScheduler.startAnswered(starts.get(0).run(), OrderOutcome.NOT_SENT, owner.mNowMs);
@@ -33,23 +33,25 @@
         assertEquals(written, List.of());
         assertEquals(notSent, List.of());
         assertEquals(taken, List.of(JOB));
-        assertEquals(owner.mScheduler.takeBegun(), List.of(), "told once");
+        assertEquals(owner.mScheduler.takeBegun(), List.of(), "reported only once");
     }
 
     @Test
-    public void aJobHasBegunIfAWorkerListsARunThatNobodyConfirmed() {
-        // The order's answer was lost, or its sender; the run shows when the worker is looked at.
-        Owner first = new Owner();
-        WorkerState worker = first.worker("w1", "surveys", 8);
+    public void aJobHasStartedIfAWorkerListsAnUnconfirmedRun() {
+        // The answer to the order was lost; the run shows up in the next poll.
+        OwnerHarness first = new OwnerHarness();
+        WorkerState worker = first.addWorker("w1", "surveys", 8);
         JobEntry job =
-                first.accept(Owner.order(JOB, "surveys", 0, Owner.step(1, 1, 1000, List.of())));
-        first.record(first.decide().planned());
+                first.accept(
+                        OwnerHarness.order(
+                                JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+        first.recordStarts(first.decide().planned());
 
-        Owner second = new Owner(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mBook);
         second.mScheduler.inherit(job, w -> false, second.mNowMs);
         List<String> inherited = second.mScheduler.takeBegun();
         second.mScheduler.worker(worker.info(), second.mNowMs);
-        second.look(second.mScheduler.worker("w1").get());
+        second.poll(second.mScheduler.worker("w1").get());
 
         assertEquals(inherited, List.of());
         assertEquals(second.mScheduler.takeBegun(), List.of(JOB));
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/Replay.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/FleetSimulation.java
@@ -17,37 +17,37 @@
 import org.foxtailplank.port.VmActions.VmPhase;
 
 /**
- * Plays a load against the real decisions: jobs that come, VMs that move, tasks that take their
- * time. Everything else answers at once, so that what is late is late by a decision.
+ * Simulates a fleet under load with the real decisions: jobs arrive, VMs move, and tasks take time.
+ * Everything else answers immediately, so a job is late only because of the decisions.
  */
-final class Replay {
+final class FleetSimulation {
     /** Time between two decisions, in milliseconds. */
     private static final long STEP_MS = 100;
 
-    /** Time from the call for a move until the VM is up, in milliseconds. */
+    /** Time from the request of a move until the VM is up, in milliseconds. */
     private static final long MOVE_MS = 1500;
 
-    /** Time until its worker may be given tasks after that, in milliseconds. */
+    /** Time from then until the worker may be given tasks, in milliseconds. */
     private static final long JOIN_MS = 300;
 
     private static final int CORES = 32;
 
-    final Owner mOwner = new Owner();
+    final OwnerHarness mOwner = new OwnerHarness();
     final VmPlanner mPlanner = new VmPlanner(mOwner.mScheduler);
 
     private final List<Vm> mVms = new ArrayList<>();
     private final Map<String, JobOrder> mJobs = new LinkedHashMap<>();
-    private final Map<String, Double> mSlower = new HashMap<>();
+    private final Map<String, Double> mSlowdowns = new HashMap<>();
     private final Map<String, Long> mDoneMs = new HashMap<>();
     private final long mStartMs = mOwner.mNowMs;
     private long mClockMs = mStartMs;
-    private long mEnds;
+    private long mLastSequence;
 
-    /** A VM of the fleet. */
+    /** A simulated VM. */
     private static final class Vm {
         final String mId;
         String mPool;
-        int mLife;
+        int mIncarnation;
         long mUpMs;
         boolean mJoined;
 
@@ -57,12 +57,12 @@
         }
 
         String worker() {
-            return mId + "-" + mLife;
+            return mId + "-" + mIncarnation;
         }
     }
 
-    /** VMs that are in a pool from the beginning. */
-    void vms(String pool, int count) {
+    /** Adds VMs to a pool. */
+    void addVms(String pool, int count) {
         for (int i = 0; i < count; i++) {
             Vm vm = new Vm("vm" + mVms.size(), pool);
             mVms.add(vm);
@@ -73,17 +73,17 @@
     private void join(Vm vm) {
         vm.mJoined = true;
         if (!mOwner.mConfig.isStandby(vm.mPool)) {
-            mOwner.worker(vm.worker(), vm.mPool, CORES);
+            mOwner.addWorker(vm.worker(), vm.mPool, CORES);
         }
     }
 
-    /** A job comes now whose tasks take as long as they are estimated. */
-    void job(String service, TaskStep... steps) {
-        job(service, 1, steps);
+    /** Adds a job whose tasks take their estimated time. */
+    void addJob(String service, TaskStep... steps) {
+        addJob(service, 1, steps);
     }
 
-    /** A job comes now whose tasks take so many times as long as they are estimated. */
-    void job(String service, double slower, TaskStep... steps) {
+    /** Adds a job whose tasks take a multiple of their estimated time. */
+    void addJob(String service, double slowdown, TaskStep... steps) {
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         String id = "job" + mJobs.size();
         JobOrder order =
@@ -97,21 +97,21 @@
                         terms,
                         wallMs());
         mJobs.put(id, order);
-        mSlower.put(id, slower);
+        mSlowdowns.put(id, slowdown);
         mOwner.accept(order);
     }
 
     private long wallMs() {
-        return Owner.WALL_MS + mClockMs - mStartMs;
+        return OwnerHarness.WALL_MS + mClockMs - mStartMs;
     }
 
-    /** Time since the beginning, in milliseconds. */
+    /** Simulated time since the start, in milliseconds. */
     long elapsedMs() {
         return mClockMs - mStartMs;
     }
 
-    /** Lets one step of time pass. */
-    void step() {
+    /** Advances the simulation by one step. */
+    void tick() {
         mClockMs += STEP_MS;
         mOwner.mNowMs = mClockMs;
         for (Vm vm : mVms) {
@@ -120,30 +120,30 @@
             }
         }
         endTasks();
-        mOwner.place();
+        mOwner.placeTasks();
         moveVms();
     }
 
-    /** Lets time pass. */
-    void pass(long ms) {
-        for (long t = 0; t < ms; t += STEP_MS) {
-            step();
+    /** Advances the simulation. */
+    void advance(long ms) {
+        for (long elapsed = 0; elapsed < ms; elapsed += STEP_MS) {
+            tick();
         }
     }
 
     private void endTasks() {
         for (WorkerState worker : List.copyOf(mOwner.mScheduler.workers())) {
             for (TaskRun run : List.copyOf(worker.runs())) {
-                double takes =
-                        run.slot().spec().estimateMs() * mSlower.get(run.slot().name().job());
+                double durationMs =
+                        run.slot().spec().estimateMs() * mSlowdowns.get(run.slot().name().job());
                 if (run.phase() == RunPhase.STOPPING) {
-                    mEnds++;
-                    mOwner.end(run, RunOutcome.STOPPED, mEnds);
+                    mLastSequence++;
+                    mOwner.endRun(run, RunOutcome.STOPPED, mLastSequence);
                     continue;
                 }
-                if (run.phase() == RunPhase.RUNNING && mClockMs - run.startedMs() >= takes) {
-                    mEnds++;
-                    mOwner.end(run, RunOutcome.DONE, mEnds);
+                if (run.phase() == RunPhase.RUNNING && mClockMs - run.startedMs() >= durationMs) {
+                    mLastSequence++;
+                    mOwner.endRun(run, RunOutcome.DONE, mLastSequence);
                     noteDone(run.slot().step().job());
                 }
             }
@@ -180,34 +180,34 @@
         mPlanner.answered(call, VmOutcome.DONE, mClockMs);
         mOwner.mScheduler.workerOver(vm.worker());
         vm.mPool = ((VmAction.Move) call.action()).pool();
-        vm.mLife++;
+        vm.mIncarnation++;
         vm.mUpMs = mClockMs + MOVE_MS;
         vm.mJoined = false;
     }
 
-    /** Jobs that were done by their objectives. */
-    long inTime() {
-        return mJobs.values().stream().filter(this::isInTime).count();
+    /** Number of jobs that met their objectives. */
+    long onTimeJobs() {
+        return mJobs.values().stream().filter(this::isOnTime).count();
     }
 
-    /** Jobs of a service that were done by their objectives. */
-    long inTime(String service) {
+    /** Number of a service's jobs that met their objectives. */
+    long onTimeJobs(String service) {
         return mJobs.values().stream()
                 .filter(o -> o.service().equals(service))
-                .filter(this::isInTime)
+                .filter(this::isOnTime)
                 .count();
     }
 
-    private boolean isInTime(JobOrder order) {
+    private boolean isOnTime(JobOrder order) {
         long objective = order.acceptedMs() + Urgency.objectiveLengthMs(order);
         return mDoneMs.getOrDefault(order.id(), Long.MAX_VALUE) <= objective;
     }
 
-    int done() {
+    int doneJobs() {
         return mDoneMs.size();
     }
 
-    int jobs() {
+    int totalJobs() {
         return mJobs.size();
     }
 }
