--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/ForeignVmEntriesTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/ForeignVmEntriesTest.java
@@ -15,27 +15,26 @@
 import org.testng.annotations.Test;
 
 /**
- * Entries of the VM list that can't be read, among good ones.
+ * Tests lists of VMs in which some entries are unreadable.
  *
- * <p>A life that a complete list doesn't name is over, and its tasks are started again at once. A
- * caller sees a job done twice where the life is still there: the entry of its VM was another
- * writer's, or of a state that isn't known.
+ * <p>Guards against tasks that run twice: an incarnation that a complete list doesn't name has
+ * ended, and its tasks are restarted at once, but an unreadable entry may hide it.
  */
 public class ForeignVmEntriesTest {
     private static final int CORES = 8;
 
-    /** Well after the workers were first seen, so that the list must know them. */
+    /** Long enough after the workers were first seen for the list to name them. */
     private static final long LATER_MS = 5000;
 
-    private Owner mOwner;
+    private OwnerHarness mOwner;
     private VmPlanner mPlanner;
 
     @BeforeMethod
     public void setUp() {
-        mOwner = new Owner();
+        mOwner = new OwnerHarness();
         mPlanner = new VmPlanner(mOwner.mScheduler);
-        mOwner.worker("w1", "surveys", CORES);
-        mOwner.worker("w2", "surveys", CORES);
+        mOwner.addWorker("w1", "surveys", CORES);
+        mOwner.addWorker("w2", "surveys", CORES);
         mOwner.mNowMs += LATER_MS;
     }
 
@@ -44,19 +43,24 @@
         return new VmInfo(id, "surveys", VmPhase.UP, worker, size);
     }
 
-    /** Takes a list in; tells the lives that are over by it. */
-    private List<String> over(VmInfo... vms) {
+    /** Applies a list and returns the incarnations that have ended according to it. */
+    private List<String> applyList(VmInfo... vms) {
         mOwner.mNowMs += 400;
         List<VmInfo> list = List.of(vms);
-        List<String> over =
+        List<String> ended =
                 mPlanner.overLives(list, mOwner.mNowMs).stream().map(WorkerState::id).toList();
         mPlanner.listed(list, mOwner.mNowMs);
-        return over;
+        return ended;
     }
 
     private VmDecisions decide(DueWave... waves) {
         return mPlanner.decide(
-                mOwner.mConfig, List.of(waves), mOwner.mBook, true, mOwner.mNowMs, Owner.WALL_MS);
+                mOwner.mConfig,
+                List.of(waves),
+                mOwner.mBook,
+                true,
+                mOwner.mNowMs,
+                OwnerHarness.WALL_MS);
     }
 
     private DueWave wave(String... vms) {
@@ -69,53 +73,54 @@
     }
 
     @Test(dataProvider = "names")
-    public void aLifeIsNotOverWhereItsVmsEntryCannotBeRead(String name) {
-        assertEquals(over(vm("vm1", "w1"), vm("vm2", "w2")), List.of());
+    public void anUnreadableEntryEndsNoIncarnation(String name) {
+        assertEquals(applyList(vm("vm1", "w1"), vm("vm2", "w2")), List.of());
 
-        assertEquals(over(VmInfo.unreadable(name), vm("vm2", "w2")), List.of());
+        assertEquals(applyList(VmInfo.unreadable(name), vm("vm2", "w2")), List.of());
     }
 
     @Test
-    public void aLifeIsOverOnceACompleteListNamesItNoMore() {
-        over(vm("vm1", "w1"), vm("vm2", "w2"));
-        over(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
+    public void anIncarnationEndsWithACompleteListWithoutIt() {
+        applyList(vm("vm1", "w1"), vm("vm2", "w2"));
+        applyList(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
 
-        assertEquals(over(vm("vm1", ""), vm("vm2", "w2")), List.of("w1"));
+        assertEquals(applyList(vm("vm1", ""), vm("vm2", "w2")), List.of("w1"));
     }
 
     @Test
-    public void aLifeIsOverWhereItsVmIsListedWithAnotherOne() {
-        // A foreign entry may stand in the list all day. Workers that crash meanwhile must still
-        // show at once where their own VM's entry can be read.
-        over(vm("vm1", "w1"), vm("vm2", "w2"));
+    public void anIncarnationEndsWhenItsVmIsListedWithAnother() {
+        // An unreadable entry may persist; crashes of VMs with readable entries must still be
+        // detected.
+        applyList(vm("vm1", "w1"), vm("vm2", "w2"));
 
         assertEquals(
-                over(vm("vm1", "w9"), vm("vm2", ""), VmInfo.unreadable("")), List.of("w1", "w2"));
+                applyList(vm("vm1", "w9"), vm("vm2", ""), VmInfo.unreadable("")),
+                List.of("w1", "w2"));
     }
 
     @Test
-    public void aVmWhoseEntryCannotBeReadStaysInItsWave() {
-        // Operators see a wave completed although a VM never had its reboot: its entry could not be
-        // read for a moment, so that it was taken for a VM that doesn't exist.
-        over(vm("vm1", "w1"), vm("vm2", "w2"));
+    public void aVmWithAnUnreadableEntryStaysInItsWave() {
+        // Guards against a wave that completes without a VM because its entry was unreadable once.
+        applyList(vm("vm1", "w1"), vm("vm2", "w2"));
         mOwner.mBook.apply(new VmRebooted(1, "vm2"));
-        over(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
+        applyList(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
 
         assertEquals(decide(wave("vm1", "vm2")).completed(), List.of());
     }
 
     @Test
-    public void aWaveIsNotCompletedByAListInWhichItsVmCannotBeRead() {
-        // The same to a new owner, whose first list has the entry.
-        over(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
+    public void aFirstListWithAnUnreadableEntryDoesNotCompleteAWave() {
+        // A new owner may find the unreadable entry in its first list.
+        applyList(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
         mOwner.mBook.apply(new VmRebooted(1, "vm2"));
 
         assertEquals(decide(wave("vm1", "vm2")).completed(), List.of());
     }
 
     @Test
-    public void anEntryThatCannotBeReadIsNoVm() {
-        over(VmInfo.unreadable("vm3"), VmInfo.unreadable(""), vm("vm1", "w1"), vm("vm2", "w2"));
+    public void anUnreadableEntryAddsNoVm() {
+        applyList(
+                VmInfo.unreadable("vm3"), VmInfo.unreadable(""), vm("vm1", "w1"), vm("vm2", "w2"));
 
         assertTrue(decide(wave("vm3", "")).actions().isEmpty());
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
@@ -11,65 +11,69 @@
 import org.foxtailplank.job.RunView;
 import org.testng.annotations.Test;
 
-/** What a new owner makes of the runs that an earlier one has started. */
+/** Tests how a new owner handles the runs that a previous owner started. */
 public class NewOwnerTest {
     private static final String JOB = "00000000000000aa";
 
     @Test
     public void aNewOwnerWaitsForAWorkerThatMayRunTheTask() {
-        // The owner is killed while a worker with a running task is cut off. The new owner must not
-        // start the task elsewhere before the lease on the silent worker is surely over.
-        Owner first = new Owner();
-        first.worker("w1", "surveys", 8);
+        // Guards against a task that runs twice: its worker is cut off when the owner crashes, and
+        // keeps running until its lease expires.
+        OwnerHarness first = new OwnerHarness();
+        first.addWorker("w1", "surveys", 8);
         JobEntry job =
-                first.accept(Owner.order(JOB, "surveys", 0, Owner.step(1, 1, 1000, List.of())));
-        first.place();
+                first.accept(
+                        OwnerHarness.order(
+                                JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+        first.placeTasks();
 
-        Owner second = new Owner(first.mBook);
-        second.worker("w2", "surveys", 8);
+        OwnerHarness second = new OwnerHarness(first.mBook);
+        second.addWorker("w2", "surveys", 8);
         second.mScheduler.inherit(job, w -> false, second.mNowMs);
 
-        assertTrue(second.place().isEmpty());
-        second.mNowMs += Owner.LIMITS.leaseMs();
+        assertTrue(second.placeTasks().isEmpty());
+        second.mNowMs += OwnerHarness.LIMITS.leaseMs();
         assertTrue(second.mScheduler.takeLapsed(second.mNowMs).isEmpty());
-        second.mNowMs += Owner.LIMITS.surelyLapsedMs() - Owner.LIMITS.leaseMs() + 1;
+        second.mNowMs += OwnerHarness.LIMITS.surelyLapsedMs() - OwnerHarness.LIMITS.leaseMs() + 1;
         assertEquals(second.mScheduler.takeLapsed(second.mNowMs).size(), 1);
-        List<TaskRun> again = second.place();
+        List<TaskRun> again = second.placeTasks();
         assertEquals(again.size(), 1);
         assertEquals(again.get(0).attempt(), 2);
     }
 
     @Test
-    public void aNewOwnerStartsAtOnceWhatRanOnALifeThatIsOver() {
-        // A rack crashes together with the owner. The list of VMs shows that the worker's life is
-        // over, so that its tasks need not wait for a lease.
-        Owner first = new Owner();
-        first.worker("w1", "surveys", 8);
+    public void aNewOwnerRestartsTasksOfAnEndedIncarnationAtOnce() {
+        // If the list of VMs shows that the incarnation has ended, there is no lease to wait for.
+        OwnerHarness first = new OwnerHarness();
+        first.addWorker("w1", "surveys", 8);
         JobEntry job =
-                first.accept(Owner.order(JOB, "surveys", 0, Owner.step(1, 1, 1000, List.of())));
-        first.place();
+                first.accept(
+                        OwnerHarness.order(
+                                JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+        first.placeTasks();
 
-        Owner second = new Owner(first.mBook);
-        second.worker("w2", "surveys", 8);
+        OwnerHarness second = new OwnerHarness(first.mBook);
+        second.addWorker("w2", "surveys", 8);
         second.mScheduler.inherit(job, w -> w.equals("w1"), second.mNowMs);
 
-        assertEquals(second.place().size(), 1);
+        assertEquals(second.placeTasks().size(), 1);
     }
 
     @Test
-    public void aNewOwnerLeavesRunningWhatItFindsRunning() {
-        // A standing task must not be interrupted because the owner changes.
-        Owner first = new Owner();
-        first.worker("w1", "surveys", 8);
-        JobEntry job = first.accept(Owner.order(JOB, "surveys", 0, Owner.standing(2, 1, 1)));
-        List<TaskRun> runs = first.place();
+    public void aNewOwnerDoesNotInterruptRunningTasks() {
+        // Guards against an interruption of standing tasks by a change of owner.
+        OwnerHarness first = new OwnerHarness();
+        first.addWorker("w1", "surveys", 8);
+        JobEntry job =
+                first.accept(OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.standing(2, 1, 1)));
+        List<TaskRun> runs = first.placeTasks();
 
-        Owner second = new Owner(first.mBook);
-        second.mScheduler.worker(Owner.info("w1", "surveys", 8), second.mNowMs);
+        OwnerHarness second = new OwnerHarness(first.mBook);
+        second.mScheduler.worker(OwnerHarness.info("w1", "surveys", 8), second.mNowMs);
         WorkerState worker = second.mScheduler.worker("w1").get();
         second.mScheduler.inherit(job, w -> false, second.mNowMs);
         second.mNowMs++;
-        second.lookAt(
+        second.pollListing(
                 worker,
                 List.of(
                         new RunView(runs.get(0).slot().name(), 1, "", 100, 0),
@@ -84,22 +88,24 @@
 
     @Test
     public void aFailureThatIsListedTwiceCountsOnce() {
-        // A run fails, the end is stored, the owner dies before it is acknowledged, and the next
-        // owner finds it listed. Counted twice, the job would be given up after one failure.
-        Owner first = new Owner();
-        WorkerState worker = first.worker("w1", "surveys", 8);
+        // Guards against a failure that counts twice because the previous owner stored it but
+        // crashed before acknowledging it.
+        OwnerHarness first = new OwnerHarness();
+        WorkerState worker = first.addWorker("w1", "surveys", 8);
         JobEntry job =
-                first.accept(Owner.order(JOB, "surveys", 0, Owner.step(1, 1, 1000, List.of())));
-        TaskRun run = first.place().get(0);
-        first.end(run, RunOutcome.FAILED, 1);
+                first.accept(
+                        OwnerHarness.order(
+                                JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+        TaskRun run = first.placeTasks().get(0);
+        first.endRun(run, RunOutcome.FAILED, 1);
 
-        Owner second = new Owner(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mBook);
         second.mScheduler.inherit(job, w -> false, second.mNowMs);
         second.mScheduler.worker(worker.info(), second.mNowMs);
         RunEnd listed = new RunEnd(1, run.slot().name(), 1, RunOutcome.FAILED, "");
-        second.lookAt(second.mScheduler.worker("w1").get(), List.of(), List.of(listed));
+        second.pollListing(second.mScheduler.worker("w1").get(), List.of(), List.of(listed));
 
-        assertEquals(second.place().size(), 1);
+        assertEquals(second.placeTasks().size(), 1);
         assertEquals(job.phase(), JobPhase.RUNNING);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/Owner.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerHarness.java
@@ -27,8 +27,8 @@
 import org.foxtailplank.port.WorkerInfo;
 import org.foxtailplank.port.WorkerOrders.LookAnswer;
 
-/** An owner for tests: the real decisions, with a clock and workers that the test moves. */
-final class Owner {
+/** Runs the real scheduler for tests, with a clock and workers controlled by the test. */
+final class OwnerHarness {
     static final ScheduleLimits LIMITS = new ScheduleLimits(6000, 250);
     static final long CORE = 1000;
     static final long WALL_MS = 1_000_000;
@@ -46,12 +46,12 @@
                     1000);
     long mNowMs = 10_000;
 
-    Owner() {
+    OwnerHarness() {
         this(new JobBook(120_000));
     }
 
-    /** An owner that takes over with what the journal tells. */
-    Owner(JobBook book) {
+    /** Creates an owner that takes over with the state of the journal. */
+    OwnerHarness(JobBook book) {
         mBook = book;
     }
 
@@ -61,20 +61,20 @@
                 id, service, "10.0.0.1:1", "zone", room, Set.of("a", "r1"), "r1", false);
     }
 
-    /** A worker that answers looks and runs nothing. */
-    WorkerState worker(String id, String service, int cores) {
+    /** Adds a worker that answers polls and has no runs. */
+    WorkerState addWorker(String id, String service, int cores) {
         mScheduler.worker(info(id, service, cores), mNowMs);
         WorkerState worker = mScheduler.worker(id).get();
-        look(worker);
+        poll(worker);
         return worker;
     }
 
-    static TaskStep step(int tasks, int cores, long estimateMs, List<Integer> after) {
+    static TaskStep step(int tasks, int cores, long estimateMs, List<Integer> dependsOn) {
         return new TaskStep(
                 tasks,
                 Resources.of(cores, 1, 0),
                 estimateMs,
-                after,
+                dependsOn,
                 PlacementRule.ANYWHERE,
                 RunMode.PLAIN);
     }
@@ -105,17 +105,17 @@
         return mScheduler.decide(mConfig, mNowMs, WALL_MS + mNowMs - 10_000);
     }
 
-    /** Decides, writes the starts down and carries them out. */
-    List<TaskRun> place() {
+    /** Decides, records the starts in the journal and confirms them. */
+    List<TaskRun> placeTasks() {
         List<TaskRun> planned = decide().planned();
-        record(planned);
+        recordStarts(planned);
         for (Decisions.Start s : decide().starts()) {
             mScheduler.startAnswered(s.run(), OrderOutcome.DONE, mNowMs);
         }
         return planned;
     }
 
-    void record(List<TaskRun> planned) {
+    void recordStarts(List<TaskRun> planned) {
         List<StartedRun> starts = new ArrayList<>();
         for (TaskRun r : planned) {
             starts.add(new StartedRun(r.slot().name(), r.attempt(), r.worker().id()));
@@ -124,8 +124,8 @@
         mScheduler.recorded(planned);
     }
 
-    /** A look at which all the worker's runs are listed, with these ends. */
-    LookEffects look(WorkerState worker, RunEnd... ends) {
+    /** Polls a worker that lists all of its runs and these ends. */
+    LookEffects poll(WorkerState worker, RunEnd... ends) {
         List<RunView> views = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
             boolean ended = List.of(ends).stream().anyMatch(e -> e.task().equals(r.slot().name()));
@@ -133,28 +133,28 @@
                 views.add(new RunView(r.slot().name(), r.attempt(), "", 100, 0));
             }
         }
-        return lookAt(worker, views, List.of(ends));
+        return pollListing(worker, views, List.of(ends));
     }
 
-    LookEffects lookAt(WorkerState worker, List<RunView> running, List<RunEnd> ends) {
+    LookEffects pollListing(WorkerState worker, List<RunView> running, List<RunEnd> ends) {
         LookAnswer answer = new LookAnswer(OrderOutcome.DONE, 5000 + mNowMs, running, ends);
-        worker.granted(mNowMs);
-        long sent = mNowMs;
+        worker.recordLeaseGrant(mNowMs);
+        long sentMs = mNowMs;
         mNowMs++;
-        return mScheduler.looked(worker, answer, sent, mNowMs);
+        return mScheduler.looked(worker, answer, sentMs, mNowMs);
     }
 
-    /** The run ends, and its end is stored. */
-    void end(TaskRun run, RunOutcome outcome, long sequence) {
+    /** Ends a run and stores its end. */
+    void endRun(TaskRun run, RunOutcome outcome, long sequence) {
         RunEnd end = new RunEnd(sequence, run.slot().name(), run.attempt(), outcome, "");
-        LookEffects effects = look(run.worker(), end);
+        LookEffects effects = poll(run.worker(), end);
         if (!effects.toStore().isEmpty()) {
-            store(effects.toStore());
+            storeEnds(effects.toStore());
             run.worker().stored();
         }
     }
 
-    void store(List<RunEnd> ends) {
+    void storeEnds(List<RunEnd> ends) {
         List<EndedRun> ended = new ArrayList<>();
         for (RunEnd e : ends) {
             ended.add(new EndedRun(e.task(), e.attempt(), e.outcome(), WALL_MS));
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/ReachTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/ReachTest.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** When an owner gives its place up because it reaches too little. */
+/** Tests when an owner gives up because it is cut off. */
 public class ReachTest {
     private static final long NOW_MS = 100_000;
     private static final long LONG_AGO_MS = NOW_MS - 3000;
 
-    private static List<WorkerState> workers(int silent, int others) {
+    private static List<WorkerState> workers(int unresponsive, int responsive) {
         List<WorkerState> workers = new ArrayList<>();
-        for (int i = 0; i < silent + others; i++) {
-            WorkerState w = new WorkerState(Owner.info("w" + i, "surveys", 1), NOW_MS);
-            if (i < silent) {
-                w.silent();
+        for (int i = 0; i < unresponsive + responsive; i++) {
+            WorkerState w = new WorkerState(OwnerHarness.info("w" + i, "surveys", 1), NOW_MS);
+            if (i < unresponsive) {
+                w.markUnresponsive();
             }
             workers.add(w);
         }
@@ -25,27 +25,25 @@
     }
 
     @Test
-    public void anOwnerWhoseZoneIsCutOffGivesItsPlaceUp() {
-        // Callers' jobs wait for seconds although most workers are well: the owner's zone is cut
-        // off, the store alone still hears it, and so no other node takes its place.
+    public void anOwnerInAPartitionedZoneIsCutOff() {
+        // Guards against an owner that only the store can reach, which no other node would replace.
         assertTrue(Reach.isCutOff(workers(20, 10), LONG_AGO_MS, NOW_MS));
     }
 
     @Test
-    public void anOwnerThatMissesAnotherZoneStays() {
-        // The zone in which the VM service stands is cut off. The owner left, although the next one
-        // could reach no more than it, and jobs waited for the change.
+    public void anOwnerThatMissesAnotherZoneIsNotCutOff() {
+        // The zone of the VM service is cut off; no other node would reach more.
         assertFalse(Reach.isCutOff(workers(10, 20), LONG_AGO_MS, NOW_MS));
     }
 
     @Test
-    public void silentWorkersAloneAreNoReason() {
-        // A rack crashes: another owner would see just the same.
+    public void unresponsiveWorkersAloneDoNotCutOffAnOwner() {
+        // A rack has crashed; another owner would see the same.
         assertFalse(Reach.isCutOff(workers(10, 20), NOW_MS - 100, NOW_MS));
     }
 
     @Test
-    public void aVmServiceThatIsDownIsNoReason() {
+    public void anUnavailableVmServiceAloneDoesNotCutOffAnOwner() {
         assertFalse(Reach.isCutOff(workers(1, 29), LONG_AGO_MS, NOW_MS));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
@@ -12,24 +12,24 @@
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.testng.annotations.Test;
 
-/** The order of jobs when there is too little room for all. */
+/** Tests the order of jobs when capacity is short. */
 public class UrgencyTest {
     private static final long SEED = 7;
     private static final long CORES = 32;
     private static final int JOBS = 200;
     private static final long TURN_MS = 4000;
 
-    private interface Order {
+    private interface SortOrder {
         List<ActiveRun> sort(List<ActiveRun> runs, long nowWallMs);
     }
 
     @Test
-    public void moreJobsMeetTheirObjectivesThanInTheOrderOfTheirComing() {
-        // A queue asks five times what its pool can do for four seconds. In the order of their
-        // coming every job waits for all before it and misses its objective by a little.
-        int byUrgency = inTime((runs, now) -> Urgency.sort(runs, CORES * Owner.CORE, now));
-        int asTheyCame =
-                inTime(
+    public void urgencyOrderMeetsMoreObjectivesThanArrivalOrder() {
+        // In an overload of five times the capacity, arrival order makes every job slightly late.
+        int byUrgency =
+                countOnTime((runs, now) -> Urgency.sort(runs, CORES * OwnerHarness.CORE, now));
+        int byArrival =
+                countOnTime(
                         (runs, now) -> {
                             List<ActiveRun> sorted = new ArrayList<>(runs);
                             sorted.sort(
@@ -38,29 +38,29 @@
                         });
 
         System.out.println(
-                "in time of " + JOBS + ": " + byUrgency + ", as they came: " + asTheyCame);
-        assertTrue(byUrgency >= 2 * asTheyCame, byUrgency + " against " + asTheyCame);
+                "on time of " + JOBS + ": " + byUrgency + ", in arrival order: " + byArrival);
+        assertTrue(byUrgency >= 2 * byArrival, byUrgency + " against " + byArrival);
     }
 
-    /** Jobs that meet their objectives on one machine of the pool's size that serves in order. */
-    private static int inTime(Order order) {
-        List<ActiveRun> coming = jobs();
+    /** Counts the jobs that meet their objectives on one machine of the pool's size. */
+    private static int countOnTime(SortOrder order) {
+        List<ActiveRun> arriving = jobs();
         List<ActiveRun> waiting = new ArrayList<>();
-        int met = 0;
-        long now = Owner.WALL_MS;
-        while (!coming.isEmpty() || !waiting.isEmpty()) {
+        int onTime = 0;
+        long now = OwnerHarness.WALL_MS;
+        while (!arriving.isEmpty() || !waiting.isEmpty()) {
             long until = now;
-            coming.removeIf(r -> r.job().order().acceptedMs() <= until && waiting.add(r));
+            arriving.removeIf(r -> r.job().order().acceptedMs() <= until && waiting.add(r));
             if (waiting.isEmpty()) {
-                now = coming.get(0).job().order().acceptedMs();
+                now = arriving.get(0).job().order().acceptedMs();
                 continue;
             }
             ActiveRun next = order.sort(waiting, now).get(0);
             waiting.remove(next);
-            now += next.remainingWork() / (CORES * Owner.CORE);
-            met += now <= Urgency.objectiveMs(next) ? 1 : 0;
+            now += next.remainingWork() / (CORES * OwnerHarness.CORE);
+            onTime += now <= Urgency.objectiveMs(next) ? 1 : 0;
         }
-        return met;
+        return onTime;
     }
 
     private static List<ActiveRun> jobs() {
@@ -70,7 +70,11 @@
             int tasks = 1 + random.nextInt(12);
             long estimate = 400 + random.nextInt(1200);
             JobOrder order =
-                    Owner.order("job" + i, "surveys", 0, Owner.step(tasks, 3, estimate, List.of()));
+                    OwnerHarness.order(
+                            "job" + i,
+                            "surveys",
+                            0,
+                            OwnerHarness.step(tasks, 3, estimate, List.of()));
             JobOrder timed =
                     new JobOrder(
                             order.id(),
@@ -80,7 +84,7 @@
                             order.steps(),
                             order.timetable(),
                             order.terms(),
-                            Owner.WALL_MS + i * TURN_MS / JOBS);
+                            OwnerHarness.WALL_MS + i * TURN_MS / JOBS);
             JobBook book = new JobBook(1000);
             runs.add(new ActiveJob(book.apply(new JobAccepted(timed)).get()).runs().get(0));
         }
@@ -88,16 +92,16 @@
     }
 
     @Test
-    public void alowerPriorityNumberGoesFirstAndStandingTasksBeforeOthers() {
+    public void priorityComesFirstAndThenStandingTasks() {
         List<ActiveRun> runs = new ArrayList<>();
-        Owner owner = new Owner();
-        owner.accept(Owner.order("c", "surveys", 1, Owner.step(1, 1, 10, List.of())));
-        owner.accept(Owner.order("b", "surveys", 0, Owner.step(1, 1, 10, List.of())));
-        owner.accept(Owner.order("a", "surveys", 0, Owner.standing(1, 1, 1)));
+        OwnerHarness owner = new OwnerHarness();
+        owner.accept(OwnerHarness.order("c", "surveys", 1, OwnerHarness.step(1, 1, 10, List.of())));
+        owner.accept(OwnerHarness.order("b", "surveys", 0, OwnerHarness.step(1, 1, 10, List.of())));
+        owner.accept(OwnerHarness.order("a", "surveys", 0, OwnerHarness.standing(1, 1, 1)));
         owner.mScheduler.runs().jobs().forEach(j -> runs.add(j.runs().get(0)));
 
         List<String> ids = new ArrayList<>();
-        for (ActiveRun r : Urgency.sort(runs, CORES * Owner.CORE, Owner.WALL_MS)) {
+        for (ActiveRun r : Urgency.sort(runs, CORES * OwnerHarness.CORE, OwnerHarness.WALL_MS)) {
             ids.add(r.job().id());
         }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/WavePlacesTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/WavePlacesTest.java
@@ -16,30 +16,30 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Where the standing tasks go whose VMs a wave empties. */
+/** Tests how capacity is provided for standing tasks whose VMs a wave reboots. */
 public class WavePlacesTest {
     private static final int CORES = 8;
     private static final int TASK_CORES = 5;
     private static final long LEFT_MS = 10_000;
 
-    private Owner mOwner;
+    private OwnerHarness mOwner;
     private VmPlanner mPlanner;
     private List<VmInfo> mVms;
 
     @BeforeMethod
     public void setUp() {
-        mOwner = new Owner();
+        mOwner = new OwnerHarness();
         mPlanner = new VmPlanner(mOwner.mScheduler);
         mVms = new ArrayList<>();
     }
 
-    private WorkerState serving(String number, String pool) {
+    private WorkerState addServingVm(String number, String pool) {
         Resources room = Resources.of(CORES, 1L << 40, 0);
         mVms.add(new VmInfo("vm" + number, pool, VmPhase.UP, "w" + number, room));
-        return mOwner.worker("w" + number, pool, CORES);
+        return mOwner.addWorker("w" + number, pool, CORES);
     }
 
-    private static TaskStep oneOnEachWorker(int tasks) {
+    private static TaskStep onePerWorker(int tasks) {
         return new TaskStep(
                 tasks,
                 Resources.of(TASK_CORES, 1, 0),
@@ -49,8 +49,8 @@
                 new RunMode(false, true, false, false, 0, 1));
     }
 
-    private void lookAtAll() {
-        List.copyOf(mOwner.mScheduler.workers()).forEach(mOwner::look);
+    private void pollAll() {
+        List.copyOf(mOwner.mScheduler.workers()).forEach(mOwner::poll);
     }
 
     private void decide(String... vms) {
@@ -59,93 +59,107 @@
         WaveOrder order = new WaveOrder(1, List.of(vms), LEFT_MS, vms.length);
         DueWave due = new DueWave(order, mOwner.mNowMs + LEFT_MS);
         mPlanner.decide(
-                mOwner.mConfig, List.of(due), mOwner.mBook, true, mOwner.mNowMs, Owner.WALL_MS);
+                mOwner.mConfig,
+                List.of(due),
+                mOwner.mBook,
+                true,
+                mOwner.mNowMs,
+                OwnerHarness.WALL_MS);
     }
 
-    /** Guards against a wave that waits for room which waiting jobs take as soon as it is free. */
+    /**
+     * Guards against a wave delayed by batch tasks that take all capacity as soon as it is freed.
+     */
     @Test
-    public void aStandingTaskOfAWaveGetsTheRoomThatTasksLeaveOnAFullWorker() {
-        serving("0", "surveys");
-        mOwner.accept(Owner.order("aa", "surveys", 0, Owner.standing(1, TASK_CORES, 1)));
-        TaskRun standing = mOwner.place().get(0);
-        lookAtAll();
-        WorkerState full = serving("1", "surveys");
-        mOwner.accept(Owner.order("bb", "surveys", 0, Owner.step(60, 1, 1000, List.of())));
-        mOwner.place();
-        lookAtAll();
-        assertEquals(full.free().milliProcessors(), 0);
+    public void aStandingTaskGetsTheCapacityThatBatchTasksFree() {
+        addServingVm("0", "surveys");
+        mOwner.accept(
+                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+        TaskRun standing = mOwner.placeTasks().get(0);
+        pollAll();
+        WorkerState fullWorker = addServingVm("1", "surveys");
+        mOwner.accept(
+                OwnerHarness.order("bb", "surveys", 0, OwnerHarness.step(60, 1, 1000, List.of())));
+        mOwner.placeTasks();
+        pollAll();
+        assertEquals(fullWorker.free().milliProcessors(), 0);
 
         decide("vm0");
         for (int i = 1; i <= TASK_CORES; i++) {
-            TaskRun first = full.runs().iterator().next();
-            mOwner.end(first, RunOutcome.DONE, i);
-            mOwner.place();
+            TaskRun first = fullWorker.runs().iterator().next();
+            mOwner.endRun(first, RunOutcome.DONE, i);
+            mOwner.placeTasks();
             decide("vm0");
         }
 
         assertEquals(standing.phase(), RunPhase.STOPPING);
     }
 
-    /** Guards against a place that goes to another pool before the task has moved there. */
+    /** Guards against a reserved VM that moves to another pool before the task has moved there. */
     @Test
-    public void aVmThatIsKeptForAStandingTaskIsNotLent() {
-        serving("0", "surveys");
-        mOwner.accept(Owner.order("aa", "surveys", 0, Owner.standing(1, TASK_CORES, 1)));
-        mOwner.place();
+    public void aVmReservedForAStandingTaskIsNotMoved() {
+        addServingVm("0", "surveys");
+        mOwner.accept(
+                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+        mOwner.placeTasks();
         for (int i = 1; i < 4; i++) {
-            serving(Integer.toString(i), "surveys");
+            addServingVm(Integer.toString(i), "surveys");
         }
-        serving("4", "reports");
-        mOwner.accept(Owner.order("bb", "reports", 0, Owner.step(200, 1, 1000, List.of())));
-        mOwner.place();
-        lookAtAll();
+        addServingVm("4", "reports");
+        mOwner.accept(
+                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
+        mOwner.placeTasks();
+        pollAll();
         mOwner.mNowMs += 5000;
-        lookAtAll();
+        pollAll();
 
         decide("vm0");
 
-        List<WorkerState> lent = new ArrayList<>(mOwner.mScheduler.workersOf("surveys"));
-        lent.removeIf(w -> !w.isVacating() || w.hasStanding());
-        assertEquals(lent.size(), 2);
-        assertTrue(lent.stream().noneMatch(WorkerState::isKept));
+        List<WorkerState> moving = new ArrayList<>(mOwner.mScheduler.workersOf("surveys"));
+        moving.removeIf(w -> !w.isEvacuating() || w.hasStandingRuns());
+        assertEquals(moving.size(), 2);
+        assertTrue(moving.stream().noneMatch(WorkerState::isReservedForStanding));
     }
 
-    /** Guards against a wave that waits for a VM which pools with long queues never give. */
+    /** Guards against a wave delayed because all pools with VMs to move are busy. */
     @Test
     public void aStandingTaskThatNoWorkerAdmitsGetsAVmOfABusyPool() {
-        serving("0", "surveys");
-        serving("1", "surveys");
-        mOwner.accept(Owner.order("aa", "surveys", 0, oneOnEachWorker(2)));
-        assertEquals(mOwner.place().size(), 2);
+        addServingVm("0", "surveys");
+        addServingVm("1", "surveys");
+        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, onePerWorker(2)));
+        assertEquals(mOwner.placeTasks().size(), 2);
         for (int i = 2; i < 8; i++) {
-            serving(Integer.toString(i), "reports");
+            addServingVm(Integer.toString(i), "reports");
         }
-        mOwner.accept(Owner.order("bb", "reports", 0, Owner.step(200, 1, 1000, List.of())));
-        mOwner.place();
-        lookAtAll();
+        mOwner.accept(
+                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
+        mOwner.placeTasks();
+        pollAll();
         mOwner.mNowMs += 5000;
-        lookAtAll();
+        pollAll();
 
         decide("vm0");
         decide("vm0");
 
-        long lent =
+        long moving =
                 mOwner.mScheduler.workersOf("reports").stream()
-                        .filter(WorkerState::isVacating)
+                        .filter(WorkerState::isEvacuating)
                         .count();
-        assertTrue(lent >= 1, lent + " VMs are lent");
+        assertTrue(moving >= 1, moving + " VMs are moving");
     }
 
-    /** Guards against two tasks that are stopped for the same place, of which one stays away. */
+    /** Guards against two tasks that are stopped for one place, so that one of them stays down. */
     @Test
-    public void aPlaceIsTakenByOneOfTheTasksThatWaitForIt() {
-        serving("0", "surveys");
-        serving("1", "surveys");
-        mOwner.accept(Owner.order("aa", "surveys", 0, Owner.standing(1, TASK_CORES, 1)));
-        mOwner.accept(Owner.order("bb", "surveys", 0, Owner.standing(1, TASK_CORES, 1)));
-        List<TaskRun> standing = mOwner.place();
-        lookAtAll();
-        serving("2", "surveys");
+    public void aPlaceIsTakenByOnlyOneTask() {
+        addServingVm("0", "surveys");
+        addServingVm("1", "surveys");
+        mOwner.accept(
+                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+        mOwner.accept(
+                OwnerHarness.order("bb", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+        List<TaskRun> standing = mOwner.placeTasks();
+        pollAll();
+        addServingVm("2", "surveys");
         assertEquals(standing.size(), 2);
 
         decide("vm0", "vm1");
@@ -154,28 +168,28 @@
         assertEquals(standing.stream().filter(r -> r.phase() == RunPhase.STOPPING).count(), 1);
     }
 
-    /** Guards against moves that each wait for a VM which is only asked for when it is needed. */
+    /** Guards against moves that each wait for a VM that is requested only when needed. */
     @Test
-    public void vmsForTheNextMovesAreAskedForInAdvance() {
+    public void vmsForTheNextMovesAreRequestedInAdvance() {
         int tasks = 5;
         for (int i = 0; i < tasks; i++) {
-            serving(Integer.toString(i), "surveys");
+            addServingVm(Integer.toString(i), "surveys");
         }
-        mOwner.accept(Owner.order("aa", "surveys", 0, oneOnEachWorker(tasks)));
-        assertEquals(mOwner.place().size(), tasks);
+        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, onePerWorker(tasks)));
+        assertEquals(mOwner.placeTasks().size(), tasks);
         for (int i = tasks; i < tasks + 8; i++) {
-            serving(Integer.toString(i), "reports");
+            addServingVm(Integer.toString(i), "reports");
         }
-        lookAtAll();
+        pollAll();
         mOwner.mNowMs += 5000;
-        lookAtAll();
+        pollAll();
 
         decide("vm0", "vm1", "vm2", "vm3", "vm4");
 
-        long lent =
+        long moving =
                 mOwner.mScheduler.workersOf("reports").stream()
-                        .filter(WorkerState::isVacating)
+                        .filter(WorkerState::isEvacuating)
                         .count();
-        assertEquals(lent, 3);
+        assertEquals(moving, 3);
     }
 }
