--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
@@ -2,14 +2,14 @@
 
 /** A share of a node's network link, as a token bucket of bytes. */
 public final class LinkBudget {
-    private static final double BITS_A_BYTE = 8;
+    private static final double BITS_PER_BYTE = 8;
     private static final double BITS_PER_MEGABIT = 1e6;
     private static final double MS_PER_S = 1000;
 
     private final double mBytesPerMs;
-    private final double mMost;
-    private double mLeft;
-    private long mFilledMs;
+    private final double mCapacityBytes;
+    private double mAvailableBytes;
+    private long mLastRefillMs;
 
     /**
      * A budget; a link of which nothing is known has none.
@@ -22,10 +22,10 @@
         boolean unknown = link.equals(LinkRate.UNKNOWN);
         double bitsPerS = link.megabitsPerS() * BITS_PER_MEGABIT;
         mBytesPerMs =
-                unknown ? Double.POSITIVE_INFINITY : share * bitsPerS / BITS_A_BYTE / MS_PER_S;
-        mMost = Math.max(leastBurst, mBytesPerMs * burstMs);
-        mLeft = mMost;
-        mFilledMs = nowMs;
+                unknown ? Double.POSITIVE_INFINITY : share * bitsPerS / BITS_PER_BYTE / MS_PER_S;
+        mCapacityBytes = Math.max(leastBurst, mBytesPerMs * burstMs);
+        mAvailableBytes = mCapacityBytes;
+        mLastRefillMs = nowMs;
     }
 
     /** Takes bytes off the budget; whether they may be sent now. */
@@ -33,12 +33,13 @@
         if (mBytesPerMs == Double.POSITIVE_INFINITY) {
             return true;
         }
-        mLeft = Math.min(mMost, mLeft + mBytesPerMs * (nowMs - mFilledMs));
-        mFilledMs = nowMs;
-        if (bytes > mLeft) {
+        mAvailableBytes =
+                Math.min(mCapacityBytes, mAvailableBytes + mBytesPerMs * (nowMs - mLastRefillMs));
+        mLastRefillMs = nowMs;
+        if (bytes > mAvailableBytes) {
             return false;
         }
-        mLeft -= bytes;
+        mAvailableBytes -= bytes;
         return true;
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
@@ -13,13 +13,13 @@
      * On a link of this rate an owner has room for what it sends, in megabits a second: about as
      * much as it sends to forty nodes in a queue's turn, by the number and size of the records.
      */
-    private static final double AMPLE = 100;
+    private static final double AMPLE_MEGABITS_PER_S = 100;
 
     /**
      * Longest time that a node lets others go ahead, in milliseconds: twice the time over which the
      * tries of nodes spread.
      */
-    private static final long LONGEST_YIELD_MS = 600;
+    private static final long MAX_YIELD_MS = 600;
 
     public LinkRate {
         if (!(megabitsPerS >= 0)) {
@@ -44,6 +44,6 @@
         if (equals(UNKNOWN)) {
             return 0;
         }
-        return (long) (LONGEST_YIELD_MS * Math.max(0, 1 - megabitsPerS / AMPLE));
+        return (long) (MAX_YIELD_MS * Math.max(0, 1 - megabitsPerS / AMPLE_MEGABITS_PER_S));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -36,13 +36,13 @@
 /** One node, put together; all of it runs on one event loop's thread. */
 public final class Node {
     private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** Largest body of a caller's request, in bytes: the text, and steps by the hundred. */
     private static final int MAX_BODY_BYTES = 256 << 10;
 
     /** How long a connection may take to open, in milliseconds: some round trips. */
-    private static final int CONNECT_MS = 400;
+    private static final int CONNECT_TIMEOUT_MS = 400;
 
     /** Most connections to the store: waiting reads, appends and refreshes at a time; VMs alike. */
     private static final int STORE_CONNECTIONS = 12;
@@ -51,25 +51,25 @@
     private static final int WORKER_CONNECTIONS = 6;
 
     /** A node that could not read the journal for so long sends callers elsewhere. */
-    private static final long STALE_MS = 2500;
+    private static final long MAX_READ_AGE_MS = 2500;
 
     /** How often ended jobs are looked through, in milliseconds. */
-    private static final long FORGET_MS = 5000;
+    private static final long CLEANUP_INTERVAL_MS = 5000;
 
     /** How long a leaving owner waits for the store, in milliseconds: some of its answers. */
-    private static final long LEAVE_MS = 150;
+    private static final long LEAVE_TIMEOUT_MS = 150;
 
     /** How often a stopping node looks whether it has answered everything, in milliseconds. */
-    private static final long DRAIN_CHECK_MS = 20;
+    private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
     /** How often an owner looks whether it gives its place up for its link's sake. */
-    private static final long NARROW_CHECK_MS = 200;
+    private static final long NARROW_CHECK_INTERVAL_MS = 200;
 
     /** Kept of the grace time for the end of the process, in milliseconds. */
-    private static final long EXIT_MS = 700;
+    private static final long EXIT_MARGIN_MS = 700;
 
     /** How long a stopping node goes on listening: callers are sent elsewhere by then. */
-    private static final long LISTEN_ON_MS = 2500;
+    private static final long MIN_LISTEN_MS = 2500;
 
     private final Clock mClock;
     private final Timers mTimers;
@@ -82,10 +82,10 @@
     private final JournalWriter mWriter;
     private final OwnerLink mLink;
     private final Ownership mOwnership;
-    private final NarrowOwner mNarrow;
+    private final NarrowOwner mNarrowOwner;
 
     private Optional<OwnerWork> mOwner = Optional.empty();
-    private HttpServer mCallers;
+    private HttpServer mCallerServer;
     private JournalStream mStream;
     private boolean mStopping;
     private NodeSettings mSettings;
@@ -98,9 +98,9 @@
         mLog = log;
         mPlatform =
                 new UsersPlatform(
-                        new HttpClient(loop, CONNECT_MS, STORE_CONNECTIONS),
-                        new HttpClient(loop, CONNECT_MS, WORKER_CONNECTIONS),
-                        HttpClient.resetting(loop, CONNECT_MS, STORE_CONNECTIONS),
+                        new HttpClient(loop, CONNECT_TIMEOUT_MS, STORE_CONNECTIONS),
+                        new HttpClient(loop, CONNECT_TIMEOUT_MS, WORKER_CONNECTIONS),
+                        HttpClient.resetting(loop, CONNECT_TIMEOUT_MS, STORE_CONNECTIONS),
                         settings.platform(),
                         AdapterLimits.DEFAULTS,
                         clock::nowMs);
@@ -115,14 +115,14 @@
                         timers,
                         log,
                         book,
-                        this::recorded);
+                        this::recordApplied);
         mLink = new OwnerLink(loop, clock, timers, log, mReader);
         mReader.streaming(mLink::isAlive);
-        mLink.standsBy(this::couldOwn);
-        mNarrow = new NarrowOwner(settings.link());
+        mLink.setStandbyCondition(this::isStandby);
+        mNarrowOwner = new NarrowOwner(settings.link());
         mWriter =
                 new JournalWriter(
-                        shared, JournalPartition.JOURNAL, new OwnerOrLink(), clock, timers, log);
+                        shared, JournalPartition.JOURNAL, new RoutedHandover(), clock, timers, log);
         mOwnership =
                 new Ownership(
                         shared,
@@ -135,11 +135,11 @@
                         settings.link(),
                         mLink,
                         mPlatform.vmActions(),
-                        this::own);
+                        this::ownershipAcquired);
     }
 
     /** Records that other nodes hand over: stored only while this node owns. */
-    private final class OwnerOnly implements Handover {
+    private final class LocalHandover implements Handover {
         @Override
         public boolean isOpen() {
             return mOwner.isPresent()
@@ -154,44 +154,44 @@
     }
 
     /** Records of this node's callers: to the owner, wherever it is. */
-    private final class OwnerOrLink implements Handover {
-        private final Handover mHere = new OwnerOnly();
+    private final class RoutedHandover implements Handover {
+        private final Handover mLocal = new LocalHandover();
 
-        private Handover way() {
-            return mOwner.isPresent() ? mHere : mLink;
+        private Handover target() {
+            return mOwner.isPresent() ? mLocal : mLink;
         }
 
         @Override
         public boolean isOpen() {
-            return way().isOpen();
+            return target().isOpen();
         }
 
         @Override
         public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            way().handOver(record, then);
+            target().handOver(record, then);
         }
     }
 
-    private OwnerBook ownBook() {
+    private OwnerBook localJobQueries() {
         return new OwnBook(mReader, mClock, () -> mOwner.map(OwnerWork::isLoaded).orElse(false));
     }
 
     /** The owner's book, wherever it is. */
-    private final class OwnBookOrLink implements OwnerBook {
-        private final OwnerBook mHere = ownBook();
+    private final class RoutedJobQueries implements OwnerBook {
+        private final OwnerBook mLocal = localJobQueries();
 
-        private OwnerBook way() {
-            return mOwner.isPresent() ? mHere : mLink;
+        private OwnerBook target() {
+            return mOwner.isPresent() ? mLocal : mLink;
         }
 
         @Override
         public void phase(String job, Consumer<Optional<JobPhase>> then) {
-            way().phase(job, then);
+            target().phase(job, then);
         }
 
         @Override
         public void pending(String queue, Consumer<Optional<Integer>> then) {
-            way().pending(queue, then);
+            target().pending(queue, then);
         }
     }
 
@@ -202,14 +202,14 @@
                         mOperator,
                         mReader,
                         mLink,
-                        new OwnBookOrLink(),
+                        new RoutedJobQueries(),
                         mWriter,
                         mPlatform.callerBodies(),
                         mClock,
                         mTimers,
                         mLog,
                         mMetrics);
-        mCallers = HttpServer.bind(mLoop, mSettings.callers(), MAX_BODY_BYTES, service);
+        mCallerServer = HttpServer.bind(mLoop, mSettings.callers(), MAX_BODY_BYTES, service);
         mStream =
                 JournalStream.listen(
                         mLoop,
@@ -217,9 +217,9 @@
                         mClock,
                         mTimers,
                         mSettings.link(),
-                        new OwnerOnly(),
-                        ownBook());
-        mReader.tap(mStream::read);
+                        new LocalHandover(),
+                        localJobQueries());
+        mReader.tap(mStream::recordRead);
         HttpServer.bind(mLoop, mSettings.readiness(), MAX_BODY_BYTES, this::readiness);
         HttpServer.bind(mLoop, mSettings.metrics(), MAX_BODY_BYTES, this::metrics);
     }
@@ -228,13 +228,13 @@
      * Settings have changed. Bounds hold from now on, for the owner from its next take-over;
      * addresses that this node listens on stay until it is started again.
      */
-    public void settings(NodeSettings settings) {
+    public void updateSettings(NodeSettings settings) {
         mSettings = settings;
     }
 
     /** Where callers' requests arrive. */
     public InetSocketAddress callers() {
-        return mCallers.address();
+        return mCallerServer.address();
     }
 
     /** Begins to work; called on the event loop's thread. */
@@ -242,44 +242,45 @@
         mLog.line("start")
                 .with("node", mSettings.name())
                 .with("zone", mSettings.zone())
-                .with("callers", mCallers.address())
+                .with("callers", mCallerServer.address())
                 .write();
         mOperator.follow();
         mReader.follow();
         mOwnership.watch();
-        forgetEnded();
-        giveUpIfNarrow();
+        removeEndedJobs();
+        checkNarrowLink();
     }
 
-    private void forgetEnded() {
+    private void removeEndedJobs() {
         mReader.book().forgetEnded(mClock.wallMs());
-        mTimers.after(FORGET_MS, this::forgetEnded);
+        mTimers.after(CLEANUP_INTERVAL_MS, this::removeEndedJobs);
     }
 
-    private void recorded(JournalRecord record, Optional<JobEntry> job) {
+    private void recordApplied(JournalRecord record, Optional<JobEntry> job) {
         mOwnership.seen(record);
         mOwner.ifPresent(o -> o.recorded(record, job));
     }
 
     /** Whether this node would be a better owner than one with a narrow link. */
-    private boolean couldOwn() {
-        boolean reads = mReader.isCaughtUp() && mClock.nowMs() - mReader.lastReadMs() < STALE_MS;
+    private boolean isStandby() {
+        boolean reads =
+                mReader.isCaughtUp() && mClock.nowMs() - mReader.lastReadMs() < MAX_READ_AGE_MS;
         return mSettings.link().isAmple() && reads && !mStopping;
     }
 
-    private void giveUpIfNarrow() {
-        mTimers.after(NARROW_CHECK_MS, this::giveUpIfNarrow);
-        if (mOwner.isPresent() && mNarrow.givesUp(mStream.standbyMs(), mClock.nowMs())) {
+    private void checkNarrowLink() {
+        mTimers.after(NARROW_CHECK_INTERVAL_MS, this::checkNarrowLink);
+        if (mOwner.isPresent() && mNarrowOwner.givesUp(mStream.lastStandbyMs(), mClock.nowMs())) {
             mLog.line("owner-narrow").with("node", mSettings.name()).write();
             OwnerWork owner = mOwner.get();
             mOwner = Optional.empty();
-            leave(owner);
+            resign(owner);
             mOwnership.lost();
         }
     }
 
-    private void own(TakeOver taken) {
-        mNarrow.owns(mClock.nowMs());
+    private void ownershipAcquired(TakeOver taken) {
+        mNarrowOwner.owns(mClock.nowMs());
         OwnerParts parts =
                 new OwnerParts(
                         mSettings,
@@ -299,13 +300,13 @@
         OwnerWork work = new OwnerWork(parts, taken, this::fenced);
         mOwner = Optional.of(work);
         mLink.owner(Optional.empty());
-        mStream.own(taken.token(), work, work::areCallsOver);
+        mStream.ownershipAcquired(taken.token(), work, work::areCallsOver);
         work.start();
     }
 
     private void fenced() {
         mOwner = Optional.empty();
-        mStream.disown();
+        mStream.ownershipLost();
         mOwnership.lost();
     }
 
@@ -316,13 +317,13 @@
      */
     private boolean isReady() {
         long now = mClock.nowMs();
-        boolean current = mReader.isCaughtUp() && now - mReader.lastReadMs() < STALE_MS;
-        boolean throughOwner = mLink.isOpen() && now - mOperator.lastReadMs() < STALE_MS;
+        boolean current = mReader.isCaughtUp() && now - mReader.lastReadMs() < MAX_READ_AGE_MS;
+        boolean throughOwner = mLink.isOpen() && now - mOperator.lastReadMs() < MAX_READ_AGE_MS;
         return !mStopping && mOperator.config().isPresent() && (current || throughOwner);
     }
 
     private void readiness(HttpRequest request, Consumer<HttpReply> reply) {
-        reply.accept(HttpReply.empty(isReady() ? OK : UNAVAILABLE));
+        reply.accept(HttpReply.empty(isReady() ? OK : SERVICE_UNAVAILABLE));
     }
 
     private void metrics(HttpRequest request, Consumer<HttpReply> reply) {
@@ -337,11 +338,11 @@
         mStopping = true;
         mLog.line("stop").with("node", mSettings.name()).write();
         mOwnership.stop();
-        mOwner.ifPresent(this::leave);
+        mOwner.ifPresent(this::resign);
         mOwner = Optional.empty();
-        mCallers.stopKeepingOpen();
+        mCallerServer.stopKeepingOpen();
         long now = mClock.nowMs();
-        drain(now + LISTEN_ON_MS, now + mSettings.graceMs() - EXIT_MS, ended);
+        drain(now + MIN_LISTEN_MS, now + mSettings.graceMs() - EXIT_MARGIN_MS, ended);
     }
 
     /**
@@ -349,28 +350,28 @@
      * predecessor gone and takes over at once. A store that doesn't answer is not waited for; if it
      * answers late, this node may own again.
      */
-    private void leave(OwnerWork owner) {
+    private void resign(OwnerWork owner) {
         Runnable disown =
                 () -> {
                     if (mOwner.isEmpty()) {
-                        mStream.disown();
+                        mStream.ownershipLost();
                     }
                 };
         owner.leave(disown);
-        mTimers.after(LEAVE_MS, disown);
+        mTimers.after(LEAVE_TIMEOUT_MS, disown);
     }
 
     private void drain(long listenUntilMs, long endMs, Runnable ended) {
         long now = mClock.nowMs();
         if (now >= listenUntilMs) {
-            mCallers.stopListening();
+            mCallerServer.stopListening();
         }
-        boolean drained = now >= listenUntilMs && mCallers.inFlight() == 0;
+        boolean drained = now >= listenUntilMs && mCallerServer.inFlight() == 0;
         if (drained || now >= endMs) {
-            mLog.line("stopped").with("inFlight", mCallers.inFlight()).write();
+            mLog.line("stopped").with("inFlight", mCallerServer.inFlight()).write();
             ended.run();
             return;
         }
-        mTimers.after(DRAIN_CHECK_MS, () -> drain(listenUntilMs, endMs, ended));
+        mTimers.after(DRAIN_CHECK_INTERVAL_MS, () -> drain(listenUntilMs, endMs, ended));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
@@ -17,8 +17,8 @@
     /** Names the settings file where the command line doesn't. */
     private static final String SETTINGS_VARIABLE = "FOXTAILPLANK_CONFIG";
 
-    private static final int USAGE = 2;
-    private static final int FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
 
     private NodeMain() {}
 
@@ -26,14 +26,14 @@
         String file = args.length > 0 ? args[0] : System.getenv(SETTINGS_VARIABLE);
         if (file == null || args.length > 1) {
             System.err.println("usage: foxtail-node [SETTINGS], or set " + SETTINGS_VARIABLE);
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         NodeSettings settings = null;
         try {
             settings = NodeSettingsReader.read(Path.of(file));
         } catch (SettingsException | IOException e) {
             System.err.println("foxtail-node: settings " + file + ": " + e.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         run(Path.of(file), settings);
     }
@@ -42,12 +42,12 @@
         quietNetty();
         Clock clock = Clock.system();
         NodeLog log = NodeLog.to(System.out, clock);
-        Thread.setDefaultUncaughtExceptionHandler((thread, error) -> broken(log, error));
+        Thread.setDefaultUncaughtExceptionHandler((thread, error) -> failFast(log, error));
         EventLoop loop =
                 (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Timers timers =
                 (delay, action) ->
-                        loop.schedule(guarded(log, action), delay, TimeUnit.MILLISECONDS);
+                        loop.schedule(failingFast(log, action), delay, TimeUnit.MILLISECONDS);
         Node node = new Node(settings, loop, clock, timers, log);
         CountDownLatch stopped = new CountDownLatch(1);
         Thread hook =
@@ -61,7 +61,7 @@
                         "stop");
         Runtime.getRuntime().addShutdownHook(hook);
         start(node, loop, log);
-        SettingsWatch watch = new SettingsWatch(file, settings, timers, log, node::settings);
+        SettingsWatch watch = new SettingsWatch(file, settings, timers, log, node::updateSettings);
         loop.execute(watch::watch);
         // Without a handler of its own this signal would end the process.
         Signal.handle(new Signal("HUP"), s -> loop.execute(() -> watch.reload("signal")));
@@ -70,30 +70,30 @@
     private static void start(Node node, EventLoop loop, NodeLog log) {
         try {
             node.listen();
-            loop.execute(guarded(log, node::start));
+            loop.execute(failingFast(log, node::start));
         } catch (IOException e) {
             log.line("start-failed").with("error", e.getMessage()).write();
             log.flush(System.out);
-            Runtime.getRuntime().halt(FAILED);
+            Runtime.getRuntime().halt(EXIT_FAILURE);
         }
     }
 
     /** A broken invariant ends the process: another node goes on from what is stored. */
-    private static Runnable guarded(NodeLog log, Runnable action) {
+    private static Runnable failingFast(NodeLog log, Runnable action) {
         return () -> {
             try {
                 action.run();
             } catch (RuntimeException | Error e) {
-                broken(log, e);
+                failFast(log, e);
             }
         };
     }
 
-    private static void broken(NodeLog log, Throwable error) {
+    private static void failFast(NodeLog log, Throwable error) {
         error.printStackTrace();
         log.line("broken").with("error", error).write();
         log.flush(System.out);
-        Runtime.getRuntime().halt(FAILED);
+        Runtime.getRuntime().halt(EXIT_FAILURE);
     }
 
     /** Spares Netty the search for a logging library and for a network card's address. */
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeMetrics.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeMetrics.java
@@ -24,19 +24,19 @@
     public String text() {
         StringBuilder out = new StringBuilder();
         for (Map.Entry<String, Counter> e : mRegistry.getCounters().entrySet()) {
-            line(out, e.getKey(), "", e.getValue().getCount());
+            appendLine(out, e.getKey(), "", e.getValue().getCount());
         }
         for (Map.Entry<String, Histogram> e : mRegistry.getHistograms().entrySet()) {
             Snapshot s = e.getValue().getSnapshot();
-            line(out, e.getKey(), "_count", e.getValue().getCount());
-            line(out, e.getKey(), "_p50_ms", s.getMedian());
-            line(out, e.getKey(), "_p99_ms", s.get99thPercentile());
-            line(out, e.getKey(), "_max_ms", s.getMax());
+            appendLine(out, e.getKey(), "_count", e.getValue().getCount());
+            appendLine(out, e.getKey(), "_p50_ms", s.getMedian());
+            appendLine(out, e.getKey(), "_p99_ms", s.get99thPercentile());
+            appendLine(out, e.getKey(), "_max_ms", s.getMax());
         }
         return out.toString();
     }
 
-    private static void line(StringBuilder out, String name, String part, double value) {
+    private static void appendLine(StringBuilder out, String name, String part, double value) {
         out.append("foxtail_").append(name).append(part).append(' ').append(value).append('\n');
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
@@ -16,7 +16,7 @@
 public final class NodeSettingsReader {
     private static final double MS_PER_S = 1000;
     private static final int MAX_PORT = 65_535;
-    private static final String ORDERS_BY_CALL = "call";
+    private static final String CALL_MODE = "call";
 
     private final JsonNode mTree;
     private final List<String> mProblems = new ArrayList<>();
@@ -48,7 +48,7 @@
     }
 
     private NodeSettings settings() {
-        checkOrders("/worker/orders");
+        checkOrderMode("/worker/orders");
         PlatformAddresses platform =
                 new PlatformAddresses(
                         addressText("/platform/store"),
@@ -61,9 +61,9 @@
                         (long) number("/worker/leaseMs"), (long) number("/jobs/earlyMs"));
         NodeSettings.JournalBounds journal =
                 new NodeSettings.JournalBounds(
-                        seconds("/platform/keepS"),
-                        seconds("/jobs/statusS"),
-                        atLeastOne("/platform/parts"));
+                        secondsAsMs("/platform/keepS"),
+                        secondsAsMs("/jobs/statusS"),
+                        positiveInt("/platform/parts"));
         return new NodeSettings(
                 text("/node/name"),
                 text("/node/zone"),
@@ -76,7 +76,7 @@
                 schedule,
                 flag("/platform/vmTokensChecked"),
                 link("/node/linkMbps"),
-                seconds("/node/graceS"));
+                secondsAsMs("/node/graceS"));
     }
 
     private String text(String path) {
@@ -96,10 +96,10 @@
     }
 
     /** Workers are called; another way of giving them orders than this default isn't known. */
-    private void checkOrders(String path) {
+    private void checkOrderMode(String path) {
         String value = mTree.at(path).asText("");
-        if (!value.isEmpty() && !value.equals(ORDERS_BY_CALL)) {
-            mProblems.add(path + " is '" + value + "'; only '" + ORDERS_BY_CALL + "' is supported");
+        if (!value.isEmpty() && !value.equals(CALL_MODE)) {
+            mProblems.add(path + " is '" + value + "'; only '" + CALL_MODE + "' is supported");
         }
     }
 
@@ -117,7 +117,7 @@
         return mTree.at(path).isMissingNode() ? LinkRate.UNKNOWN : new LinkRate(number(path));
     }
 
-    private int atLeastOne(String path) {
+    private int positiveInt(String path) {
         int value = (int) number(path);
         if (value < 1) {
             mProblems.add(path + " is less than 1");
@@ -125,7 +125,7 @@
         return Math.max(1, value);
     }
 
-    private long seconds(String path) {
+    private long secondsAsMs(String path) {
         return (long) (number(path) * MS_PER_S);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
@@ -14,7 +14,7 @@
 /** Follows what the operator writes: the configuration in force and the waves. */
 public final class OperatorFollower {
     /** How long a read waits for news, in milliseconds; a dead connection shows soon after. */
-    private static final long WAIT_MS = 800;
+    private static final long POLL_WAIT_MS = 800;
 
     /** Pause after a failed read, in milliseconds. */
     private static final long RETRY_MS = 150;
@@ -26,7 +26,7 @@
     private final Map<Long, DueWave> mWaves = new LinkedHashMap<>();
 
     private Optional<FleetConfig> mConfig = Optional.empty();
-    private boolean mFollowing;
+    private boolean mFirstPageRead;
     private long mPosition = -1;
     private long mLastReadMs = Long.MIN_VALUE / 2;
 
@@ -55,14 +55,14 @@
     /** Begins to follow; goes on for ever. */
     public void follow() {
         if (mPosition < 0) {
-            mFeed.newest(this::followed);
+            mFeed.newest(this::pollCompleted);
         } else {
-            mFeed.changes(mPosition, WAIT_MS, this::followed);
+            mFeed.changes(mPosition, POLL_WAIT_MS, this::pollCompleted);
         }
     }
 
-    private void followed(Feed.Result<OperatorOrder> result) {
-        take(result);
+    private void pollCompleted(Feed.Result<OperatorOrder> result) {
+        apply(result);
         if (result instanceof Feed.Page) {
             follow();
         } else {
@@ -74,7 +74,7 @@
     public void refresh(Consumer<Boolean> then) {
         Consumer<Feed.Result<OperatorOrder>> taken =
                 r -> {
-                    take(r);
+                    apply(r);
                     then.accept(r instanceof Feed.Page);
                 };
         if (mPosition < 0) {
@@ -84,36 +84,36 @@
         }
     }
 
-    private void take(Feed.Result<OperatorOrder> result) {
+    private void apply(Feed.Result<OperatorOrder> result) {
         if (result instanceof Feed.Gap) {
             // The history was dropped: the newest values tell all that counts.
             mPosition = -1;
         } else if (result instanceof Feed.Page<OperatorOrder> page) {
             mLastReadMs = mClock.nowMs();
             mPosition = Math.max(mPosition, page.next());
-            page.items().forEach(this::take);
-            mFollowing = true;
+            page.items().forEach(this::apply);
+            mFirstPageRead = true;
         }
     }
 
     /** An order that can't be read is another writer's; what the operator said last stays. */
-    private void take(Feed.Item<OperatorOrder> item) {
+    private void apply(Feed.Item<OperatorOrder> item) {
         if (!item.readable()) {
             mLog.line("order-unreadable").with("key", item.key()).write();
         }
-        item.value().ifPresent(this::take);
+        item.value().ifPresent(this::apply);
     }
 
     /** A wave that was ordered before this node started may be half over already. */
-    private DueWave due(WaveOrder wave) {
-        long left = mFollowing ? wave.durationMs() : wave.durationMs() / 2;
+    private DueWave dueWave(WaveOrder wave) {
+        long left = mFirstPageRead ? wave.durationMs() : wave.durationMs() / 2;
         return new DueWave(wave, mClock.nowMs() + left);
     }
 
-    private void take(OperatorOrder order) {
+    private void apply(OperatorOrder order) {
         if (order instanceof OperatorOrder.NewWave w) {
             if (!mWaves.containsKey(w.wave().number())) {
-                mWaves.put(w.wave().number(), due(w.wave()));
+                mWaves.put(w.wave().number(), dueWave(w.wave()));
                 mLog.line("wave-ordered")
                         .with("wave", w.wave().number())
                         .with("vms", w.wave().vms().size())
--- a/foxtail-node/src/main/java/org/foxtailplank/node/SettingsWatch.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/SettingsWatch.java
@@ -9,12 +9,12 @@
 /** Reads the settings again when a signal says so, or when the file has changed without one. */
 public final class SettingsWatch {
     /** How often the file is looked at, in milliseconds. */
-    private static final long LOOK_MS = 1000;
+    private static final long POLL_INTERVAL_MS = 1000;
 
     private final Path mFile;
     private final Timers mTimers;
     private final NodeLog mLog;
-    private final Consumer<NodeSettings> mChanged;
+    private final Consumer<NodeSettings> mListener;
     private NodeSettings mSettings;
     private long mModifiedMs;
 
@@ -28,15 +28,15 @@
         mSettings = settings;
         mTimers = timers;
         mLog = log;
-        mChanged = changed;
+        mListener = changed;
     }
 
     /** Begins to look. */
     public void watch() {
-        mTimers.after(LOOK_MS, this::look);
+        mTimers.after(POLL_INTERVAL_MS, this::poll);
     }
 
-    private void look() {
+    private void poll() {
         watch();
         long modified = mFile.toFile().lastModified();
         if (modified != mModifiedMs) {
@@ -53,7 +53,7 @@
             outcome = read.equals(mSettings) ? "the same" : "in force";
             if (!read.equals(mSettings)) {
                 mSettings = read;
-                mChanged.accept(read);
+                mListener.accept(read);
             }
         } catch (SettingsException | IOException e) {
             outcome = "kept the old ones: " + e.getMessage();
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
@@ -35,9 +35,9 @@
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int BAD_METHOD = 405;
+    private static final int METHOD_NOT_ALLOWED = 405;
     private static final int GONE = 410;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
     private static final Pattern JOB_ID = Pattern.compile("[0-9a-fA-F]{16}");
@@ -46,19 +46,19 @@
     private static final long DEFAULT_DEADLINE_MS = 3000;
 
     /** What the owner has handed on this lately is told without a read of the journal. */
-    private static final long CURRENT_MS = 400;
+    private static final long MAX_PHASE_AGE_MS = 400;
 
     /**
      * A book that was complete so long ago tells how many jobs of a queue are pending, in
      * milliseconds: the number may be two seconds old when the caller has it.
      */
-    static final long PENDING_COMPLETE_MS = 1500;
+    static final long MAX_PENDING_AGE_MS = 1500;
 
     /** Kept of a caller's time for the way of the answer, in milliseconds. */
-    private static final long ANSWER_MS = 150;
+    private static final long REPLY_MARGIN_MS = 150;
 
     /** Answers that take longer are written down, in milliseconds: many of the store's. */
-    private static final long SLOW_MS = 500;
+    private static final long SLOW_REPLY_MS = 500;
 
     /** When to ask again while the store takes nothing, in seconds: outages last a few seconds. */
     private static final String RETRY_AFTER_S = "1";
@@ -103,31 +103,31 @@
                 answer -> {
                     mMetrics.counter("answers_" + answer.status()).inc();
                     mMetrics.latency("answer").update(mClock.nowMs() - startMs);
-                    noteIfSlow(request, answer, mClock.nowMs() - startMs);
+                    logIfSlow(request, answer, mClock.nowMs() - startMs);
                     reply.accept(answer);
                 };
         Optional<FleetConfig> config = mOperator.config();
         if (config.isEmpty()) {
-            timed.accept(unavailable());
+            timed.accept(unavailableReply());
             return;
         }
         Optional<RouteSettings> route = config.get().route(request.host(), request.path());
         if (route.isPresent()) {
-            routed(request, route.get(), timed);
+            handleRouted(request, route.get(), timed);
         } else {
-            askOperatorAgain(request, timed);
+            refreshAndRoute(request, timed);
         }
     }
 
-    private void noteIfSlow(HttpRequest request, HttpReply answer, long tookMs) {
-        if (tookMs >= SLOW_MS) {
+    private void logIfSlow(HttpRequest request, HttpReply answer, long tookMs) {
+        if (tookMs >= SLOW_REPLY_MS) {
             mLog.line("answer-slow")
                     .with("method", request.method())
                     .with("path", request.path())
                     .with("status", answer.status())
                     .with("tookMs", tookMs)
                     .with("caughtUp", mReader.isCaughtUp())
-                    .with("currentMsAgo", mClock.nowMs() - mLink.currentMs())
+                    .with("currentMsAgo", mClock.nowMs() - mLink.upToDateMs())
                     .write();
         }
     }
@@ -136,7 +136,7 @@
      * No queue is known for the path. Guards against telling a caller that a queue doesn't exist
      * that was added a moment ago: the newest configuration is read before that is said.
      */
-    private void askOperatorAgain(HttpRequest request, Consumer<HttpReply> reply) {
+    private void refreshAndRoute(HttpRequest request, Consumer<HttpReply> reply) {
         mOperator.refresh(
                 read -> {
                     Optional<RouteSettings> route =
@@ -144,22 +144,22 @@
                                     .config()
                                     .flatMap(c -> c.route(request.host(), request.path()));
                     if (route.isPresent()) {
-                        routed(request, route.get(), reply);
+                        handleRouted(request, route.get(), reply);
                     } else {
                         long age = mClock.nowMs() - mOperator.lastReadMs();
                         mLog.line("no-queue")
                                 .with("path", request.path())
                                 .with("configAgeMs", age)
                                 .write();
-                        reply.accept(read ? HttpReply.empty(NOT_FOUND) : unavailable());
+                        reply.accept(read ? HttpReply.empty(NOT_FOUND) : unavailableReply());
                     }
                 });
     }
 
-    private void routed(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
+    private void handleRouted(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
         String id = request.path().substring(route.pathPrefix().length());
         if (id.isEmpty() && request.method().equals("GET")) {
-            tellPending(request, route, reply);
+            replyPending(request, route, reply);
             return;
         }
         if (!JOB_ID.matcher(id).matches()) {
@@ -168,9 +168,9 @@
         }
         switch (request.method()) {
             case "POST" -> submit(request, route, id, reply);
-            case "GET" -> tell(request, id, reply);
+            case "GET" -> replyPhase(request, id, reply);
             case "DELETE" -> cancel(request, id, reply);
-            default -> reply.accept(HttpReply.empty(BAD_METHOD));
+            default -> reply.accept(HttpReply.empty(METHOD_NOT_ALLOWED));
         }
     }
 
@@ -206,10 +206,11 @@
         List<Consumer<HttpReply>> replies = new ArrayList<>(List.of(reply));
         mInFlight.put(id, replies);
         long deadline = deadlineMs(request);
-        mWriter.store(new JobAccepted(order), deadline, o -> submitted(order, replies, o));
+        mWriter.store(
+                new JobAccepted(order), deadline, o -> submissionCompleted(order, replies, o));
     }
 
-    private void submitted(
+    private void submissionCompleted(
             JobOrder order, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
         mInFlight.remove(order.id());
         mLog.line("job-submitted")
@@ -219,7 +220,7 @@
                 .with("tasks", order.tasksPerRun())
                 .with("outcome", outcome)
                 .write();
-        replies.forEach(r -> r.accept(stored(outcome)));
+        replies.forEach(r -> r.accept(outcomeReply(outcome)));
     }
 
     /**
@@ -227,13 +228,13 @@
      * off, or since its owner lacks them: it would tell callers that nothing of a queue waits. A
      * node that can't read what it lacks doesn't say a number.
      */
-    private void tellPending(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
+    private void replyPending(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
         long completeMs = Math.max(mLink.completeMs(), mReader.completeMs());
-        if (mClock.nowMs() - completeMs < PENDING_COMPLETE_MS) {
-            reply.accept(pending(mFinder.knownPending(route.name())));
+        if (mClock.nowMs() - completeMs < MAX_PENDING_AGE_MS) {
+            reply.accept(pendingReply(mFinder.localPending(route.name())));
             return;
         }
-        mFinder.pending(
+        mFinder.findPending(
                 route.name(),
                 deadlineMs(request),
                 found -> {
@@ -244,50 +245,51 @@
                             .with("readCompleteMsAgo", mClock.nowMs() - mReader.completeMs())
                             .with("journal", mReader.position())
                             .write();
-                    reply.accept(found.map(this::pending).orElseGet(() -> unavailable()));
+                    reply.accept(found.map(this::pendingReply).orElseGet(() -> unavailableReply()));
                 });
     }
 
-    private HttpReply pending(int jobs) {
+    private HttpReply pendingReply(int jobs) {
         return HttpReply.json(OK, mBodies.pending(jobs));
     }
 
-    private void tell(HttpRequest request, String id, Consumer<HttpReply> reply) {
-        Optional<JobPhase> known = mFinder.known(id);
-        boolean current = mClock.nowMs() - mLink.currentMs() < CURRENT_MS;
+    private void replyPhase(HttpRequest request, String id, Consumer<HttpReply> reply) {
+        Optional<JobPhase> known = mFinder.localPhase(id);
+        boolean current = mClock.nowMs() - mLink.upToDateMs() < MAX_PHASE_AGE_MS;
         if (known.isPresent() && (current || known.get().isFinal())) {
-            reply.accept(phase(known.get()));
+            reply.accept(phaseReply(known.get()));
             return;
         }
-        mFinder.find(
+        mFinder.findPhase(
                 id,
                 deadlineMs(request),
                 (read, phase) ->
-                        reply.accept(phase.map(this::phase).orElseGet(() -> notFound(read))));
+                        reply.accept(
+                                phase.map(this::phaseReply).orElseGet(() -> notFoundReply(read))));
     }
 
-    private HttpReply phase(JobPhase phase) {
+    private HttpReply phaseReply(JobPhase phase) {
         return HttpReply.json(OK, mBodies.phase(phase));
     }
 
     /** That no such job exists is said only where the journal was read to its end. */
-    private static HttpReply notFound(boolean read) {
-        return read ? HttpReply.empty(GONE) : unavailable();
+    private static HttpReply notFoundReply(boolean read) {
+        return read ? HttpReply.empty(GONE) : unavailableReply();
     }
 
     private void cancel(HttpRequest request, String id, Consumer<HttpReply> reply) {
-        Optional<JobPhase> known = mFinder.known(id);
+        Optional<JobPhase> known = mFinder.localPhase(id);
         if (known.isPresent()) {
             cancelKnown(request, id, known.get(), reply);
             return;
         }
-        mFinder.find(
+        mFinder.findPhase(
                 id,
                 deadlineMs(request),
                 (read, phase) ->
                         phase.ifPresentOrElse(
                                 p -> cancelKnown(request, id, p, reply),
-                                () -> reply.accept(notFound(read))));
+                                () -> reply.accept(notFoundReply(read))));
     }
 
     private void cancelKnown(
@@ -295,17 +297,17 @@
         if (phase.isFinal()) {
             reply.accept(HttpReply.empty(OK));
         } else {
-            storeCancel(request, id, reply);
+            storeCancellation(request, id, reply);
         }
     }
 
-    private void storeCancel(HttpRequest request, String id, Consumer<HttpReply> reply) {
+    private void storeCancellation(HttpRequest request, String id, Consumer<HttpReply> reply) {
         mWriter.store(
                 new JobCancelled(id, mClock.wallMs()),
                 deadlineMs(request),
                 o -> {
                     mLog.line("job-cancelled").with("job", id).with("outcome", o).write();
-                    reply.accept(stored(o));
+                    reply.accept(outcomeReply(o));
                 });
     }
 
@@ -315,7 +317,7 @@
      */
     private long deadlineMs(HttpRequest request) {
         long wait = request.number(mBodies.deadlineHeader()).orElse(DEFAULT_DEADLINE_MS);
-        return mClock.nowMs() + Math.max(ANSWER_MS, wait - ANSWER_MS);
+        return mClock.nowMs() + Math.max(REPLY_MARGIN_MS, wait - REPLY_MARGIN_MS);
     }
 
     /**
@@ -323,15 +325,15 @@
      * stored is refused, since a refused job must never run; where that isn't known the caller
      * learns so, and asks again.
      */
-    private static HttpReply stored(StoreOutcome outcome) {
+    private static HttpReply outcomeReply(StoreOutcome outcome) {
         return switch (outcome) {
             case STORED -> HttpReply.empty(OK);
-            case NOT_STORED -> unavailable();
+            case NOT_STORED -> unavailableReply();
             case UNKNOWN -> HttpReply.empty(GATEWAY_TIMEOUT);
         };
     }
 
-    private static HttpReply unavailable() {
-        return HttpReply.empty(UNAVAILABLE).with(Map.of("Retry-After", RETRY_AFTER_S));
+    private static HttpReply unavailableReply() {
+        return HttpReply.empty(SERVICE_UNAVAILABLE).with(Map.of("Retry-After", RETRY_AFTER_S));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
@@ -30,17 +30,17 @@
     }
 
     /** Is told where a job stands, and whether all of the journal was read for that. */
-    interface Found {
-        void phase(boolean read, Optional<JobPhase> phase);
+    interface PhaseCallback {
+        void accept(boolean read, Optional<JobPhase> phase);
     }
 
     /** Where a job stands as far as this node knows. */
-    Optional<JobPhase> known(String id) {
+    Optional<JobPhase> localPhase(String id) {
         return mReader.book().job(id).map(JobEntry::phase);
     }
 
     /** How many jobs of a queue wait as far as this node knows. */
-    int knownPending(String queue) {
+    int localPending(String queue) {
         return mReader.book().pending(queue);
     }
 
@@ -48,31 +48,31 @@
      * Finds out where a job stands. The owner may not have read yet what another node has stored by
      * itself, so that a job that it doesn't know is looked for in the journal.
      */
-    void find(String id, long deadlineMs, Found then) {
+    void findPhase(String id, long deadlineMs, PhaseCallback then) {
         mOwner.phase(
                 id,
                 told -> {
                     if (told.isPresent()) {
-                        then.phase(false, told);
+                        then.accept(false, told);
                     } else {
-                        readBy(deadlineMs, read -> then.phase(read, known(id)));
+                        readJournal(deadlineMs, read -> then.accept(read, localPhase(id)));
                     }
                 });
     }
 
     /** Finds out how many jobs of a queue wait; empty if that can't be found out in time. */
-    void pending(String queue, long deadlineMs, Consumer<Optional<Integer>> then) {
+    void findPending(String queue, long deadlineMs, Consumer<Optional<Integer>> then) {
         mOwner.pending(
                 queue,
                 told -> {
                     if (told.isPresent()) {
                         then.accept(told);
                     } else {
-                        readBy(
+                        readJournal(
                                 deadlineMs,
                                 read ->
                                         then.accept(
-                                                Optional.of(knownPending(queue))
+                                                Optional.of(localPending(queue))
                                                         .filter(p -> read)));
                     }
                 });
@@ -82,26 +82,26 @@
      * Reads the journal to its end and says whether that worked, or that it didn't when the time is
      * over.
      */
-    private void readBy(long deadlineMs, Consumer<Boolean> then) {
-        Once once = new Once(then);
+    private void readJournal(long deadlineMs, Consumer<Boolean> then) {
+        FirstResult once = new FirstResult(then);
         mReader.refresh(once);
         mTimers.after(deadlineMs - mClock.nowMs(), () -> once.accept(false));
     }
 
     /** Hands the first outcome on. */
-    private static final class Once implements Consumer<Boolean> {
-        private final Consumer<Boolean> mThen;
+    private static final class FirstResult implements Consumer<Boolean> {
+        private final Consumer<Boolean> mCallback;
         private boolean mDone;
 
-        Once(Consumer<Boolean> then) {
-            mThen = then;
+        FirstResult(Consumer<Boolean> then) {
+            mCallback = then;
         }
 
         @Override
         public void accept(Boolean outcome) {
             if (!mDone) {
                 mDone = true;
-                mThen.accept(outcome);
+                mCallback.accept(outcome);
             }
         }
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/OwnBook.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/OwnBook.java
@@ -13,7 +13,7 @@
 public final class OwnBook implements OwnerBook {
     private final JournalReader mReader;
     private final Clock mClock;
-    private final BooleanSupplier mOwns;
+    private final BooleanSupplier mIsOwner;
 
     /**
      * A book.
@@ -23,13 +23,13 @@
     public OwnBook(JournalReader reader, Clock clock, BooleanSupplier owns) {
         mReader = reader;
         mClock = clock;
-        mOwns = owns;
+        mIsOwner = owns;
     }
 
     @Override
     public void phase(String job, Consumer<Optional<JobPhase>> then) {
         Optional<JobEntry> known =
-                mOwns.getAsBoolean() ? mReader.book().job(job) : Optional.empty();
+                mIsOwner.getAsBoolean() ? mReader.book().job(job) : Optional.empty();
         then.accept(known.map(JobEntry::phase));
     }
 
@@ -41,7 +41,7 @@
     @Override
     public void pending(String queue, Consumer<Optional<Integer>> then) {
         long age = mClock.nowMs() - mReader.completeMs();
-        boolean knows = mOwns.getAsBoolean() && age < CallerService.PENDING_COMPLETE_MS;
+        boolean knows = mIsOwner.getAsBoolean() && age < CallerService.MAX_PENDING_AGE_MS;
         then.accept(knows ? Optional.of(mReader.book().pending(queue)) : Optional.empty());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
@@ -24,32 +24,32 @@
 /** The owner's end: sends the journal and heartbeats to the nodes that are connected. */
 public final class JournalStream {
     /** How often a heartbeat is sent, in milliseconds. */
-    private static final long HEARTBEAT_MS = 200;
+    private static final long HEARTBEAT_INTERVAL_MS = 200;
 
     /**
      * How long records are gathered before they are sent on, in milliseconds: little beside the
      * second and more that a caller's shortest job takes.
      */
-    private static final long GATHER_MS = 20;
+    private static final long BATCH_DELAY_MS = 20;
 
     /** Records beyond this number of bytes are sent at once: half of what may wait to be sent. */
-    private static final int GATHER_BYTES = 32 << 10;
+    private static final int MAX_BATCH_BYTES = 32 << 10;
 
     private final boolean mNarrow;
     private final Clock mClock;
     private final Timers mTimers;
     private final StreamBudget mBudget;
     private final Handover mHandover;
-    private final OwnerBook mBook;
+    private final OwnerBook mJobQueries;
     private final Set<Channel> mFollowers = new HashSet<>();
-    private final ByteBuf mGathered = Unpooled.buffer();
-    private boolean mSendDue;
-    private long mSendings;
+    private final ByteBuf mBatch = Unpooled.buffer();
+    private boolean mFlushScheduled;
+    private long mFlushCount;
     private long mSentBytes;
     private InetSocketAddress mAddress;
     private long mToken = PeerFrame.NO_OWNER;
     private OwnedJournal mJournal = OwnedJournal.NONE;
-    private long mStandbyMs = Long.MIN_VALUE / 2;
+    private long mLastStandbyMs = Long.MIN_VALUE / 2;
     private BooleanSupplier mCallsOver = () -> true;
 
     private JournalStream(
@@ -59,7 +59,7 @@
         mTimers = timers;
         mBudget = new StreamBudget(link, clock.nowMs());
         mHandover = handover;
-        mBook = book;
+        mJobQueries = book;
     }
 
     /**
@@ -85,7 +85,7 @@
                         .channel(NioServerSocketChannel.class)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childHandler(PeerChannels.with(() -> stream.new Follower()))
+                        .childHandler(PeerFraming.initializer(() -> stream.new FollowerHandler()))
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -101,13 +101,13 @@
     }
 
     /** When a follower last said that it could own and has an ample link. */
-    public long standbyMs() {
-        return mStandbyMs;
+    public long lastStandbyMs() {
+        return mLastStandbyMs;
     }
 
     /** How often gathered frames were sent. */
-    long sendings() {
-        return mSendings;
+    long flushCount() {
+        return mFlushCount;
     }
 
     /** Bytes that were sent to each follower. */
@@ -115,12 +115,12 @@
         return mSentBytes;
     }
 
-    private final class Follower extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class FollowerHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             mFollowers.add(context.channel());
             // The first frame tells who looks for the owner whether this node is it.
-            context.writeAndFlush(heartbeat().encode());
+            context.writeAndFlush(newHeartbeat().encode());
         }
 
         @Override
@@ -131,22 +131,25 @@
                 mHandover.handOver(
                         handover.record(),
                         o -> {
-                            PeerFrame answer = new PeerFrame.HandoverAnswer(handover.number(), o);
+                            PeerFrame answer = new PeerFrame.HandoverResponse(handover.number(), o);
                             context.writeAndFlush(answer.encode());
                         });
-            } else if (frame instanceof PeerFrame.Question question) {
-                answer(question, context);
+            } else if (frame instanceof PeerFrame.Query question) {
+                respond(question, context);
             } else if (frame instanceof PeerFrame.Standby) {
-                mStandbyMs = mClock.nowMs();
+                mLastStandbyMs = mClock.nowMs();
             }
         }
 
-        private void answer(PeerFrame.Question question, ChannelHandlerContext context) {
+        private void respond(PeerFrame.Query question, ChannelHandlerContext context) {
             Consumer<Optional<Integer>> then =
-                    v -> context.writeAndFlush(new PeerFrame.Answer(question.number(), v).encode());
+                    v ->
+                            context.writeAndFlush(
+                                    new PeerFrame.QueryResponse(question.number(), v).encode());
             switch (question.subject()) {
-                case JOB -> mBook.phase(question.name(), p -> then.accept(p.map(Enum::ordinal)));
-                case QUEUE -> mBook.pending(question.name(), then);
+                case JOB ->
+                        mJobQueries.phase(question.name(), p -> then.accept(p.map(Enum::ordinal)));
+                case QUEUE -> mJobQueries.pending(question.name(), then);
                 default -> throw new IllegalStateException("no rule for " + question.subject());
             }
         }
@@ -168,17 +171,17 @@
      * @param journal what heartbeats say of the journal
      * @param callsOver whether its calls to the VM service are over; said once it owns no more
      */
-    public void own(long token, OwnedJournal journal, BooleanSupplier callsOver) {
+    public void ownershipAcquired(long token, OwnedJournal journal, BooleanSupplier callsOver) {
         mCallsOver = callsOver;
         mToken = token;
         mJournal = journal;
-        heartbeat(token);
+        sendHeartbeat(token);
     }
 
     /** This node does not own any more; who follows it looks for the owner elsewhere. */
-    public void disown() {
+    public void ownershipLost() {
         mToken = PeerFrame.NO_OWNER;
-        mGathered.clear();
+        mBatch.clear();
         Set.copyOf(mFollowers).forEach(Channel::close);
     }
 
@@ -191,38 +194,38 @@
      * nodes; beyond the link's budget they are left out, and the next heartbeat tells the nodes
      * that they lack some.
      */
-    public void read(int partition, long offset, byte[] record) {
+    public void recordRead(int partition, long offset, byte[] record) {
         if (mToken == PeerFrame.NO_OWNER) {
             return;
         }
-        gather(new PeerFrame.Journal(mToken, partition, offset, record));
-        if (mGathered.readableBytes() >= GATHER_BYTES) {
-            sendRecords();
-        } else if (!mSendDue) {
-            mSendDue = true;
-            mTimers.after(GATHER_MS, this::sendRecords);
+        addToBatch(new PeerFrame.StreamedRecord(mToken, partition, offset, record));
+        if (mBatch.readableBytes() >= MAX_BATCH_BYTES) {
+            flushOrDrop();
+        } else if (!mFlushScheduled) {
+            mFlushScheduled = true;
+            mTimers.after(BATCH_DELAY_MS, this::flushOrDrop);
         }
     }
 
-    private void gather(PeerFrame frame) {
+    private void addToBatch(PeerFrame frame) {
         ByteBuf bytes = frame.encode();
-        mGathered.writeBytes(bytes);
+        mBatch.writeBytes(bytes);
         bytes.release();
     }
 
-    private void heartbeat(long token) {
+    private void sendHeartbeat(long token) {
         if (mToken != token) {
             return;
         }
         // After the records up to the position that it names: a node that lacks one of them would
         // read the store.
-        sendRecords();
-        gather(heartbeat());
-        send();
-        mTimers.after(HEARTBEAT_MS, () -> heartbeat(token));
+        flushOrDrop();
+        addToBatch(newHeartbeat());
+        flush();
+        mTimers.after(HEARTBEAT_INTERVAL_MS, () -> sendHeartbeat(token));
     }
 
-    private PeerFrame heartbeat() {
+    private PeerFrame newHeartbeat() {
         boolean callsOver = mToken == PeerFrame.NO_OWNER && mCallsOver.getAsBoolean();
         return new PeerFrame.Heartbeat(
                 mToken,
@@ -235,24 +238,24 @@
     }
 
     /** Sends what was gathered, or leaves it out where the link has no room for it. */
-    private void sendRecords() {
-        mSendDue = false;
-        if (!mGathered.isReadable()) {
+    private void flushOrDrop() {
+        mFlushScheduled = false;
+        if (!mBatch.isReadable()) {
             return;
         }
-        long bytes = (long) mGathered.readableBytes() * mFollowers.size();
-        if (mBudget.take(bytes, mClock.nowMs())) {
-            send();
+        long bytes = (long) mBatch.readableBytes() * mFollowers.size();
+        if (mBudget.tryConsume(bytes, mClock.nowMs())) {
+            flush();
         } else {
-            mGathered.clear();
+            mBatch.clear();
         }
     }
 
     /** A follower that doesn't read is passed over: it would pile frames up in memory. */
-    private void send() {
-        ByteBuf frames = Unpooled.directBuffer(mGathered.readableBytes()).writeBytes(mGathered);
-        mGathered.clear();
-        mSendings++;
+    private void flush() {
+        ByteBuf frames = Unpooled.directBuffer(mBatch.readableBytes()).writeBytes(mBatch);
+        mBatch.clear();
+        mFlushCount++;
         mSentBytes += frames.readableBytes();
         for (Channel c : mFollowers) {
             if (c.isWritable()) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
@@ -35,12 +35,12 @@
  */
 public final class OwnerLink implements OwnerSigns, Handover, OwnerBook {
     /** An owner that is silent for so long may be gone, in milliseconds: three heartbeats. */
-    private static final long SILENT_MS = 700;
+    private static final long SILENCE_TIMEOUT_MS = 700;
 
     /** Pause before the owner is connected to again, in milliseconds. */
     private static final long RETRY_MS = 300;
 
-    private static final int CONNECT_MS = 400;
+    private static final int CONNECT_TIMEOUT_MS = 400;
 
     private final EventLoop mLoop;
     private final Clock mClock;
@@ -49,23 +49,23 @@
     private final JournalReader mReader;
     private Optional<KnownOwner> mOwner = Optional.empty();
     private Optional<Channel> mChannel = Optional.empty();
-    private final Map<Long, Consumer<StoreOutcome>> mHandedOver = new LinkedHashMap<>();
-    private final OpenQuestions mQuestions;
+    private final Map<Long, Consumer<StoreOutcome>> mPendingHandovers = new LinkedHashMap<>();
+    private final OpenQuestions mPendingQueries;
     private long mLastHandover;
-    private Runnable mWhenDoubtful = () -> {};
-    private BooleanSupplier mStandsBy = () -> false;
-    private boolean mOpening;
-    private OwnerState mDoubt = OwnerState.SILENT;
-    private long mDoubtToken = -1;
+    private Runnable mUnavailableListener = () -> {};
+    private BooleanSupplier mStandbyCondition = () -> false;
+    private boolean mConnecting;
+    private OwnerState mUnavailableState = OwnerState.SILENT;
+    private long mUnavailableToken = -1;
     private long mCallsOverToken = -1;
-    private long mHeardMs = Long.MIN_VALUE / 2;
-    private long mCurrentMs = Long.MIN_VALUE / 2;
+    private long mLastFrameMs = Long.MIN_VALUE / 2;
+    private long mUpToDateMs = Long.MIN_VALUE / 2;
     private long mCompleteMs = Long.MIN_VALUE / 2;
 
     /** This clock's time less the owner's, plus the shortest delay of this connection's frames. */
     private long mClockOffsetMs = Long.MAX_VALUE;
 
-    private long mStoringMs = Long.MIN_VALUE / 2;
+    private long mLastStoredMs = Long.MIN_VALUE / 2;
 
     public OwnerLink(
             EventLoop loop, Clock clock, Timers timers, NodeLog log, JournalReader reader) {
@@ -74,7 +74,7 @@
         mTimers = timers;
         mLog = log;
         mReader = reader;
-        mQuestions = new OpenQuestions(timers);
+        mPendingQueries = new OpenQuestions(timers);
     }
 
     @Override
@@ -82,46 +82,46 @@
         if (!owner.equals(mOwner)) {
             mOwner = owner;
             close();
-            open();
+            connect();
         }
     }
 
     @Override
     public void whenDoubtful(Runnable listener) {
-        mWhenDoubtful = listener;
+        mUnavailableListener = listener;
     }
 
     /** Whether the owner is to be told that this node could own, and has an ample link. */
-    public void standsBy(BooleanSupplier standsBy) {
-        mStandsBy = standsBy;
+    public void setStandbyCondition(BooleanSupplier standsBy) {
+        mStandbyCondition = standsBy;
     }
 
     @Override
     public OwnerState state(long token) {
-        if (token == mDoubtToken) {
-            return mDoubt;
+        if (token == mUnavailableToken) {
+            return mUnavailableState;
         }
         return isAlive() ? OwnerState.STREAMING : OwnerState.SILENT;
     }
 
     @Override
     public boolean areCallsOver(long token) {
-        return token == mCallsOverToken && token == mDoubtToken;
+        return token == mCallsOverToken && token == mUnavailableToken;
     }
 
     /** Whether the owner was heard of a moment ago. */
     public boolean isAlive() {
-        return mClock.nowMs() - mHeardMs < SILENT_MS;
+        return mClock.nowMs() - mLastFrameMs < SILENCE_TIMEOUT_MS;
     }
 
     @Override
     public long storingMs() {
-        return mStoringMs;
+        return mLastStoredMs;
     }
 
     /** When the book last had all that the owner had read. */
-    public long currentMs() {
-        return mCurrentMs;
+    public long upToDateMs() {
+        return mUpToDateMs;
     }
 
     /**
@@ -133,27 +133,27 @@
         return mCompleteMs;
     }
 
-    private void open() {
-        if (mOwner.isEmpty() || mOpening || mChannel.isPresent()) {
+    private void connect() {
+        if (mOwner.isEmpty() || mConnecting || mChannel.isPresent()) {
             return;
         }
-        mOpening = true;
+        mConnecting = true;
         KnownOwner target = mOwner.get();
         new Bootstrap()
                 .group(mLoop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(PeerChannels.with(() -> new Handler(target)))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .handler(PeerFraming.initializer(() -> new Handler(target)))
                 .connect(target.address())
-                .addListener(f -> opened(target, f));
+                .addListener(f -> connectCompleted(target, f));
     }
 
-    private void opened(KnownOwner target, Future<?> connected) {
-        mOpening = false;
+    private void connectCompleted(KnownOwner target, Future<?> connected) {
+        mConnecting = false;
         boolean current = mOwner.equals(Optional.of(target));
         if (!connected.isSuccess() || !current) {
-            mTimers.after(current ? RETRY_MS : 0, this::open);
+            mTimers.after(current ? RETRY_MS : 0, this::connect);
         }
         // A refusal comes from a machine that runs without the owner's process; a connection that
         // takes too long says nothing, since the path may be cut.
@@ -161,39 +161,39 @@
                 connected.cause() instanceof ConnectException
                         && !(connected.cause() instanceof ConnectTimeoutException);
         if (refused && current) {
-            doubt(OwnerState.REFUSED);
+            ownerUnavailable(OwnerState.REFUSED);
         }
     }
 
     /** The owner is not to be heard of any more, and perhaps doesn't own. */
-    private void doubt(OwnerState state) {
-        mHeardMs = Long.MIN_VALUE / 2;
+    private void ownerUnavailable(OwnerState state) {
+        mLastFrameMs = Long.MIN_VALUE / 2;
         if (mOwner.isEmpty() || state(mOwner.get().token()) == state) {
             return;
         }
-        mDoubt = state;
-        mDoubtToken = mOwner.get().token();
+        mUnavailableState = state;
+        mUnavailableToken = mOwner.get().token();
         mLog.line("owner-doubtful").with("owner", mOwner.get()).with("state", state).write();
-        mWhenDoubtful.run();
+        mUnavailableListener.run();
     }
 
     private void close() {
         mChannel.ifPresent(Channel::close);
         mChannel = Optional.empty();
-        loseAnswers();
+        failPendingRequests();
     }
 
     /** What was handed over may be stored or not; the owner can't say so any more. */
-    private void loseAnswers() {
-        List<Consumer<StoreOutcome>> lost = List.copyOf(mHandedOver.values());
-        mHandedOver.clear();
+    private void failPendingRequests() {
+        List<Consumer<StoreOutcome>> lost = List.copyOf(mPendingHandovers.values());
+        mPendingHandovers.clear();
         lost.forEach(l -> l.accept(StoreOutcome.UNKNOWN));
-        mQuestions.lose();
+        mPendingQueries.failAll();
     }
 
     @Override
     public boolean isOpen() {
-        boolean storing = Handover.isStoring(mClock.nowMs() - mStoringMs, mReader.answerMs());
+        boolean storing = Handover.isStoring(mClock.nowMs() - mLastStoredMs, mReader.answerMs());
         return storing && isAlive() && mChannel.map(Channel::isWritable).orElse(false);
     }
 
@@ -203,7 +203,7 @@
             then.accept(StoreOutcome.NOT_STORED);
             return;
         }
-        mHandedOver.put(++mLastHandover, then);
+        mPendingHandovers.put(++mLastHandover, then);
         PeerFrame frame = new PeerFrame.Handover(mLastHandover, record);
         mChannel.get().writeAndFlush(frame.encode());
     }
@@ -211,7 +211,7 @@
     @Override
     public void phase(String job, Consumer<Optional<JobPhase>> then) {
         JobPhase[] phases = JobPhase.values();
-        ask(
+        sendQuery(
                 PeerFrame.Subject.JOB,
                 job,
                 v -> then.accept(v.filter(p -> p >= 0 && p < phases.length).map(p -> phases[p])));
@@ -219,15 +219,16 @@
 
     @Override
     public void pending(String queue, Consumer<Optional<Integer>> then) {
-        ask(PeerFrame.Subject.QUEUE, queue, then);
+        sendQuery(PeerFrame.Subject.QUEUE, queue, then);
     }
 
-    private void ask(PeerFrame.Subject subject, String name, Consumer<Optional<Integer>> then) {
+    private void sendQuery(
+            PeerFrame.Subject subject, String name, Consumer<Optional<Integer>> then) {
         if (!isAlive() || !mChannel.map(Channel::isWritable).orElse(false)) {
             then.accept(Optional.empty());
             return;
         }
-        PeerFrame question = new PeerFrame.Question(mQuestions.ask(then), subject, name);
+        PeerFrame question = new PeerFrame.Query(mPendingQueries.add(then), subject, name);
         mChannel.get().writeAndFlush(question.encode());
     }
 
@@ -237,16 +238,16 @@
         if (mChannel.isPresent() && !isAlive()) {
             mLog.line("owner-silent")
                     .with("owner", mOwner)
-                    .with("heardMsAgo", mClock.nowMs() - mHeardMs)
+                    .with("heardMsAgo", mClock.nowMs() - mLastFrameMs)
                     .write();
             close();
-            mTimers.after(RETRY_MS, this::open);
+            mTimers.after(RETRY_MS, this::connect);
         }
     }
 
     private final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
         private final KnownOwner mTarget;
-        private boolean mHeard;
+        private boolean mFrameReceived;
 
         Handler(KnownOwner target) {
             mTarget = target;
@@ -266,15 +267,15 @@
             }
             mChannel = Optional.of(context.channel());
             mClockOffsetMs = Long.MAX_VALUE;
-            mHeardMs = mClock.nowMs();
+            mLastFrameMs = mClock.nowMs();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes)
                 throws IOException {
             if (mChannel.equals(Optional.of(context.channel()))) {
-                mHeard = true;
-                take(PeerFrame.decode(bytes));
+                mFrameReceived = true;
+                handle(PeerFrame.decode(bytes));
             }
         }
 
@@ -283,11 +284,11 @@
             if (mChannel.equals(Optional.of(context.channel()))) {
                 mLog.line("owner-disconnected").with("owner", mOwner).write();
                 mChannel = Optional.empty();
-                loseAnswers();
-                mHeardMs = Long.MIN_VALUE / 2;
-                mStoringMs = Long.MIN_VALUE / 2;
+                failPendingRequests();
+                mLastFrameMs = Long.MIN_VALUE / 2;
+                mLastStoredMs = Long.MIN_VALUE / 2;
                 // A new connection tells at once whether the owner is gone or only this one was.
-                mTimers.after(mHeard ? 0 : RETRY_MS, OwnerLink.this::open);
+                mTimers.after(mFrameReceived ? 0 : RETRY_MS, OwnerLink.this::connect);
             }
         }
 
@@ -297,47 +298,47 @@
         }
     }
 
-    private void take(PeerFrame frame) {
-        if (frame instanceof PeerFrame.Journal journal) {
-            take(journal);
+    private void handle(PeerFrame frame) {
+        if (frame instanceof PeerFrame.StreamedRecord journal) {
+            handle(journal);
         } else if (frame instanceof PeerFrame.Heartbeat heartbeat) {
-            take(heartbeat);
-        } else if (frame instanceof PeerFrame.HandoverAnswer answer) {
-            Consumer<StoreOutcome> then = mHandedOver.remove(answer.number());
+            handle(heartbeat);
+        } else if (frame instanceof PeerFrame.HandoverResponse answer) {
+            Consumer<StoreOutcome> then = mPendingHandovers.remove(answer.number());
             if (then != null) {
                 then.accept(answer.outcome());
             }
-        } else if (frame instanceof PeerFrame.Answer answer) {
-            mQuestions.answered(answer.number(), answer.value());
+        } else if (frame instanceof PeerFrame.QueryResponse answer) {
+            mPendingQueries.complete(answer.number(), answer.value());
         }
     }
 
-    private void take(PeerFrame.Journal frame) {
-        heard();
+    private void handle(PeerFrame.StreamedRecord frame) {
+        frameReceived();
         mReader.fromOwner(frame.partition(), frame.offset(), frame.record());
         if (mReader.hasRead(frame.partition(), frame.offset())) {
-            mCurrentMs = mClock.nowMs();
+            mUpToDateMs = mClock.nowMs();
         }
     }
 
-    private void take(PeerFrame.Heartbeat frame) {
+    private void handle(PeerFrame.Heartbeat frame) {
         if (frame.token() == PeerFrame.NO_OWNER) {
             mCallsOverToken = frame.callsOver() ? mOwner.map(KnownOwner::token).orElse(-1L) : -1;
-            doubt(OwnerState.GONE);
+            ownerUnavailable(OwnerState.GONE);
             close();
-            mTimers.after(RETRY_MS, this::open);
+            mTimers.after(RETRY_MS, this::connect);
             return;
         }
-        heard();
+        frameReceived();
         long now = mClock.nowMs();
-        mStoringMs = now - frame.storedMsAgo();
+        mLastStoredMs = now - frame.storedMsAgo();
         // A frame may wait in a full link for seconds; the shortest delay leaves that time out.
         mClockOffsetMs = Math.min(mClockOffsetMs, now - frame.nowMs());
         if (mReader.position().covers(frame.position())) {
             if (frame.narrow()) {
-                sayStandby();
+                sendStandby();
             }
-            mCurrentMs = now;
+            mUpToDateMs = now;
             mCompleteMs = Math.max(mCompleteMs, frame.completeMs() + mClockOffsetMs);
         } else {
             // Records were sent before this node was connected.
@@ -345,15 +346,15 @@
         }
     }
 
-    private void sayStandby() {
-        if (mStandsBy.getAsBoolean()) {
+    private void sendStandby() {
+        if (mStandbyCondition.getAsBoolean()) {
             mChannel.filter(Channel::isWritable)
                     .ifPresent(c -> c.writeAndFlush(new PeerFrame.Standby().encode()));
         }
     }
 
-    private void heard() {
-        mHeardMs = mClock.nowMs();
-        mDoubtToken = -1;
+    private void frameReceived() {
+        mLastFrameMs = mClock.nowMs();
+        mUnavailableToken = -1;
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
@@ -29,7 +29,8 @@
      * @param offset offset of the record
      * @param record the record
      */
-    record Journal(long token, int partition, long offset, byte[] record) implements PeerFrame {
+    record StreamedRecord(long token, int partition, long offset, byte[] record)
+            implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
             out.writeInt64(Field.TOKEN, token);
@@ -63,9 +64,9 @@
         @Override
         public void write(CodedOutputStream out) throws IOException {
             out.writeInt64(Field.TOKEN, token);
-            out.writeInt64(Field.STORED, storedMsAgo);
-            out.writeInt64(Field.NOW, nowMs);
-            out.writeInt64(Field.COMPLETE, completeMs);
+            out.writeInt64(Field.STORED_MS_AGO, storedMsAgo);
+            out.writeInt64(Field.NOW_MS, nowMs);
+            out.writeInt64(Field.COMPLETE_MS, completeMs);
             out.writeBool(Field.CALLS_OVER, callsOver);
             out.writeBool(Field.NARROW, narrow);
             for (long offset : position.offsets()) {
@@ -89,7 +90,7 @@
     }
 
     /** From the owner to a follower: what came of a handover. */
-    record HandoverAnswer(long number, StoreOutcome outcome) implements PeerFrame {
+    record HandoverResponse(long number, StoreOutcome outcome) implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
             out.writeInt64(Field.HANDOVER, number);
@@ -120,10 +121,10 @@
      * @param subject what is asked
      * @param name the job or the queue
      */
-    record Question(long number, Subject subject, String name) implements PeerFrame {
+    record Query(long number, Subject subject, String name) implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
-            out.writeInt64(Field.QUESTION, number);
+            out.writeInt64(Field.QUERY, number);
             out.writeString(subject == Subject.JOB ? Field.JOB : Field.QUEUE, name);
         }
     }
@@ -135,10 +136,10 @@
      * @param value a job's phase by its place in the enum, or a count; empty if the owner doesn't
      *     know
      */
-    record Answer(long number, Optional<Integer> value) implements PeerFrame {
+    record QueryResponse(long number, Optional<Integer> value) implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
-            out.writeInt64(Field.QUESTION, number);
+            out.writeInt64(Field.QUERY, number);
             if (value.isPresent()) {
                 out.writeInt32(Field.VALUE, value.get());
             }
@@ -150,18 +151,18 @@
         static final int TOKEN = 1;
         static final int OFFSET = 2;
         static final int RECORD = 3;
-        static final int STORED = 4;
+        static final int STORED_MS_AGO = 4;
         static final int HANDOVER = 5;
         static final int OUTCOME = 6;
         static final int CALLS_OVER = 7;
         static final int PARTITION = 8;
         static final int POSITION = 9;
-        static final int QUESTION = 10;
+        static final int QUERY = 10;
         static final int JOB = 11;
         static final int QUEUE = 12;
         static final int VALUE = 13;
-        static final int NOW = 14;
-        static final int COMPLETE = 15;
+        static final int NOW_MS = 14;
+        static final int COMPLETE_MS = 15;
         static final int STANDBY = 16;
         static final int NARROW = 17;
 
@@ -197,22 +198,21 @@
         Optional<Long> handover = Optional.empty();
         Optional<StoreOutcome> outcome = Optional.empty();
         Optional<Long> question = Optional.empty();
-        Optional<Question> asked = Optional.empty();
+        Optional<Query> asked = Optional.empty();
         Optional<Integer> value = Optional.empty();
         boolean standby = false;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case Field.TOKEN -> token = in.readInt64();
                 case Field.OFFSET -> offset = in.readInt64();
-                case Field.PARTITION -> partition = partition(in.readInt32());
+                case Field.PARTITION -> partition = checkedPartition(in.readInt32());
                 case Field.RECORD -> record = Optional.of(in.readByteArray());
                 case Field.HANDOVER -> handover = Optional.of(in.readInt64());
-                case Field.OUTCOME -> outcome = Optional.of(outcome(in.readInt32()));
-                case Field.QUESTION -> question = Optional.of(in.readInt64());
-                case Field.JOB ->
-                        asked = Optional.of(new Question(0, Subject.JOB, in.readString()));
+                case Field.OUTCOME -> outcome = Optional.of(storeOutcome(in.readInt32()));
+                case Field.QUERY -> question = Optional.of(in.readInt64());
+                case Field.JOB -> asked = Optional.of(new Query(0, Subject.JOB, in.readString()));
                 case Field.QUEUE ->
-                        asked = Optional.of(new Question(0, Subject.QUEUE, in.readString()));
+                        asked = Optional.of(new Query(0, Subject.QUEUE, in.readString()));
                 case Field.VALUE -> value = Optional.of(in.readInt32());
                 case Field.STANDBY -> standby = in.readBool();
                 default -> heartbeat.read(tag, in);
@@ -221,20 +221,20 @@
         if (question.isPresent()) {
             long number = question.get();
             return asked.isPresent()
-                    ? new Question(number, asked.get().subject(), asked.get().name())
-                    : new Answer(number, value);
+                    ? new Query(number, asked.get().subject(), asked.get().name())
+                    : new QueryResponse(number, value);
         }
         if (standby) {
             return new Standby();
         }
         if (handover.isEmpty() && record.isPresent()) {
-            return new Journal(token, partition, offset, record.get());
+            return new StreamedRecord(token, partition, offset, record.get());
         }
         if (handover.isEmpty()) {
-            return heartbeat.of(token);
+            return heartbeat.toHeartbeat(token);
         }
         if (outcome.isPresent()) {
-            return new HandoverAnswer(handover.get(), outcome.get());
+            return new HandoverResponse(handover.get(), outcome.get());
         }
         return new Handover(
                 handover.get(),
@@ -255,30 +255,30 @@
         private void read(int tag, CodedInputStream in) throws IOException {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case Field.POSITION -> mPosition.add(in.readInt64());
-                case Field.NOW -> mNowMs = in.readInt64();
-                case Field.COMPLETE -> mCompleteMs = in.readInt64();
-                case Field.STORED -> mStoredMsAgo = in.readInt64();
+                case Field.NOW_MS -> mNowMs = in.readInt64();
+                case Field.COMPLETE_MS -> mCompleteMs = in.readInt64();
+                case Field.STORED_MS_AGO -> mStoredMsAgo = in.readInt64();
                 case Field.CALLS_OVER -> mCallsOver = in.readBool();
                 case Field.NARROW -> mNarrow = in.readBool();
                 default -> in.skipField(tag);
             }
         }
 
-        private Heartbeat of(long token) {
+        private Heartbeat toHeartbeat(long token) {
             JournalPosition position = new JournalPosition(mPosition);
             return new Heartbeat(
                     token, position, mNowMs, mCompleteMs, mStoredMsAgo, mCallsOver, mNarrow);
         }
     }
 
-    private static int partition(int number) throws IOException {
+    private static int checkedPartition(int number) throws IOException {
         if (number < 0) {
             throw new IOException("the journal has no partition " + number);
         }
         return number;
     }
 
-    private static StoreOutcome outcome(int number) throws IOException {
+    private static StoreOutcome storeOutcome(int number) throws IOException {
         StoreOutcome[] all = StoreOutcome.values();
         if (number < 0 || number >= all.length) {
             throw new IOException("no outcome has the number " + number);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerChannels.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFraming.java
@@ -7,13 +7,13 @@
 import java.util.function.Supplier;
 
 /** Frames on a connection between two nodes: four bytes of length, then the frame. */
-final class PeerChannels {
+final class PeerFraming {
     /** Largest frame, in bytes: the largest record of the journal and some more. */
     private static final int MAX_FRAME_BYTES = 1 << 20;
 
-    private PeerChannels() {}
+    private PeerFraming() {}
 
-    static ChannelInitializer<Channel> with(Supplier<ChannelHandler> handler) {
+    static ChannelInitializer<Channel> initializer(Supplier<ChannelHandler> handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/StreamBudget.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/StreamBudget.java
@@ -17,7 +17,7 @@
      * Share of the link for records: orders, looks and appends need about half of it in a turn, and
      * what is left takes their peaks.
      */
-    private static final double SHARE = 0.25;
+    private static final double LINK_SHARE = 0.25;
 
     /**
      * Time whose share may be used at once, in milliseconds: a burst of jobs lasts about as long.
@@ -34,11 +34,11 @@
     private long mPausedUntilMs = Long.MIN_VALUE / 2;
 
     StreamBudget(LinkRate link, long nowMs) {
-        mBudget = new LinkBudget(link, SHARE, BURST_MS, 0, nowMs);
+        mBudget = new LinkBudget(link, LINK_SHARE, BURST_MS, 0, nowMs);
     }
 
     /** Whether records of this size, to all nodes together, may be sent now. */
-    boolean take(long bytes, long nowMs) {
+    boolean tryConsume(long bytes, long nowMs) {
         if (nowMs < mPausedUntilMs) {
             return false;
         }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/NarrowLink.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
@@ -9,45 +9,45 @@
  * A shared log behind a link that carries so many bytes a second. Pages come one after the other;
  * one that isn't there in time is given up, and what it was to carry is not sent any more.
  */
-public final class NarrowLink implements SharedLog {
-    private static final long READ_MS = 1000;
+public final class BandwidthLimitedLog implements SharedLog {
+    private static final long READ_TIMEOUT_MS = 1000;
     private static final double MS_PER_S = 1000;
 
     private final FakeLog mLog;
-    private final FakeNode mTime;
+    private final FakeNode mClock;
     private final double mBytesPerMs;
-    private long mFreeMs;
-    private long mCarriedBytes;
+    private long mLinkFreeMs;
+    private long mTransferredBytes;
 
     /** A link of this rate to a log, whose appends cost nothing. */
-    public NarrowLink(FakeLog log, FakeNode time, double bytesPerS) {
+    public BandwidthLimitedLog(FakeLog log, FakeNode time, double bytesPerS) {
         mLog = log;
-        mTime = time;
+        mClock = time;
         mBytesPerMs = bytesPerS / MS_PER_S;
     }
 
     /** Bytes of records that it has carried. */
-    public long carriedBytes() {
-        return mCarriedBytes;
+    public long transferredBytes() {
+        return mTransferredBytes;
     }
 
     @Override
     public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
-        mLog.read(at, from, page, r -> carry(r, then));
+        mLog.read(at, from, page, r -> deliver(r, then));
         mLog.answer();
     }
 
-    private void carry(ReadResult result, Consumer<ReadResult> then) {
-        long now = mTime.nowMs();
+    private void deliver(ReadResult result, Consumer<ReadResult> then) {
+        long now = mClock.nowMs();
         long bytes = result instanceof Records r ? bytes(r) : 0;
-        long arrivesMs = Math.max(now, mFreeMs) + 1 + (long) (bytes / mBytesPerMs);
-        if (arrivesMs - now > READ_MS) {
-            mTime.after(READ_MS, () -> then.accept(new ReadFailed("timeout")));
+        long arrivesMs = Math.max(now, mLinkFreeMs) + 1 + (long) (bytes / mBytesPerMs);
+        if (arrivesMs - now > READ_TIMEOUT_MS) {
+            mClock.after(READ_TIMEOUT_MS, () -> then.accept(new ReadFailed("timeout")));
             return;
         }
-        mFreeMs = arrivesMs;
-        mCarriedBytes += bytes;
-        mTime.after(arrivesMs - now, () -> then.accept(result));
+        mLinkFreeMs = arrivesMs;
+        mTransferredBytes += bytes;
+        mClock.after(arrivesMs - now, () -> then.accept(result));
     }
 
     private static long bytes(Records page) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeOwnerBook.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeJobQueries.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.node.peer.OwnerBook;
 
 /** An owner that knows what the test has told it, and answers at once. */
-public final class FakeOwnerBook implements OwnerBook {
+public final class FakeJobQueries implements OwnerBook {
     public final Map<String, JobPhase> mPhases = new HashMap<>();
     public final Map<String, Integer> mPending = new HashMap<>();
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
@@ -34,12 +34,12 @@
     }
 
     private final Map<LogPartition, List<byte[]>> mRecords = new HashMap<>();
-    private final Deque<Fate> mFates = new ArrayDeque<>();
-    private final Deque<Runnable> mAnswers = new ArrayDeque<>();
-    private final Deque<Attempt> mLate = new ArrayDeque<>();
+    private final Deque<Fate> mScriptedFates = new ArrayDeque<>();
+    private final Deque<Runnable> mPendingAnswers = new ArrayDeque<>();
+    private final Deque<Attempt> mLateAppends = new ArrayDeque<>();
     private final Map<LogPartition, Writer> mWriters = new HashMap<>();
-    private final Set<LogPartition> mDown = new HashSet<>();
-    private int mLinkBytes = Integer.MAX_VALUE;
+    private final Set<LogPartition> mUnavailable = new HashSet<>();
+    private int mMaxAnswerBytes = Integer.MAX_VALUE;
 
     /** The fenced writer of a partition, as the store remembers it. */
     private static final class Writer {
@@ -50,34 +50,34 @@
 
     /** What happens to the next appends, in order; all others are stored. */
     public void next(Fate... fates) {
-        mFates.addAll(List.of(fates));
+        mScriptedFates.addAll(List.of(fates));
     }
 
     /** A partition refuses all calls from now on, or works again. */
     public void down(LogPartition partition, boolean down) {
         if (down) {
-            mDown.add(partition);
+            mUnavailable.add(partition);
         } else {
-            mDown.remove(partition);
+            mUnavailable.remove(partition);
         }
     }
 
     /** Answers that are larger than this don't come before a read is given up. */
     public void linkCarries(int bytes) {
-        mLinkBytes = bytes;
+        mMaxAnswerBytes = bytes;
     }
 
     /** Carries out the appends that were late. */
     public void carryOutLate() {
-        while (!mLate.isEmpty()) {
-            mLate.poll().run();
+        while (!mLateAppends.isEmpty()) {
+            mLateAppends.poll().run();
         }
     }
 
     /** Answers what waits, and what that leads to. */
     public void answer() {
-        while (!mAnswers.isEmpty()) {
-            mAnswers.poll().run();
+        while (!mPendingAnswers.isEmpty()) {
+            mPendingAnswers.poll().run();
         }
     }
 
@@ -143,11 +143,11 @@
     }
 
     private void answerLater(LogPartition at, Consumer<AppendResult> then, Attempt attempt) {
-        if (mDown.contains(at)) {
-            mAnswers.add(() -> then.accept(new NotStored("down")));
+        if (mUnavailable.contains(at)) {
+            mPendingAnswers.add(() -> then.accept(new NotStored("down")));
             return;
         }
-        Fate fate = mFates.isEmpty() ? Fate.STORED : mFates.poll();
+        Fate fate = mScriptedFates.isEmpty() ? Fate.STORED : mScriptedFates.poll();
         if (fate == Fate.SILENT) {
             attempt.run();
             return;
@@ -158,7 +158,7 @@
                     case REFUSED -> new NotStored("refused");
                     case LOST -> new MaybeStored("lost");
                     case LATE -> {
-                        mLate.add(attempt);
+                        mLateAppends.add(attempt);
                         yield new MaybeStored("late");
                     }
                     case SILENT -> throw new IllegalStateException("handled above");
@@ -167,13 +167,13 @@
                         yield new MaybeStored("answer lost");
                     }
                 };
-        mAnswers.add(() -> then.accept(result));
+        mPendingAnswers.add(() -> then.accept(result));
     }
 
     @Override
     public void read(LogPartition at, long from, PageRequest request, Consumer<ReadResult> then) {
-        if (mDown.contains(at)) {
-            mAnswers.add(() -> then.accept(new ReadFailed("down")));
+        if (mUnavailable.contains(at)) {
+            mPendingAnswers.add(() -> then.accept(new ReadFailed("down")));
             return;
         }
         List<byte[]> all = records(at);
@@ -189,7 +189,7 @@
         int sent = page.stream().mapToInt(r -> r.length).sum();
         long end = all.size();
         ReadResult result =
-                sent > mLinkBytes ? new ReadFailed("timeout") : new Records(from, end, page);
-        mAnswers.add(() -> then.accept(result));
+                sent > mMaxAnswerBytes ? new ReadFailed("timeout") : new Records(from, end, page);
+        mPendingAnswers.add(() -> then.accept(result));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
@@ -15,7 +15,7 @@
     private static final int LARGE = 4000;
 
     @Test
-    public void aShareOfTheLinkIsLeftFree() {
+    public void throughputStaysWithinTheShareOfTheLink() {
         LinkBudget budget = new LinkBudget(new LinkRate(10), SHARE, BURST_MS, 0, 0);
         long sent = 0;
         for (long now = 0; now < 10_000; now++) {
@@ -28,7 +28,7 @@
 
     /** Guards against an order that is larger than the burst and waits for ever. */
     @Test
-    public void theLeastBurstGoesOverAnyLink() {
+    public void theMinimumBurstIsAvailableOnAnyLink() {
         LinkBudget budget = new LinkBudget(VERY_NARROW, SHARE, BURST_MS, LARGE, 0);
 
         assertTrue(budget.take(LARGE, 0));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void aLinkOfWhichNothingIsKnownHasNoBound() {
+    public void aLinkOfUnknownRateIsNotLimited() {
         LinkBudget budget = new LinkBudget(LinkRate.UNKNOWN, SHARE, BURST_MS, 0, 0);
 
         assertTrue(budget.take(Integer.MAX_VALUE, 0));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void theRateOfTheLinkIsReadWhereItIsKnown() throws SettingsException {
+    public void theLinkRateIsOptional() throws SettingsException {
         String known = GOOD.replace("\"graceS\":6", "\"graceS\":6,\"linkMbps\":7.5");
 
         assertEquals(NodeSettingsReader.parse(known).link(), new LinkRate(7.5));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void aWayOfGivingOrdersThatIsNotKnownIsRefused() {
+    public void anUnsupportedOrderModeIsRejected() {
         // The platform is set up so that workers fetch their orders. A node that took no notice
         // would call workers that never answer, and every job would wait.
         String bad =
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void allThatIsWrongIsNamedAtOnce() {
+    public void allProblemsAreReportedAtOnce() {
         String bad =
                 GOOD.replace("10.0.0.1:2", "nowhere")
                         .replace("\"leaseMs\":6000", "\"leaseMs\":\"long\"")
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void addressesOfThePlatformThatAreNoneAreNamed() {
+    public void malformedPlatformAddressesAreReported() {
         // A node ended with an index out of bounds as it was put together, or as it became the
         // owner.
         String bad =
--- a/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    public void aConfigurationThatCannotBeReadLeavesTheLastOneInForce() {
+    public void anUnreadableConfigurationDoesNotReplaceTheLastOne() {
         // Callers of every queue are told that there is none: the newest configuration is another
         // writer's, and the one before it would be taken to hold no more.
         FakeNode time = new FakeNode();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/TestedNode.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
@@ -11,8 +11,8 @@
 import org.foxtailplank.http.HttpRequest;
 import org.foxtailplank.job.JobBook;
 import org.foxtailplank.node.Clock;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.NodeMetrics;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.Timers;
@@ -27,24 +27,25 @@
 import org.foxtailplank.port.SharedLog;
 
 /** The part of a node that answers callers. */
-final class TestedNode {
+final class CallerServiceFixture {
     private final JournalReader mReader;
     private final OwnerLink mLink;
     private final OperatorFollower mOperator;
     private final CallerService mService;
 
     /** A node without a connection to an owner. */
-    TestedNode(FakeNode time, SharedLog log, Feed<OperatorOrder> orders, FakeOwnerBook owner) {
+    CallerServiceFixture(
+            FakeNode time, SharedLog log, Feed<OperatorOrder> orders, FakeJobQueries owner) {
         this(null, time, time, log, orders, Optional.of(owner));
     }
 
     /** A node that can follow an owner on the loopback interface, and asks it. */
-    TestedNode(
+    CallerServiceFixture(
             EventLoop loop, Clock clock, Timers timers, SharedLog log, Feed<OperatorOrder> orders) {
         this(loop, clock, timers, log, orders, Optional.empty());
     }
 
-    private TestedNode(
+    private CallerServiceFixture(
             EventLoop loop,
             Clock clock,
             Timers timers,
@@ -94,12 +95,12 @@
     }
 
     /** Reads what the operator has written. */
-    void readOrders() {
+    void readOperatorOrders() {
         mOperator.refresh(read -> {});
     }
 
     /** Sends a request; the answer is in the list once there is one. */
-    List<HttpReply> ask(String method, String path, byte[] body, Optional<String> deadlineMs) {
+    List<HttpReply> send(String method, String path, byte[] body, Optional<String> deadlineMs) {
         List<HttpReply> replies = new ArrayList<>();
         HttpRequest request = new HttpRequest(method, path, "", "h", name -> deadlineMs, body);
         mService.handle(request, replies::add);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
@@ -21,10 +21,10 @@
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
 import org.foxtailplank.node.FakeLog.Fate;
 import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.journal.JournalPartition;
 import org.foxtailplank.port.Feed;
@@ -42,12 +42,12 @@
     private FakeNode mTime;
     private FakeLog mLog;
     private FakeOperator mOperator;
-    private TestedNode mNode;
+    private CallerServiceFixture mNode;
 
     /** The operator's writings, of which each read brings the newest. */
     private static final class FakeOperator implements Feed<OperatorOrder> {
         private final List<String> mPrefixes = new ArrayList<>();
-        private boolean mAway;
+        private boolean mUnavailable;
 
         @Override
         public void newest(Consumer<Result<OperatorOrder>> then) {
@@ -56,7 +56,7 @@
 
         @Override
         public void changes(long position, long waitMs, Consumer<Result<OperatorOrder>> then) {
-            if (mAway) {
+            if (mUnavailable) {
                 then.accept(new Failed<>("away"));
                 return;
             }
@@ -75,17 +75,17 @@
         mLog = new FakeLog();
         mOperator = new FakeOperator();
         mOperator.mPrefixes.add("/q/");
-        mNode = new TestedNode(mTime, mLog, mOperator, new FakeOwnerBook());
-        mNode.readOrders();
+        mNode = new CallerServiceFixture(mTime, mLog, mOperator, new FakeJobQueries());
+        mNode.readOperatorOrders();
     }
 
-    private List<HttpReply> ask(String method, String path, String body) {
+    private List<HttpReply> send(String method, String path, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return mNode.ask(method, path, bytes, Optional.empty());
+        return mNode.send(method, path, bytes, Optional.empty());
     }
 
-    private HttpReply answer(String method, String path, String body) {
-        List<HttpReply> replies = ask(method, path, body);
+    private HttpReply reply(String method, String path, String body) {
+        List<HttpReply> replies = send(method, path, body);
         for (int i = 0; i < 30 && replies.isEmpty(); i++) {
             mLog.answer();
             mTime.pass(100);
@@ -98,74 +98,74 @@
         return new String(reply.body(), StandardCharsets.UTF_8);
     }
 
-    private int stored() {
+    private int storedRecords() {
         return mLog.records(JournalPartition.JOURNAL).size();
     }
 
     @Test
-    public void anAcceptedJobIsStoredBeforeItsCallerIsTold() {
-        List<HttpReply> replies = ask("POST", "/q/" + JOB, BODY);
+    public void aJobIsStoredBeforeItsSubmissionIsConfirmed() {
+        List<HttpReply> replies = send("POST", "/q/" + JOB, BODY);
         assertTrue(replies.isEmpty());
         mLog.answer();
 
         assertEquals(replies.get(0).status(), 200);
-        assertEquals(stored(), 1);
+        assertEquals(storedRecords(), 1);
     }
 
     @Test
-    public void aJobThatIsHandedInTwiceAtATimeIsStoredOnce() {
-        List<HttpReply> first = ask("POST", "/q/" + JOB, BODY);
-        List<HttpReply> second = ask("POST", "/q/" + JOB, BODY);
+    public void concurrentSubmissionsOfAJobAreStoredOnce() {
+        List<HttpReply> first = send("POST", "/q/" + JOB, BODY);
+        List<HttpReply> second = send("POST", "/q/" + JOB, BODY);
         mLog.answer();
 
         assertEquals(first.get(0).status(), 200);
         assertEquals(second.get(0).status(), 200);
-        assertEquals(stored(), 1);
+        assertEquals(storedRecords(), 1);
     }
 
     @Test
-    public void aRefusedJobIsNotStoredAndTheCallerLearnsWhenToComeBack() {
+    public void aRejectedJobIsNotStoredAndTheReplyHasARetryAfterHeader() {
         mLog.next(Fate.REFUSED);
 
-        HttpReply reply = answer("POST", "/q/" + JOB, BODY);
+        HttpReply reply = reply("POST", "/q/" + JOB, BODY);
 
         assertEquals(reply.status(), 503);
         assertEquals(reply.headers().get("Retry-After"), "1");
-        assertEquals(stored(), 0);
+        assertEquals(storedRecords(), 0);
     }
 
     @Test
-    public void aJobThatMayBeStoredIsNotRefused() {
+    public void aJobThatMayHaveBeenStoredIsNotRejected() {
         // A caller gives a refused job to somebody else. It must never run here.
         mLog.next(Fate.ANSWER_LOST);
         for (int i = 0; i < 40; i++) {
             mLog.next(Fate.REFUSED);
         }
 
-        assertEquals(answer("POST", "/q/" + JOB, BODY).status(), 504);
+        assertEquals(reply("POST", "/q/" + JOB, BODY).status(), 504);
     }
 
     @Test
-    public void aQueueIsOnlySaidToBeMissingAfterTheNewestConfigurationWasRead() {
+    public void aQueueIsReportedMissingOnlyAfterReadingTheNewestConfiguration() {
         // A queue was added a moment ago. A caller that is told 404 would give its job up.
         mOperator.mPrefixes.add("/new/");
-        assertEquals(answer("POST", "/new/" + JOB, BODY).status(), 200);
-        assertEquals(answer("POST", "/none/" + JOB, BODY).status(), 404);
-        mOperator.mAway = true;
-        assertEquals(answer("POST", "/none/" + JOB, BODY).status(), 503);
+        assertEquals(reply("POST", "/new/" + JOB, BODY).status(), 200);
+        assertEquals(reply("POST", "/none/" + JOB, BODY).status(), 404);
+        mOperator.mUnavailable = true;
+        assertEquals(reply("POST", "/none/" + JOB, BODY).status(), 503);
     }
 
     @Test
     public void aJobOfAnotherNodeIsFoundInTheJournal() {
-        answer("POST", "/q/" + JOB, BODY);
+        reply("POST", "/q/" + JOB, BODY);
 
-        assertEquals(text(answer("GET", "/q/" + JOB, "")), "{\"state\":\"queued\"}");
-        assertEquals(text(answer("GET", "/q/", "")), "{\"pending\":1}");
-        assertEquals(answer("GET", "/q/00000000000000bb", "").status(), 410);
+        assertEquals(text(reply("GET", "/q/" + JOB, "")), "{\"state\":\"queued\"}");
+        assertEquals(text(reply("GET", "/q/", "")), "{\"pending\":1}");
+        assertEquals(reply("GET", "/q/00000000000000bb", "").status(), 410);
     }
 
     /** Another node has stored a job, and nothing of the journal was read since. */
-    private void acceptElsewhere() {
+    private void storeJobFromAnotherNode() {
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         TaskStep step =
                 new TaskStep(
@@ -182,52 +182,52 @@
     }
 
     @Test
-    public void jobsThatOtherNodesHaveStoredArePending() {
+    public void jobsStoredByOtherNodesAreCountedAsPending() {
         // A node has been started, or was cut off, and lags behind the journal. It told its callers
         // that nothing of a queue waits while jobs had waited for five seconds.
-        acceptElsewhere();
+        storeJobFromAnotherNode();
 
-        assertEquals(text(answer("GET", "/q/", "")), "{\"pending\":1}");
+        assertEquals(text(reply("GET", "/q/", "")), "{\"pending\":1}");
     }
 
     @Test
-    public void aNodeThatCannotReadTheJournalDoesNotSayHowManyJobsArePending() {
-        acceptElsewhere();
+    public void aNodeThatCannotReadTheJournalReturnsNoPendingCount() {
+        storeJobFromAnotherNode();
         JournalPartition.all(3).forEach(p -> mLog.down(p, true));
 
-        assertEquals(answer("GET", "/q/", "").status(), 503);
+        assertEquals(reply("GET", "/q/", "").status(), 503);
     }
 
     @Test
-    public void aJobIsShownAsCompletedWhenItsEndIsStored() {
-        answer("POST", "/q/" + JOB, BODY);
+    public void aJobIsCompletedOnceTheEndOfItsRunIsStored() {
+        reply("POST", "/q/" + JOB, BODY);
         EndedRun end = new EndedRun(new TaskName(JOB, 0, 0, 0), 1, RunOutcome.DONE, 5);
         mLog.records(JournalPartition.JOURNAL)
                 .add(JournalCodec.encode(new RunsEnded(List.of(end))));
 
-        assertEquals(text(answer("GET", "/q/" + JOB, "")), "{\"state\":\"completed\"}");
+        assertEquals(text(reply("GET", "/q/" + JOB, "")), "{\"state\":\"completed\"}");
     }
 
     @Test
-    public void aJobIsCancelledOnceItsCancellingIsStored() {
-        answer("POST", "/q/" + JOB, BODY);
+    public void aJobIsCancelledOnceItsCancellationIsStored() {
+        reply("POST", "/q/" + JOB, BODY);
 
-        assertEquals(answer("DELETE", "/q/" + JOB, "").status(), 200);
-        assertEquals(stored(), 2);
-        assertEquals(text(answer("GET", "/q/" + JOB, "")), "{\"state\":\"cancelled\"}");
-        assertEquals(answer("DELETE", "/q/00000000000000bb", "").status(), 410);
+        assertEquals(reply("DELETE", "/q/" + JOB, "").status(), 200);
+        assertEquals(storedRecords(), 2);
+        assertEquals(text(reply("GET", "/q/" + JOB, "")), "{\"state\":\"cancelled\"}");
+        assertEquals(reply("DELETE", "/q/00000000000000bb", "").status(), 410);
     }
 
     @Test
-    public void badRequestsGetAReason() {
-        HttpReply badId = answer("POST", "/q/short", BODY);
-        HttpReply badBody = answer("POST", "/q/" + JOB, "{");
+    public void badRequestsAreRejectedWithAReason() {
+        HttpReply badId = reply("POST", "/q/short", BODY);
+        HttpReply badBody = reply("POST", "/q/" + JOB, "{");
 
         assertEquals(badId.status(), 400);
         assertTrue(text(badId).contains("16 hexadecimal"));
         assertEquals(badBody.status(), 400);
         assertTrue(text(badBody).contains("no JSON"));
-        assertEquals(answer("PUT", "/q/" + JOB, BODY).status(), 405);
-        assertEquals(stored(), 0);
+        assertEquals(reply("PUT", "/q/" + JOB, BODY).status(), 405);
+        assertEquals(storedRecords(), 0);
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
@@ -10,11 +10,11 @@
 import org.foxtailplank.job.JobPhase;
 import org.foxtailplank.job.JournalRecord.OwnerAlive;
 import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.node.BandwidthLimitedLog;
 import org.foxtailplank.node.FakeFeed;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
 import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.FakeOwnerBook;
-import org.foxtailplank.node.NarrowLink;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.journal.JournalPartition;
 import org.foxtailplank.node.journal.JournalReader;
@@ -30,33 +30,33 @@
     private static final double LINK_BYTES_PER_S = 875_000;
     private static final int RECORDS = 20_000;
     private static final int RECORD_BYTES = 500;
-    private static final long CALLER_MS = 3000;
+    private static final long CALLER_DEADLINE_MS = 3000;
     private static final long STEP_MS = 10;
 
     private FakeNode mTime;
     private FakeLog mLog;
-    private NarrowLink mLink;
+    private BandwidthLimitedLog mLink;
     private JournalReader mReader;
-    private FakeOwnerBook mOwner;
-    private TestedNode mNode;
+    private FakeJobQueries mOwnerQueries;
+    private CallerServiceFixture mNode;
 
     @BeforeMethod
     public void setUp() {
         mTime = new FakeNode();
         mLog = new FakeLog();
-        mOwner = new FakeOwnerBook();
-        mLink = new NarrowLink(mLog, mTime, LINK_BYTES_PER_S);
+        mOwnerQueries = new FakeJobQueries();
+        mLink = new BandwidthLimitedLog(mLog, mTime, LINK_BYTES_PER_S);
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", terms);
         FakeFeed<OperatorOrder> orders = new FakeFeed<>();
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
         orders.put("config", new OperatorOrder.NewConfig(config));
-        mNode = new TestedNode(mTime, mLink, orders, mOwner);
-        mNode.readOrders();
+        mNode = new CallerServiceFixture(mTime, mLink, orders, mOwnerQueries);
+        mNode.readOperatorOrders();
         mReader = mNode.reader();
     }
 
-    private void writeJournal() {
+    private void fillJournal() {
         byte[] record = JournalCodec.encode(new OwnerAlive(1, "a".repeat(RECORD_BYTES), 0));
         for (int i = 0; i < RECORDS; i++) {
             mLog.records(JournalPartition.JOURNAL).add(record);
@@ -67,30 +67,30 @@
         return mLog.records(JournalPartition.JOURNAL).stream().mapToLong(r -> r.length).sum();
     }
 
-    private List<HttpReply> ask(String method, String path) {
-        Optional<String> deadline = Optional.of(Long.toString(CALLER_MS));
-        return mNode.ask(method, path, new byte[0], deadline);
+    private List<HttpReply> send(String method, String path) {
+        Optional<String> deadline = Optional.of(Long.toString(CALLER_DEADLINE_MS));
+        return mNode.send(method, path, new byte[0], deadline);
     }
 
-    private void pass(long ms) {
+    private void advance(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
             mTime.pass(STEP_MS);
         }
     }
 
     @Test
-    public void callersOfANodeThatIsFarBehindAreAnsweredWithinTheirTime() {
+    public void aNodeFarBehindAnswersCallersWithinTheirDeadline() {
         // All nodes were lost at the end of a day and started again. Callers asked for accepted
         // jobs, and two of them got no answer at all: 26 nodes on links of 7 Mbit/s read the
         // journal for 8 to 10 s. Cause: a question for a job waited for the end of that read,
         // however short its caller's time was.
-        writeJournal();
+        fillJournal();
         mReader.follow();
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        List<HttpReply> pending = ask("GET", "/q/");
-        List<HttpReply> cancelled = ask("DELETE", "/q/" + JOB);
-        pass(CALLER_MS);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        List<HttpReply> pending = send("GET", "/q/");
+        List<HttpReply> cancelled = send("DELETE", "/q/" + JOB);
+        advance(CALLER_DEADLINE_MS);
 
         assertEquals(job.size(), 1);
         assertEquals(job.get(0).status(), 503);
@@ -99,38 +99,40 @@
     }
 
     @Test
-    public void aNodeThatHasStartedReadsTheJournalOverItsLinkOnce() {
+    public void aStartingNodeTransfersTheJournalOnce() {
         // After the loss of all nodes one with a narrow link received 7.3 MB before it answered,
         // twice what the journal held: its own reads and those for callers and for the owner's
         // heartbeats each asked for the same pages. It answered for no job for twice as long.
         // Cause:
         // a reader had two loops over the same partition, which knew nothing of each other.
-        writeJournal();
+        fillJournal();
         mReader.follow();
         for (int i = 0; i < 100; i++) {
             mReader.refresh(read -> {});
-            pass(200);
+            advance(200);
         }
 
         assertTrue(mReader.isCaughtUp());
-        assertTrue(mLink.carriedBytes() <= 1.02 * journalBytes(), mLink.carriedBytes() + " bytes");
+        assertTrue(
+                mLink.transferredBytes() <= 1.02 * journalBytes(),
+                mLink.transferredBytes() + " bytes");
     }
 
     @Test
-    public void aNodeThatIsFarBehindTellsWhatTheOwnerKnows() {
+    public void aNodeFarBehindAnswersFromTheOwner() {
         // Nodes that had just started refused questions about jobs, cancellings and queues for as
         // long as they read the journal, 8 to 10 s over a link of 7 Mbit/s, while the owner had
         // read it within a second. After the loss of all nodes 66 of 173 requests were late. Cause:
         // each node answered from its own book alone.
-        writeJournal();
+        fillJournal();
         mReader.follow();
-        mOwner.mPhases.put(JOB, JobPhase.COMPLETED);
-        mOwner.mPending.put("/q/", 7);
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        List<HttpReply> pending = ask("GET", "/q/");
-        List<HttpReply> cancelled = ask("DELETE", "/q/" + JOB);
-        pass(STEP_MS);
+        mOwnerQueries.mPhases.put(JOB, JobPhase.COMPLETED);
+        mOwnerQueries.mPending.put("/q/", 7);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        List<HttpReply> pending = send("GET", "/q/");
+        List<HttpReply> cancelled = send("DELETE", "/q/" + JOB);
+        advance(STEP_MS);
 
         assertEquals(text(job), "{\"state\":\"completed\"}");
         assertEquals(text(pending), "{\"pending\":7}");
@@ -139,12 +141,12 @@
     }
 
     @Test
-    public void aJobThatTheOwnerDoesNotKnowIsLookedForInTheJournal() {
+    public void aJobUnknownToTheOwnerIsLookedUpInTheJournal() {
         // The owner may not have read yet what another node has just stored by itself.
         mReader.follow();
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        pass(500);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        advance(500);
 
         assertEquals(job.size(), 1);
         assertEquals(job.get(0).status(), 410);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/OwnBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/OwnBookTest.java
@@ -16,15 +16,15 @@
 
 /** What a node that believes that it owns tells from its book. */
 public class OwnBookTest {
-    private final List<Optional<Integer>> mTold = new ArrayList<>();
+    private final List<Optional<Integer>> mResults = new ArrayList<>();
     private FakeNode mTime;
     private FakeLog mLog;
     private JournalReader mReader;
-    private OwnBook mBook;
+    private OwnBook mQueries;
 
     @BeforeMethod
     public void setUp() {
-        mTold.clear();
+        mResults.clear();
         mTime = new FakeNode();
         mLog = new FakeLog();
         mReader =
@@ -36,7 +36,7 @@
                         NodeLog.silent(mTime),
                         new JobBook(120_000),
                         (record, job) -> {});
-        mBook = new OwnBook(mReader, mTime, () -> true);
+        mQueries = new OwnBook(mReader, mTime, () -> true);
     }
 
     private void read() {
@@ -45,12 +45,12 @@
     }
 
     private Optional<Integer> pending() {
-        mBook.pending("q", mTold::add);
-        return mTold.remove(0);
+        mQueries.pending("q", mResults::add);
+        return mResults.remove(0);
     }
 
     @Test
-    public void anOwnerThatHasJustReadTheJournalTellsHowManyJobsArePending() {
+    public void anOwnerThatHasJustReadTheJournalReturnsThePendingCount() {
         read();
 
         assertEquals(pending(), Optional.of(0));
@@ -58,7 +58,7 @@
 
     /** Guards against a number of a former owner that has not noticed its successor. */
     @Test
-    public void anOwnerWhoseReadsFailTellsNoNumber() {
+    public void anOwnerWhoseReadsFailReturnsNoPendingCount() {
         read();
         JournalPartition.all(3).forEach(p -> mLog.down(p, true));
         for (int i = 0; i < 20; i++) {
@@ -71,7 +71,7 @@
 
     /** Guards against a number that lacks the jobs in a spare partition. */
     @Test
-    public void anOwnerThatReadsOnlySomePartitionsTellsNoNumber() {
+    public void anOwnerThatReadsOnlySomePartitionsReturnsNoPendingCount() {
         read();
         mLog.down(JournalPartition.all(3).get(1), true);
         for (int i = 0; i < 20; i++) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/StaleBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/StaleBookTest.java
@@ -23,8 +23,8 @@
 import org.foxtailplank.job.Timetable;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.FakeFeed;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
@@ -32,9 +32,9 @@
 import org.foxtailplank.node.journal.JournalPartition;
 import org.foxtailplank.node.journal.JournalPosition;
 import org.foxtailplank.node.journal.StoreOutcome;
+import org.foxtailplank.node.peer.FixedJournalStatus;
 import org.foxtailplank.node.peer.JournalStream;
 import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
-import org.foxtailplank.node.peer.StillJournal;
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.OperatorOrder;
@@ -55,7 +55,7 @@
     private EventLoop mLoop;
     private FakeLog mLog;
     private JournalStream mOwner;
-    private TestedNode mNode;
+    private CallerServiceFixture mNode;
 
     @BeforeMethod
     public void setUp() throws Exception {
@@ -67,7 +67,7 @@
         RouteSettings queue = new RouteSettings(QUEUE, "h", QUEUE, "s", terms());
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
         orders.put("config", new OperatorOrder.NewConfig(config));
-        mNode = new TestedNode(mLoop, mClock, timers, mLog, orders);
+        mNode = new CallerServiceFixture(mLoop, mClock, timers, mLog, orders);
         mOwner =
                 JournalStream.listen(
                         mLoop,
@@ -76,8 +76,8 @@
                         timers,
                         LinkRate.UNKNOWN,
                         new NoHandover(),
-                        new FakeOwnerBook());
-        run(mNode::readOrders);
+                        new FakeJobQueries());
+        run(mNode::readOperatorOrders);
     }
 
     @AfterMethod
@@ -111,12 +111,13 @@
     }
 
     /** The node follows an owner whose heartbeats say this. */
-    private void followOwnerAt(JournalPosition position) throws Exception {
+    private void followOwner(JournalPosition position) throws Exception {
         InetSocketAddress address = call(mOwner::address);
         run(
                 () -> {
                     long longAgo = mClock.nowMs() - 10_000;
-                    mOwner.own(TOKEN, new StillJournal(position, longAgo, 0), () -> false);
+                    mOwner.ownershipAcquired(
+                            TOKEN, new FixedJournalStatus(position, longAgo, 0), () -> false);
                     mNode.link().owner(Optional.of(new KnownOwner(TOKEN, address)));
                 });
         while (!call(mNode.link()::isOpen)) {
@@ -124,7 +125,7 @@
         }
     }
 
-    private byte[] accepted(String id) {
+    private byte[] acceptedJob(String id) {
         TaskStep step =
                 new TaskStep(
                         1,
@@ -148,7 +149,7 @@
 
     private String pending() throws Exception {
         List<HttpReply> replies =
-                call(() -> mNode.ask("GET", QUEUE, new byte[0], Optional.empty()));
+                call(() -> mNode.send("GET", QUEUE, new byte[0], Optional.empty()));
         while (call(replies::isEmpty)) {
             run(mLog::answer);
         }
@@ -157,20 +158,20 @@
 
     /** Guards against a number that is as old as the last read of an owner whose reads fail. */
     @Test(timeOut = 60_000)
-    public void anOwnerThatReadsNoMoreDoesNotMakeItsFollowersCurrent() throws Exception {
-        mLog.records(JournalPartition.JOURNAL).add(accepted("00000000000000aa"));
-        followOwnerAt(NOTHING_READ);
+    public void anOwnerThatStoppedReadingDoesNotMakeItsFollowersUpToDate() throws Exception {
+        mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
+        followOwner(NOTHING_READ);
 
         assertEquals(pending(), "{\"pending\":1}");
     }
 
     /** Guards against a record of the spare partition that hides missing ones of the first. */
     @Test(timeOut = 60_000)
-    public void aRecordOfOnePartitionDoesNotMakeTheBookCurrent() throws Exception {
-        mLog.records(JournalPartition.JOURNAL).add(accepted("00000000000000aa"));
-        mLog.records(SPARE).add(accepted("00000000000000bb"));
-        followOwnerAt(new JournalPosition(List.of(1L, 1L, 0L)));
-        run(() -> mOwner.read(1, 0, accepted("00000000000000bb")));
+    public void aRecordOfOnePartitionDoesNotMakeTheNodeUpToDate() throws Exception {
+        mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
+        mLog.records(SPARE).add(acceptedJob("00000000000000bb"));
+        followOwner(new JournalPosition(List.of(1L, 1L, 0L)));
+        run(() -> mOwner.recordRead(1, 0, acceptedJob("00000000000000bb")));
         while (!call(() -> mNode.reader().hasRead(1, 0))) {
             Thread.onSpinWait();
         }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import org.foxtailplank.node.Clock;
-import org.foxtailplank.node.FakeOwnerBook;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
@@ -42,7 +42,7 @@
     /** With one follower the records of a moment fit, and five times as many don't. */
     private static final LinkRate NARROW = new LinkRate(1.4);
 
-    private static final int MOMENTS_TOO_MANY = 5;
+    private static final int BATCHES_OVER_BUDGET = 5;
 
     /** What a record of this size may take on the wire at most: its bytes and a frame's fields. */
     private static final int FRAME_BYTES = RECORD_BYTES + 20;
@@ -68,11 +68,11 @@
                         timers,
                         NARROW,
                         new NoHandover(),
-                        new FakeOwnerBook());
+                        new FakeJobQueries());
         mFollower = new Socket();
         mFollower.connect(mStream.address());
         // The first frame, by which the follower is known to the stream.
-        PeerFrame first = next();
+        PeerFrame first = nextFrame();
         assertEquals(((PeerFrame.Heartbeat) first).token(), PeerFrame.NO_OWNER);
     }
 
@@ -94,24 +94,24 @@
         }
     }
 
-    private PeerFrame next() throws IOException {
+    private PeerFrame nextFrame() throws IOException {
         DataInputStream in = new DataInputStream(mFollower.getInputStream());
         byte[] frame = in.readNBytes(in.readInt());
         return PeerFrame.decode(Unpooled.wrappedBuffer(frame));
     }
 
     /** Frames up to the one with the last record. */
-    private List<PeerFrame> framesToTheLastRecord() throws IOException {
+    private List<PeerFrame> framesUntilLastRecord() throws IOException {
         List<PeerFrame> frames = new ArrayList<>();
         PeerFrame frame;
         do {
-            frame = next();
+            frame = nextFrame();
             frames.add(frame);
-        } while (!(frame instanceof PeerFrame.Journal j) || j.offset() < RECORDS - 1);
+        } while (!(frame instanceof PeerFrame.StreamedRecord j) || j.offset() < RECORDS - 1);
         return frames;
     }
 
-    private void own() {
+    private void becomeOwner() {
         OwnedJournal journal =
                 new OwnedJournal() {
                     @Override
@@ -129,28 +129,28 @@
                         return 0;
                     }
                 };
-        mStream.own(TOKEN, journal, () -> true);
+        mStream.ownershipAcquired(TOKEN, journal, () -> true);
     }
 
-    private void readAll() {
+    private void readAllRecords() {
         for (int i = 0; i < RECORDS; i++) {
             mPosition.set(i + 1);
-            mStream.read(0, i, new byte[RECORD_BYTES]);
+            mStream.recordRead(0, i, new byte[RECORD_BYTES]);
         }
     }
 
     @Test(timeOut = 60_000)
-    public void recordsComeInTheirOrderAndNoHeartbeatIsAheadOfThem() throws Exception {
+    public void recordsArriveInOrderAndBeforeTheHeartbeatThatCoversThem() throws Exception {
         mLoop.submit(
                         () -> {
-                            own();
-                            readAll();
+                            becomeOwner();
+                            readAllRecords();
                         })
                 .get();
 
         long expected = 0;
-        for (PeerFrame f : framesToTheLastRecord()) {
-            if (f instanceof PeerFrame.Journal j) {
+        for (PeerFrame f : framesUntilLastRecord()) {
+            if (f instanceof PeerFrame.StreamedRecord j) {
                 assertEquals(j.offset(), expected);
                 expected++;
             } else if (f instanceof PeerFrame.Heartbeat h) {
@@ -161,28 +161,28 @@
     }
 
     @Test(timeOut = 60_000)
-    public void recordsOfAMomentComeInFewPackets() throws Exception {
+    public void recordsReadTogetherAreSentInFewPackets() throws Exception {
         mLoop.submit(
                         () -> {
-                            own();
-                            readAll();
+                            becomeOwner();
+                            readAllRecords();
                         })
                 .get();
 
-        assertTrue(mStream.sendings() <= 5, "a packet each: " + mStream.sendings());
-        framesToTheLastRecord();
+        assertTrue(mStream.flushCount() <= 5, "a packet each: " + mStream.flushCount());
+        framesUntilLastRecord();
         long bytes = (long) RECORDS * FRAME_BYTES;
         assertTrue(mStream.sentBytes() <= bytes, mStream.sentBytes() + " bytes");
     }
 
     @Test(timeOut = 60_000)
-    public void whatTheLinkHasNoRoomForIsLeftOutAndTheHeartbeatTellsOfIt() throws Exception {
+    public void recordsBeyondTheBudgetAreDroppedAndTheHeartbeatCoversThem() throws Exception {
         // The follower reads what it lacks from the store.
         mLoop.submit(
                         () -> {
-                            own();
-                            for (int i = 0; i < MOMENTS_TOO_MANY; i++) {
-                                readAll();
+                            becomeOwner();
+                            for (int i = 0; i < BATCHES_OVER_BUDGET; i++) {
+                                readAllRecords();
                             }
                         })
                 .get();
@@ -190,28 +190,28 @@
         long position = 0;
         int records = 0;
         while (position < RECORDS) {
-            PeerFrame frame = next();
-            records += frame instanceof PeerFrame.Journal ? 1 : 0;
+            PeerFrame frame = nextFrame();
+            records += frame instanceof PeerFrame.StreamedRecord ? 1 : 0;
             position =
                     frame instanceof PeerFrame.Heartbeat h
                             ? h.position().offsets().get(0)
                             : position;
         }
-        assertTrue(records < MOMENTS_TOO_MANY * RECORDS, records + " records");
+        assertTrue(records < BATCHES_OVER_BUDGET * RECORDS, records + " records");
     }
 
     @Test(timeOut = 60_000)
-    public void whoLosesOwnershipSendsNoRecordThatItHasGathered() throws Exception {
+    public void theBatchIsDiscardedWhenOwnershipIsLost() throws Exception {
         // The next owner's journal may differ in what comes after; followers read on at the store.
         mLoop.submit(
                         () -> {
-                            own();
-                            mStream.read(0, 0, new byte[RECORD_BYTES]);
-                            mStream.disown();
+                            becomeOwner();
+                            mStream.recordRead(0, 0, new byte[RECORD_BYTES]);
+                            mStream.ownershipLost();
                         })
                 .get();
 
-        assertEquals(((PeerFrame.Heartbeat) next()).token(), TOKEN);
+        assertEquals(((PeerFrame.Heartbeat) nextFrame()).token(), TOKEN);
         assertEquals(mFollower.getInputStream().read(), -1);
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
@@ -18,8 +18,8 @@
 import org.foxtailplank.job.JobBook;
 import org.foxtailplank.job.JobPhase;
 import org.foxtailplank.node.Clock;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
@@ -53,20 +53,20 @@
                 }
             };
 
-    private final FakeOwnerBook mBook = new FakeOwnerBook();
-    private volatile long mPassedMs;
+    private final FakeJobQueries mJobQueries = new FakeJobQueries();
+    private volatile long mOffsetMs;
 
     /** The system's clock, which tests can move on. */
     private final Clock mClock =
             new Clock() {
                 @Override
                 public long nowMs() {
-                    return Clock.system().nowMs() + mPassedMs;
+                    return Clock.system().nowMs() + mOffsetMs;
                 }
 
                 @Override
                 public long wallMs() {
-                    return Clock.system().wallMs() + mPassedMs;
+                    return Clock.system().wallMs() + mOffsetMs;
                 }
             };
 
@@ -78,7 +78,7 @@
 
     @BeforeMethod
     public void setUp() throws IOException {
-        mPassedMs = 0;
+        mOffsetMs = 0;
         mGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         mLoop = (EventLoop) mGroup.next();
         mTimers = (ms, action) -> mLoop.schedule(action, ms, TimeUnit.MILLISECONDS);
@@ -93,8 +93,8 @@
                         new JobBook(120_000),
                         (record, job) -> {});
         mLink = new OwnerLink(mLoop, mClock, mTimers, out, reader);
-        mBook.mPhases.put("known", JobPhase.RUNNING);
-        mBook.mPending.put("known", 0);
+        mJobQueries.mPhases.put("known", JobPhase.RUNNING);
+        mJobQueries.mPending.put("known", 0);
         try (ServerSocket free = new ServerSocket(0)) {
             mAddress = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
@@ -119,7 +119,7 @@
     }
 
     private JournalStream listen(LinkRate link) throws IOException {
-        return JournalStream.listen(mLoop, mAddress, mClock, mTimers, link, mStore, mBook);
+        return JournalStream.listen(mLoop, mAddress, mClock, mTimers, link, mStore, mJobQueries);
     }
 
     private void follow() throws Exception {
@@ -139,8 +139,8 @@
         onLoop(
                 () -> {
                     long now = mClock.nowMs();
-                    OwnedJournal journal = new StillJournal(JournalPosition.START, now, 0);
-                    stream.own(TOKEN, journal, () -> false);
+                    OwnedJournal journal = new FixedJournalStatus(JournalPosition.START, now, 0);
+                    stream.ownershipAcquired(TOKEN, journal, () -> false);
                     return null;
                 });
         follow();
@@ -154,28 +154,28 @@
     }
 
     @Test(timeOut = 60_000)
-    public void anOwnerIsHeard() throws Exception {
+    public void anOwnerThatSendsHeartbeatsIsStreaming() throws Exception {
         followOwner();
 
         await(OwnerState.STREAMING);
     }
 
     @Test(timeOut = 60_000)
-    public void aFollowerThatCouldOwnTellsAnOwnerOnANarrowLink() throws Exception {
+    public void aStandbyFollowerReportsToAnOwnerOnANarrowLink() throws Exception {
         onLoop(
                 () -> {
-                    mLink.standsBy(() -> true);
+                    mLink.setStandbyCondition(() -> true);
                     return null;
                 });
         JournalStream stream = followOwner(listen(new LinkRate(10)));
 
-        while (onLoop(stream::standbyMs) < 0) {
+        while (onLoop(stream::lastStandbyMs) < 0) {
             Thread.onSpinWait();
         }
     }
 
     @Test(timeOut = 60_000)
-    public void aProcessThatDoesNotOwnSaysSo() throws Exception {
+    public void aProcessThatDoesNotOwnIsReportedAsGone() throws Exception {
         // After a power loss a new process listens where the owner did: it takes connections, and a
         // follower that only waits for heartbeats learns nothing from that.
         listen();
@@ -189,12 +189,12 @@
     }
 
     @Test(timeOut = 60_000)
-    public void anOwnerThatLeavesSaysSo() throws Exception {
+    public void anOwnerThatResignsIsReportedAsGone() throws Exception {
         JournalStream stream = followOwner();
         await(OwnerState.STREAMING);
         onLoop(
                 () -> {
-                    stream.disown();
+                    stream.ownershipLost();
                     return null;
                 });
 
@@ -202,7 +202,7 @@
     }
 
     @Test(timeOut = 60_000)
-    public void handoversAreAnsweredOrLostWithTheConnection() throws Exception {
+    public void handoversCompleteOrFailWithTheConnection() throws Exception {
         JournalStream stream = followOwner();
         while (!onLoop(mLink::isOpen)) {
             Thread.onSpinWait();
@@ -219,14 +219,14 @@
         assertEquals(stored.get(), StoreOutcome.STORED);
         onLoop(
                 () -> {
-                    stream.disown();
+                    stream.ownershipLost();
                     return null;
                 });
         assertEquals(lost.get(), StoreOutcome.UNKNOWN);
     }
 
     @Test(timeOut = 60_000)
-    public void whatAnEarlierOwnersProcessSaysIsNotTakenForTheNextOne() throws Exception {
+    public void heartbeatsOfAFormerOwnerAreNotAttributedToItsSuccessor() throws Exception {
         // A node starts and reads the journal: it begins to connect to an owner of the past, and
         // reads on to the present one. The old process says that it doesn't own; taken for a word
         // on the present owner, that made the node take the place of a sound one.
@@ -255,7 +255,7 @@
 
     /** Guards against a book that counts as complete because its heartbeats arrive late. */
     @Test(timeOut = 60_000)
-    public void theTimeThatAHeartbeatWaitsInAFullLinkProvesNothing() throws Exception {
+    public void theQueueingDelayOfAHeartbeatDoesNotCountAsCompleteTime() throws Exception {
         long delayMs = 300;
         long betweenMs = 100;
         try (ServerSocket owner = new ServerSocket(0, 1, mAddress.getAddress())) {
@@ -267,7 +267,7 @@
                     Thread.onSpinWait();
                 }
                 long first = onLoop(mLink::completeMs);
-                mPassedMs = delayMs + betweenMs;
+                mOffsetMs = delayMs + betweenMs;
                 sendHeartbeat(follower, betweenMs);
                 while (onLoop(mLink::completeMs) == first) {
                     Thread.onSpinWait();
@@ -279,43 +279,43 @@
     }
 
     @Test(timeOut = 60_000)
-    public void anAddressWithoutAProcessRefuses() throws Exception {
+    public void anAddressWithoutAProcessIsReportedAsRefused() throws Exception {
         follow();
 
         await(OwnerState.REFUSED);
     }
 
-    private <T> T asked(Consumer<Consumer<T>> question) throws Exception {
+    private <T> T query(Consumer<Consumer<T>> question) throws Exception {
         CompletableFuture<T> answer = new CompletableFuture<>();
         mLoop.execute(() -> question.accept(answer::complete));
         return answer.get(30, TimeUnit.SECONDS);
     }
 
     @Test(timeOut = 60_000)
-    public void theOwnerTellsWhereAJobStandsAndHowManyWait() throws Exception {
+    public void queriesReturnThePhaseOfAJobAndThePendingCountOfAQueue() throws Exception {
         followOwner();
         await(OwnerState.STREAMING);
 
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
                 Optional.of(JobPhase.RUNNING));
         assertEquals(
-                asked((Consumer<Optional<Integer>> a) -> mLink.pending("known", a)),
+                query((Consumer<Optional<Integer>> a) -> mLink.pending("known", a)),
                 Optional.of(0));
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("unknown", a)),
+                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("unknown", a)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
-    public void aQuestionWithoutAnOwnerIsAnsweredWithNothing() throws Exception {
+    public void aQueryWithoutAnOwnerHasNoResult() throws Exception {
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
-    public void aQuestionIsAnsweredWithNothingWhenTheOwnerIsLost() throws Exception {
+    public void aQueryHasNoResultWhenTheOwnerIsLost() throws Exception {
         // A caller would wait for an answer that nobody gives any more.
         JournalStream stream = followOwner();
         await(OwnerState.STREAMING);
@@ -323,7 +323,7 @@
         onLoop(
                 () -> {
                     mLink.phase("known", answer::complete);
-                    stream.disown();
+                    stream.ownershipLost();
                     mLink.owner(Optional.empty());
                     return null;
                 });
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
@@ -16,25 +16,25 @@
 public class StreamBudgetTest {
     private static final LinkRate NARROW = new LinkRate(1.4);
     private static final LinkRate WIDE = new LinkRate(140);
-    private static final int GATHER_MS = 20;
+    private static final int BATCH_DELAY_MS = 20;
     private static final int SECOND_MS = 1000;
 
     /** Bytes of the journal a second: some ten jobs of eight tasks a step; a small fleet's turn. */
-    private static final int TURN = 9000;
+    private static final int LOAD = 9000;
 
     /** The same of some fifty jobs, as of several hundred workers. */
-    private static final int LARGE_TURN = 25_000;
+    private static final int HEAVY_LOAD = 25_000;
 
     /** The same while only standing tasks run: signs of life. */
-    private static final int CALM = 100;
+    private static final int LOW_LOAD = 100;
 
     /** Bytes that the journal takes of the link in each second, handed to so many nodes. */
-    private static long[] play(LinkRate link, int nodes, int bytesPerS, int seconds) {
+    private static long[] simulate(LinkRate link, int nodes, int bytesPerS, int seconds) {
         StreamBudget budget = new StreamBudget(link, 0);
         long[] sent = new long[seconds];
-        for (int now = 0; now < seconds * SECOND_MS; now += GATHER_MS) {
-            long bytes = (long) nodes * bytesPerS * GATHER_MS / SECOND_MS;
-            if (budget.take(bytes, now)) {
+        for (int now = 0; now < seconds * SECOND_MS; now += BATCH_DELAY_MS) {
+            long bytes = (long) nodes * bytesPerS * BATCH_DELAY_MS / SECOND_MS;
+            if (budget.tryConsume(bytes, now)) {
                 sent[now / SECOND_MS] += bytes;
             }
         }
@@ -54,8 +54,8 @@
     }
 
     @Test
-    public void aNarrowLinkIsLeftToOrdersInATurn() {
-        long[] sent = play(NARROW, 16, TURN, 30);
+    public void recordsLeaveMostOfANarrowLinkFreeUnderLoad() {
+        long[] sent = simulate(NARROW, 16, LOAD, 30);
 
         assertTrue(sum(sent) <= 30 * bytesPerS(NARROW) / 4 + bytesPerS(NARROW) / 8);
         for (long s : sent) {
@@ -64,17 +64,17 @@
     }
 
     @Test
-    public void recordsAreHandedOnAsTheyComeWhileTheyAreFew() {
-        assertEquals(sum(play(NARROW, 16, CALM, 30)), 30L * 16 * CALM);
+    public void allRecordsAreSentUnderLowLoad() {
+        assertEquals(sum(simulate(NARROW, 16, LOW_LOAD, 30)), 30L * 16 * LOW_LOAD);
     }
 
     @Test
-    public void aWideLinkHandsAllOnAlsoInATurn() {
-        assertEquals(sum(play(WIDE, 46, LARGE_TURN, 30)), 30L * 46 * LARGE_TURN);
+    public void aWideLinkCarriesAllRecordsUnderLoad() {
+        assertEquals(sum(simulate(WIDE, 46, HEAVY_LOAD, 30)), 30L * 46 * HEAVY_LOAD);
     }
 
     @Test
-    public void aLinkOfWhichNothingIsKnownHandsAllOn() {
-        assertEquals(sum(play(LinkRate.UNKNOWN, 46, LARGE_TURN, 3)), 3L * 46 * LARGE_TURN);
+    public void aLinkOfUnknownRateCarriesAllRecords() {
+        assertEquals(sum(simulate(LinkRate.UNKNOWN, 46, HEAVY_LOAD, 3)), 3L * 46 * HEAVY_LOAD);
     }
 }
