--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
@@ -21,18 +21,14 @@
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
 
-/** The owner's end: sends the journal and heartbeats to the nodes that are connected. */
+/** Server side of the peer protocol: streams the owner's journal and heartbeats to followers. */
 public final class JournalStream {
-    /** How often a heartbeat is sent, in milliseconds. */
     private static final long HEARTBEAT_INTERVAL_MS = 200;
 
-    /**
-     * How long records are gathered before they are sent on, in milliseconds: little beside the
-     * second and more that a caller's shortest job takes.
-     */
+    /** Longest time a record waits in a batch, in milliseconds. */
     private static final long BATCH_DELAY_MS = 20;
 
-    /** Records beyond this number of bytes are sent at once: half of what may wait to be sent. */
+    /** A batch of this size is sent at once: half of Netty's default high water mark. */
     private static final int MAX_BATCH_BYTES = 32 << 10;
 
     private final boolean mNarrow;
@@ -53,21 +49,21 @@
     private BooleanSupplier mCallsOver = () -> true;
 
     private JournalStream(
-            Clock clock, Timers timers, LinkRate link, Handover handover, OwnerBook book) {
+            Clock clock, Timers timers, LinkRate link, Handover handover, OwnerBook jobQueries) {
         mNarrow = !link.isAmple();
         mClock = clock;
         mTimers = timers;
         mBudget = new StreamBudget(link, clock.nowMs());
         mHandover = handover;
-        mJobQueries = book;
+        mJobQueries = jobQueries;
     }
 
     /**
-     * Listens for followers; until this node owns they hear that it doesn't.
+     * Listens for followers. Until this node owns, its heartbeats report that it doesn't.
      *
      * @param link the node's network link
-     * @param handover what stores the records that followers hand over
-     * @param book what followers' questions are answered from
+     * @param handover stores the records that followers hand over
+     * @param jobQueries answers the queries of followers
      */
     public static JournalStream listen(
             EventLoop loop,
@@ -76,9 +72,9 @@
             Timers timers,
             LinkRate link,
             Handover handover,
-            OwnerBook book)
+            OwnerBook jobQueries)
             throws IOException {
-        JournalStream stream = new JournalStream(clock, timers, link, handover, book);
+        JournalStream stream = new JournalStream(clock, timers, link, handover, jobQueries);
         var bound =
                 new ServerBootstrap()
                         .group(loop)
@@ -95,22 +91,22 @@
         return stream;
     }
 
-    /** The address, with the port that the system chose. */
+    /** Returns the bound address, with the port that the system chose. */
     public InetSocketAddress address() {
         return mAddress;
     }
 
-    /** When a follower last said that it could own and has an ample link. */
+    /** Returns when a follower on an ample link last reported that it can take ownership. */
     public long lastStandbyMs() {
         return mLastStandbyMs;
     }
 
-    /** How often gathered frames were sent. */
+    /** Returns how many batches were sent. */
     long flushCount() {
         return mFlushCount;
     }
 
-    /** Bytes that were sent to each follower. */
+    /** Returns the bytes sent to each follower. */
     long sentBytes() {
         return mSentBytes;
     }
@@ -119,7 +115,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             mFollowers.add(context.channel());
-            // The first frame tells who looks for the owner whether this node is it.
+            // Tells the follower at once whether this node owns.
             context.writeAndFlush(newHeartbeat().encode());
         }
 
@@ -130,27 +126,31 @@
             if (frame instanceof PeerFrame.Handover handover) {
                 mHandover.handOver(
                         handover.record(),
-                        o -> {
-                            PeerFrame answer = new PeerFrame.HandoverResponse(handover.number(), o);
-                            context.writeAndFlush(answer.encode());
+                        outcome -> {
+                            PeerFrame response =
+                                    new PeerFrame.HandoverResponse(handover.number(), outcome);
+                            context.writeAndFlush(response.encode());
                         });
-            } else if (frame instanceof PeerFrame.Query question) {
-                respond(question, context);
+            } else if (frame instanceof PeerFrame.Query query) {
+                respond(query, context);
             } else if (frame instanceof PeerFrame.Standby) {
                 mLastStandbyMs = mClock.nowMs();
             }
         }
 
-        private void respond(PeerFrame.Query question, ChannelHandlerContext context) {
-            Consumer<Optional<Integer>> then =
+        private void respond(PeerFrame.Query query, ChannelHandlerContext context) {
+            Consumer<Optional<Integer>> reply =
                     v ->
                             context.writeAndFlush(
-                                    new PeerFrame.QueryResponse(question.number(), v).encode());
-            switch (question.subject()) {
+                                    new PeerFrame.QueryResponse(query.number(), v).encode());
+            switch (query.subject()) {
                 case JOB ->
-                        mJobQueries.phase(question.name(), p -> then.accept(p.map(Enum::ordinal)));
-                case QUEUE -> mJobQueries.pending(question.name(), then);
-                default -> throw new IllegalStateException("no rule for " + question.subject());
+                        mJobQueries.phase(
+                                query.name(), phase -> reply.accept(phase.map(Enum::ordinal)));
+                case QUEUE -> mJobQueries.pending(query.name(), reply);
+                default ->
+                        throw new IllegalStateException(
+                                "unexpected query subject: " + query.subject());
             }
         }
 
@@ -166,10 +166,12 @@
     }
 
     /**
-     * This node owns from now on.
+     * Starts streaming as the owner.
      *
-     * @param journal what heartbeats say of the journal
-     * @param callsOver whether its calls to the VM service are over; said once it owns no more
+     * @param token fencing token of the ownership
+     * @param journal journal status that heartbeats report
+     * @param callsOver whether its calls to the VM service are over; reported once it has lost
+     *     ownership
      */
     public void ownershipAcquired(long token, OwnedJournal journal, BooleanSupplier callsOver) {
         mCallsOver = callsOver;
@@ -178,7 +180,7 @@
         sendHeartbeat(token);
     }
 
-    /** This node does not own any more; who follows it looks for the owner elsewhere. */
+    /** Stops streaming and disconnects the followers, which then look for the new owner. */
     public void ownershipLost() {
         mToken = PeerFrame.NO_OWNER;
         mBatch.clear();
@@ -186,13 +188,11 @@
     }
 
     /**
-     * The owner has read a record of the journal.
+     * Adds a record that the owner has read to the current batch.
      *
-     * <p>Answers some hundred records a second that go to some forty nodes: sent one by one, each
-     * takes a packet and wakes a process on every node, and on a narrow link the packets alone keep
-     * orders to workers waiting. Records of some moments go out together, put together once for all
-     * nodes; beyond the link's budget they are left out, and the next heartbeat tells the nodes
-     * that they lack some.
+     * <p>Batching keeps packets from filling a narrow link and delaying orders to workers. Batches
+     * that exceed the link's budget are dropped; followers detect the gap from the next heartbeat
+     * and read the records from the store.
      */
     public void recordRead(int partition, long offset, byte[] record) {
         if (mToken == PeerFrame.NO_OWNER) {
@@ -217,8 +217,8 @@
         if (mToken != token) {
             return;
         }
-        // After the records up to the position that it names: a node that lacks one of them would
-        // read the store.
+        // The records up to the reported position go first: a follower that lacks one of them reads
+        // the store.
         flushOrDrop();
         addToBatch(newHeartbeat());
         flush();
@@ -237,7 +237,7 @@
                 mNarrow);
     }
 
-    /** Sends what was gathered, or leaves it out where the link has no room for it. */
+    /** Sends the batch, or drops it if the link's budget is used up. */
     private void flushOrDrop() {
         mFlushScheduled = false;
         if (!mBatch.isReadable()) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /** A follower that doesn't read is passed over: it would pile frames up in memory. */
+    /** Sends the batch to all followers but slow readers, whose frames would fill the memory. */
     private void flush() {
         ByteBuf frames = Unpooled.directBuffer(mBatch.readableBytes()).writeBytes(mBatch);
         mBatch.clear();
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OpenQuestions.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OpenQuestions.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 import org.foxtailplank.node.Timers;
 
-/** Questions to the owner that have no answer yet. */
+/** Queries to the owner that have no response yet. */
 final class OpenQuestions {
     /**
-     * How long an answer is waited for, in milliseconds: the owner answers from memory, and who
-     * asks can still read the journal after that.
+     * How long to wait for a response, in milliseconds: the owner answers from memory, and the
+     * caller's deadline must leave time to read the journal instead.
      */
     private static final long RESPONSE_TIMEOUT_MS = 400;
 
@@ -23,26 +23,26 @@
         mTimers = timers;
     }
 
-    /** Notes a question that is about to be sent; returns its number. */
-    long add(Consumer<Optional<Integer>> then) {
+    /** Registers a query that is about to be sent and returns its number. */
+    long add(Consumer<Optional<Integer>> callback) {
         long number = ++mLastNumber;
-        mPending.put(number, then);
+        mPending.put(number, callback);
         mTimers.after(RESPONSE_TIMEOUT_MS, () -> complete(number, Optional.empty()));
         return number;
     }
 
-    /** An answer has come; a second one to the same question is passed over. */
+    /** Completes a query; a response to a query that is no longer pending is ignored. */
     void complete(long number, Optional<Integer> value) {
-        Consumer<Optional<Integer>> then = mPending.remove(number);
-        if (then != null) {
-            then.accept(value);
+        Consumer<Optional<Integer>> callback = mPending.remove(number);
+        if (callback != null) {
+            callback.accept(value);
         }
     }
 
-    /** The connection is gone, and with it all answers. */
+    /** Completes all pending queries without a result after the connection was lost. */
     void failAll() {
-        List<Consumer<Optional<Integer>>> lost = List.copyOf(mPending.values());
+        List<Consumer<Optional<Integer>>> failed = List.copyOf(mPending.values());
         mPending.clear();
-        lost.forEach(l -> l.accept(Optional.empty()));
+        failed.forEach(c -> c.accept(Optional.empty()));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnedJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnedJournal.java
@@ -2,12 +2,12 @@
 
 import org.foxtailplank.node.journal.JournalPosition;
 
-/** What an owner tells its followers of the journal. */
+/** Status of the owner's journal, as its heartbeats report it. */
 public interface OwnedJournal {
-    /** Of a journal that was never read completely, in milliseconds of any clock. */
+    /** {@link #completeMs} of a journal that was never read to its end. */
     long NEVER_MS = Long.MIN_VALUE / 2;
 
-    /** Of a node that doesn't own. */
+    /** Status that a node reports while it doesn't own. */
     OwnedJournal NONE =
             new OwnedJournal() {
                 @Override
@@ -26,12 +26,15 @@
                 }
             };
 
-    /** Up to where the owner has read it. */
+    /** Returns the position up to which the owner has read the journal. */
     JournalPosition position();
 
-    /** Until when the owner has read it completely, in milliseconds of its steady clock. */
+    /**
+     * Returns the time, on the owner's monotonic clock, up to which it has read every record
+     * stored.
+     */
     long completeMs();
 
-    /** How long ago the store last took a record of the owner's, in milliseconds. */
+    /** Returns how long ago the store last accepted a record of the owner, in milliseconds. */
     long storedMsAgo();
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerBook.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerBook.java
@@ -4,15 +4,15 @@
 import java.util.function.Consumer;
 import org.foxtailplank.job.JobPhase;
 
-/** What the owner's book tells of jobs, for nodes whose own book may be old. */
+/** Answers queries about jobs, for nodes whose own job state may be out of date. */
 public interface OwnerBook {
 
     /**
-     * Asks where a job stands. {@code then} runs once in any case; it gets nothing where no owner
-     * can be asked, none answers soon, or the owner doesn't know the job.
+     * Queries the phase of a job. {@code callback} runs exactly once. Its argument is empty if no
+     * owner can be reached, it doesn't respond in time, or it doesn't know the job.
      */
-    void phase(String job, Consumer<Optional<JobPhase>> then);
+    void phase(String job, Consumer<Optional<JobPhase>> callback);
 
-    /** Asks in the same way how many jobs of a queue wait. */
-    void pending(String queue, Consumer<Optional<Integer>> then);
+    /** Queries the number of pending jobs of a queue in the same way. */
+    void pending(String queue, Consumer<Optional<Integer>> callback);
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
@@ -27,17 +27,17 @@
 import org.foxtailplank.node.log.NodeLog;
 
 /**
- * A follower's end: a connection to the owner, over which the journal comes.
+ * Client side of the peer protocol: a follower's connection to the owner.
  *
- * <p>Each connection begins with the other end's word on whether it owns. An owner whose process
- * was killed, or that has left, shows so within milliseconds: its address refuses connections, or a
- * process answers there that doesn't own. Silence alone would have to be waited out.
+ * <p>The first frame of each connection tells whether the peer owns. An owner whose process was
+ * killed or that has resigned is detected without a timeout: its address refuses connections, or
+ * the process there reports that it doesn't own.
  */
 public final class OwnerLink implements OwnerSigns, Handover, OwnerBook {
-    /** An owner that is silent for so long may be gone, in milliseconds: three heartbeats. */
+    /** An owner counts as silent after this time without a frame: three heartbeats. */
     private static final long SILENCE_TIMEOUT_MS = 700;
 
-    /** Pause before the owner is connected to again, in milliseconds. */
+    /** Delay before the next connection attempt, in milliseconds. */
     private static final long RETRY_MS = 300;
 
     private static final int CONNECT_TIMEOUT_MS = 400;
@@ -62,7 +62,7 @@
     private long mUpToDateMs = Long.MIN_VALUE / 2;
     private long mCompleteMs = Long.MIN_VALUE / 2;
 
-    /** This clock's time less the owner's, plus the shortest delay of this connection's frames. */
+    /** Offset of this clock to the owner's, plus the smallest frame delay on this connection. */
     private long mClockOffsetMs = Long.MAX_VALUE;
 
     private long mLastStoredMs = Long.MIN_VALUE / 2;
@@ -91,9 +91,9 @@
         mUnavailableListener = listener;
     }
 
-    /** Whether the owner is to be told that this node could own, and has an ample link. */
-    public void setStandbyCondition(BooleanSupplier standsBy) {
-        mStandbyCondition = standsBy;
+    /** Sets the condition under which this node reports to the owner that it can take over. */
+    public void setStandbyCondition(BooleanSupplier condition) {
+        mStandbyCondition = condition;
     }
 
     @Override
@@ -109,7 +109,7 @@
         return token == mCallsOverToken && token == mUnavailableToken;
     }
 
-    /** Whether the owner was heard of a moment ago. */
+    /** Returns whether a frame of the owner arrived within the silence timeout. */
     public boolean isAlive() {
         return mClock.nowMs() - mLastFrameMs < SILENCE_TIMEOUT_MS;
     }
@@ -119,15 +119,15 @@
         return mLastStoredMs;
     }
 
-    /** When the book last had all that the owner had read. */
+    /** Returns when this node last had every record that the owner had read. */
     public long upToDateMs() {
         return mUpToDateMs;
     }
 
     /**
-     * Until when the book is known to have every record of the journal, by what the owner has read.
-     * Heartbeats alone prove nothing: an owner whose requests the store rejects still sends them,
-     * and other nodes then append by themselves.
+     * Returns the time up to which this node has every record of the journal, as far as the owner's
+     * heartbeats prove it. Recent heartbeats alone are no proof: an owner whose requests the store
+     * rejects still sends them while other nodes append.
      */
     public long completeMs() {
         return mCompleteMs;
@@ -144,7 +144,7 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(PeerFraming.initializer(() -> new Handler(target)))
+                .handler(PeerFraming.initializer(() -> new OwnerHandler(target)))
                 .connect(target.address())
                 .addListener(f -> connectCompleted(target, f));
     }
@@ -155,8 +155,8 @@
         if (!connected.isSuccess() || !current) {
             mTimers.after(current ? RETRY_MS : 0, this::connect);
         }
-        // A refusal comes from a machine that runs without the owner's process; a connection that
-        // takes too long says nothing, since the path may be cut.
+        // A refused connection means that the VM runs without the owner's process. A timeout proves
+        // nothing, since the network may be partitioned.
         boolean refused =
                 connected.cause() instanceof ConnectException
                         && !(connected.cause() instanceof ConnectTimeoutException);
@@ -165,7 +165,7 @@
         }
     }
 
-    /** The owner is not to be heard of any more, and perhaps doesn't own. */
+    /** Records that the owner can't be reached or doesn't own, and notifies the listener. */
     private void ownerUnavailable(OwnerState state) {
         mLastFrameMs = Long.MIN_VALUE / 2;
         if (mOwner.isEmpty() || state(mOwner.get().token()) == state) {
@@ -183,11 +183,11 @@
         failPendingRequests();
     }
 
-    /** What was handed over may be stored or not; the owner can't say so any more. */
+    /** Completes handovers as unknown and queries without a result. */
     private void failPendingRequests() {
-        List<Consumer<StoreOutcome>> lost = List.copyOf(mPendingHandovers.values());
+        List<Consumer<StoreOutcome>> failed = List.copyOf(mPendingHandovers.values());
         mPendingHandovers.clear();
-        lost.forEach(l -> l.accept(StoreOutcome.UNKNOWN));
+        failed.forEach(c -> c.accept(StoreOutcome.UNKNOWN));
         mPendingQueries.failAll();
     }
 
@@ -198,41 +198,43 @@
     }
 
     @Override
-    public void handOver(byte[] record, Consumer<StoreOutcome> then) {
+    public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
         if (!isOpen()) {
-            then.accept(StoreOutcome.NOT_STORED);
+            callback.accept(StoreOutcome.NOT_STORED);
             return;
         }
-        mPendingHandovers.put(++mLastHandover, then);
+        mPendingHandovers.put(++mLastHandover, callback);
         PeerFrame frame = new PeerFrame.Handover(mLastHandover, record);
         mChannel.get().writeAndFlush(frame.encode());
     }
 
     @Override
-    public void phase(String job, Consumer<Optional<JobPhase>> then) {
+    public void phase(String job, Consumer<Optional<JobPhase>> callback) {
         JobPhase[] phases = JobPhase.values();
         sendQuery(
                 PeerFrame.Subject.JOB,
                 job,
-                v -> then.accept(v.filter(p -> p >= 0 && p < phases.length).map(p -> phases[p])));
+                v ->
+                        callback.accept(
+                                v.filter(p -> p >= 0 && p < phases.length).map(p -> phases[p])));
     }
 
     @Override
-    public void pending(String queue, Consumer<Optional<Integer>> then) {
-        sendQuery(PeerFrame.Subject.QUEUE, queue, then);
+    public void pending(String queue, Consumer<Optional<Integer>> callback) {
+        sendQuery(PeerFrame.Subject.QUEUE, queue, callback);
     }
 
     private void sendQuery(
-            PeerFrame.Subject subject, String name, Consumer<Optional<Integer>> then) {
+            PeerFrame.Subject subject, String name, Consumer<Optional<Integer>> callback) {
         if (!isAlive() || !mChannel.map(Channel::isWritable).orElse(false)) {
-            then.accept(Optional.empty());
+            callback.accept(Optional.empty());
             return;
         }
-        PeerFrame question = new PeerFrame.Query(mPendingQueries.add(then), subject, name);
-        mChannel.get().writeAndFlush(question.encode());
+        PeerFrame query = new PeerFrame.Query(mPendingQueries.add(callback), subject, name);
+        mChannel.get().writeAndFlush(query.encode());
     }
 
-    /** Closes a connection that has gone silent. */
+    /** Closes a connection on which no frame arrived within the silence timeout. */
     @Override
     public void check() {
         if (mChannel.isPresent() && !isAlive()) {
@@ -245,15 +247,15 @@
         }
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class OwnerHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final KnownOwner mTarget;
         private boolean mFrameReceived;
 
-        Handler(KnownOwner target) {
+        OwnerHandler(KnownOwner target) {
             mTarget = target;
         }
 
-        /** Whether the journal still names the owner for which the connection was opened. */
+        /** Returns whether the connection is to the current owner. */
         private boolean isCurrent() {
             return mOwner.equals(Optional.of(mTarget));
         }
@@ -261,7 +263,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             if (!isCurrent()) {
-                // The journal named another owner meanwhile; what this one says is not about it.
+                // Frames of a former owner say nothing about the current one.
                 context.close();
                 return;
             }
@@ -287,7 +289,7 @@
                 failPendingRequests();
                 mLastFrameMs = Long.MIN_VALUE / 2;
                 mLastStoredMs = Long.MIN_VALUE / 2;
-                // A new connection tells at once whether the owner is gone or only this one was.
+                // Reconnecting tells whether the owner is gone or only the connection was lost.
                 mTimers.after(mFrameReceived ? 0 : RETRY_MS, OwnerLink.this::connect);
             }
         }
@@ -299,17 +301,17 @@
     }
 
     private void handle(PeerFrame frame) {
-        if (frame instanceof PeerFrame.StreamedRecord journal) {
-            handle(journal);
+        if (frame instanceof PeerFrame.StreamedRecord record) {
+            handle(record);
         } else if (frame instanceof PeerFrame.Heartbeat heartbeat) {
             handle(heartbeat);
-        } else if (frame instanceof PeerFrame.HandoverResponse answer) {
-            Consumer<StoreOutcome> then = mPendingHandovers.remove(answer.number());
-            if (then != null) {
-                then.accept(answer.outcome());
+        } else if (frame instanceof PeerFrame.HandoverResponse response) {
+            Consumer<StoreOutcome> callback = mPendingHandovers.remove(response.number());
+            if (callback != null) {
+                callback.accept(response.outcome());
             }
-        } else if (frame instanceof PeerFrame.QueryResponse answer) {
-            mPendingQueries.complete(answer.number(), answer.value());
+        } else if (frame instanceof PeerFrame.QueryResponse response) {
+            mPendingQueries.complete(response.number(), response.value());
         }
     }
 
@@ -332,7 +334,7 @@
         frameReceived();
         long now = mClock.nowMs();
         mLastStoredMs = now - frame.storedMsAgo();
-        // A frame may wait in a full link for seconds; the shortest delay leaves that time out.
+        // The smallest delay excludes the time that later frames spend queued on a full link.
         mClockOffsetMs = Math.min(mClockOffsetMs, now - frame.nowMs());
         if (mReader.position().covers(frame.position())) {
             if (frame.narrow()) {
@@ -341,7 +343,7 @@
             mUpToDateMs = now;
             mCompleteMs = Math.max(mCompleteMs, frame.completeMs() + mClockOffsetMs);
         } else {
-            // Records were sent before this node was connected.
+            // Records were dropped, or sent before this node was connected.
             mReader.refresh(read -> {});
         }
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerSigns.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerSigns.java
@@ -3,35 +3,35 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** What a node learns of the owner beside the journal. */
+/** Monitors the owner over the peer connection, in addition to its records in the journal. */
 public interface OwnerSigns {
     /**
-     * The owner that the journal names.
+     * An owner found in the journal.
      *
      * @param token its fencing token
-     * @param address where its stream is
+     * @param address peer address at which it streams the journal
      */
     record KnownOwner(long token, InetSocketAddress address) {}
 
-    /** The journal names this owner; empty if this node itself owns. */
+    /** Sets the owner to monitor; empty if this node itself owns. */
     void owner(Optional<KnownOwner> owner);
 
-    /** What is known of the owner with this token. */
+    /** Returns the state of the owner with this token. */
     OwnerState state(long token);
 
     /**
-     * Whether the process at the address of the owner with this token says that it doesn't own, and
-     * that no call of its own to the VM service is under way. It is that owner, or has taken its
-     * process's place: calls of a process that has ended are reset with its connections.
+     * Returns whether the process at the address of the owner with this token reports that it
+     * doesn't own and has no call to the VM service in flight. It may be a new process there: the
+     * calls of the previous one were reset with its connections when it ended.
      */
     boolean areCallsOver(long token);
 
-    /** When the store last took a record of the owner's, as the owner says. */
+    /** Returns when the store last accepted a record of the owner, according to the owner. */
     long storingMs();
 
-    /** Runs this each time an owner is found to be refused or gone. */
+    /** Sets the listener for owners that turn out to be refused or gone. */
     void whenDoubtful(Runnable listener);
 
-    /** Looks whether the owner has fallen silent; called again and again. */
+    /** Checks whether the owner has become silent; called periodically. */
     void check();
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
@@ -1,24 +1,24 @@
 package org.foxtailplank.node.peer;
 
-/** What a node's connection to the owner says of it, and how patient that makes the node. */
+/** State of the owner as seen over the peer connection, with the timeout until a take-over. */
 public enum OwnerState {
     /**
-     * It sends heartbeats. It is replaced when its last stored record is older than this: two of
-     * its signs in the journal are missing, so that the store is lost to it.
+     * It sends heartbeats. It is replaced once two of its periodic records are missing from the
+     * journal, which means that it has lost the store.
      */
     STREAMING(1000),
 
-    /** Nothing is heard of it, as after a power loss: one sign is missing, and heartbeats too. */
+    /** Heartbeats and one periodic record are missing, as after a power loss. */
     SILENT(750),
 
     /**
-     * Its address refuses connections: the process was killed. A cut may refuse connections too, so
-     * that one sign in the journal must be missing; without that, two parts of a system would take
-     * the place from each other again and again.
+     * Its address refuses connections, as after a killed process. A network partition may refuse
+     * connections too, so that one periodic record must be missing as well; otherwise both sides of
+     * the partition would take ownership from each other in turn.
      */
     REFUSED(450),
 
-    /** A process at its address says that it doesn't own: it has left, or was started again. */
+    /** The process at its address doesn't own: it has resigned or was restarted. */
     GONE(0);
 
     private final long mPatienceMs;
@@ -27,7 +27,7 @@
         mPatienceMs = patienceMs;
     }
 
-    /** Age of the last sign of the owner's from which on it is replaced, in milliseconds. */
+    /** Returns the age of the owner's last record at which it is replaced, in milliseconds. */
     public long patienceMs() {
         return mPatienceMs;
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
@@ -16,18 +16,18 @@
 import org.foxtailplank.node.journal.JournalPosition;
 import org.foxtailplank.node.journal.StoreOutcome;
 
-/** What two nodes send each other. */
+/** A message of the peer protocol between two nodes. */
 sealed interface PeerFrame {
-    /** The token that a node sends which doesn't own; those of owners begin at 1. */
+    /** Token sent by a node that doesn't own; tokens of owners start at 1. */
     long NO_OWNER = 0;
 
     /**
      * From an owner to a follower: a record of the journal.
      *
      * @param token fencing token of the owner
-     * @param partition number of the partition, in the journal's order
+     * @param partition index of the partition, in the journal's order
      * @param offset offset of the record
-     * @param record the record
+     * @param record the encoded record
      */
     record StreamedRecord(long token, int partition, long offset, byte[] record)
             implements PeerFrame {
@@ -41,16 +41,17 @@
     }
 
     /**
-     * From an owner to a follower, and the first word of any node.
+     * From an owner to a follower, and the first frame that any node sends on a connection.
      *
      * @param token fencing token of the owner; {@link #NO_OWNER} from a node that doesn't own
-     * @param position up to where the owner has read the journal
-     * @param nowMs when it was sent, on the sender's steady clock
-     * @param completeMs until when the owner has read the journal completely, on the same clock
-     * @param storedMsAgo how long ago the store last took a record of the owner's
-     * @param callsOver from a node that doesn't own: whether no call of its process to the VM
-     *     service can be under way
-     * @param narrow from an owner: whether its link is narrow, so that it asks who else could own
+     * @param position position up to which the owner has read the journal
+     * @param nowMs when it was sent, on the sender's monotonic clock
+     * @param completeMs time up to which the owner has read every record stored, on the same clock
+     * @param storedMsAgo how long ago the store last accepted a record of the owner
+     * @param callsOver from a node that doesn't own: whether its process has no call to the VM
+     *     service in flight
+     * @param narrow from an owner: whether its link is narrow, so that followers able to take over
+     *     report it
      */
     record Heartbeat(
             long token,
@@ -76,10 +77,10 @@
     }
 
     /**
-     * From a follower to the owner: a record to be stored.
+     * From a follower to the owner: a record to store.
      *
      * @param number number of the handover on this connection
-     * @param record the record, as it is to stand in the journal
+     * @param record the encoded record
      */
     record Handover(long number, byte[] record) implements PeerFrame {
         @Override
@@ -89,7 +90,7 @@
         }
     }
 
-    /** From the owner to a follower: what came of a handover. */
+    /** From the owner to a follower: the outcome of a handover. */
     record HandoverResponse(long number, StoreOutcome outcome) implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
@@ -98,7 +99,7 @@
         }
     }
 
-    /** From a follower to the owner: its link is ample, and it could own now. */
+    /** From a follower to the owner: its link is ample, and it can take ownership now. */
     record Standby() implements PeerFrame {
         @Override
         public void write(CodedOutputStream out) throws IOException {
@@ -106,20 +107,20 @@
         }
     }
 
-    /** What a question to the owner is about. */
+    /** Subject of a query. */
     enum Subject {
-        /** Where a job stands. */
+        /** The phase of a job. */
         JOB,
-        /** How many jobs of a queue wait. */
+        /** The number of pending jobs of a queue. */
         QUEUE
     }
 
     /**
-     * From a follower to the owner: a question that the follower's own book is too old for.
+     * From a follower to the owner: a query that the follower can't answer from its own job state.
      *
-     * @param number number of the question on this connection
-     * @param subject what is asked
-     * @param name the job or the queue
+     * @param number number of the query on this connection
+     * @param subject subject of the query
+     * @param name ID of the job or name of the queue
      */
     record Query(long number, Subject subject, String name) implements PeerFrame {
         @Override
@@ -130,11 +131,10 @@
     }
 
     /**
-     * From the owner to a follower: the answer to a question.
+     * From the owner to a follower: the response to a query.
      *
-     * @param number number of the question
-     * @param value a job's phase by its place in the enum, or a count; empty if the owner doesn't
-     *     know
+     * @param number number of the query
+     * @param value ordinal of the job's phase, or a count; empty if the owner doesn't know it
      */
     record QueryResponse(long number, Optional<Integer> value) implements PeerFrame {
         @Override
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Numbers of the fields on the wire. */
+    /** Field numbers on the wire. */
     final class Field {
         static final int TOKEN = 1;
         static final int OFFSET = 2;
@@ -172,7 +172,7 @@
     /** Writes the frame's fields. */
     void write(CodedOutputStream out) throws IOException;
 
-    /** The frame's bytes with their number before them, as they are on the wire. */
+    /** Encodes the frame with its length prefix. */
     default ByteBuf encode() {
         ByteBuf frame = Unpooled.buffer().writeZero(Integer.BYTES);
         try {
@@ -182,12 +182,12 @@
             write(out);
             out.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("memory that cannot be written", e);
+            throw new IllegalStateException("cannot write to an in-memory buffer", e);
         }
         return frame.setInt(0, frame.readableBytes() - Integer.BYTES);
     }
 
-    /** Reads a frame from its bytes without their number. */
+    /** Decodes a frame without its length prefix. */
     static PeerFrame decode(ByteBuf bytes) throws IOException {
         CodedInputStream in = CodedInputStream.newInstance(ByteBufUtil.getBytes(bytes));
         long token = NO_OWNER;
@@ -197,8 +197,8 @@
         Optional<byte[]> record = Optional.empty();
         Optional<Long> handover = Optional.empty();
         Optional<StoreOutcome> outcome = Optional.empty();
-        Optional<Long> question = Optional.empty();
-        Optional<Query> asked = Optional.empty();
+        Optional<Long> query = Optional.empty();
+        Optional<Query> content = Optional.empty();
         Optional<Integer> value = Optional.empty();
         boolean standby = false;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -209,19 +209,19 @@
                 case Field.RECORD -> record = Optional.of(in.readByteArray());
                 case Field.HANDOVER -> handover = Optional.of(in.readInt64());
                 case Field.OUTCOME -> outcome = Optional.of(storeOutcome(in.readInt32()));
-                case Field.QUERY -> question = Optional.of(in.readInt64());
-                case Field.JOB -> asked = Optional.of(new Query(0, Subject.JOB, in.readString()));
+                case Field.QUERY -> query = Optional.of(in.readInt64());
+                case Field.JOB -> content = Optional.of(new Query(0, Subject.JOB, in.readString()));
                 case Field.QUEUE ->
-                        asked = Optional.of(new Query(0, Subject.QUEUE, in.readString()));
+                        content = Optional.of(new Query(0, Subject.QUEUE, in.readString()));
                 case Field.VALUE -> value = Optional.of(in.readInt32());
                 case Field.STANDBY -> standby = in.readBool();
                 default -> heartbeat.read(tag, in);
             }
         }
-        if (question.isPresent()) {
-            long number = question.get();
-            return asked.isPresent()
-                    ? new Query(number, asked.get().subject(), asked.get().name())
+        if (query.isPresent()) {
+            long number = query.get();
+            return content.isPresent()
+                    ? new Query(number, content.get().subject(), content.get().name())
                     : new QueryResponse(number, value);
         }
         if (standby) {
@@ -238,10 +238,10 @@
         }
         return new Handover(
                 handover.get(),
-                record.orElseThrow(() -> new IOException("a handover without a record")));
+                record.orElseThrow(() -> new IOException("handover frame without a record")));
     }
 
-    /** Fields that only heartbeats have, as they are read. */
+    /** Collects the fields of a heartbeat while a frame is decoded. */
     final class HeartbeatFields {
         private final List<Long> mPosition = new ArrayList<>();
         private long mNowMs;
@@ -273,16 +273,16 @@
 
     private static int checkedPartition(int number) throws IOException {
         if (number < 0) {
-            throw new IOException("the journal has no partition " + number);
+            throw new IOException("invalid journal partition: " + number);
         }
         return number;
     }
 
     private static StoreOutcome storeOutcome(int number) throws IOException {
-        StoreOutcome[] all = StoreOutcome.values();
-        if (number < 0 || number >= all.length) {
-            throw new IOException("no outcome has the number " + number);
+        StoreOutcome[] outcomes = StoreOutcome.values();
+        if (number < 0 || number >= outcomes.length) {
+            throw new IOException("unknown store outcome: " + number);
         }
-        return all[number];
+        return outcomes[number];
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFraming.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFraming.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import java.util.function.Supplier;
 
-/** Frames on a connection between two nodes: four bytes of length, then the frame. */
+/** Framing of peer connections: a four-byte length, then the frame. */
 final class PeerFraming {
-    /** Largest frame, in bytes: the largest record of the journal and some more. */
+    /** Largest frame, in bytes: the largest journal record plus a margin. */
     private static final int MAX_FRAME_BYTES = 1 << 20;
 
     private PeerFraming() {}
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/FixedJournalStatus.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/FixedJournalStatus.java
@@ -2,6 +2,6 @@
 
 import org.foxtailplank.node.journal.JournalPosition;
 
-/** A journal of which an owner says the same all the time. */
+/** A journal status with constant values. */
 public record FixedJournalStatus(JournalPosition position, long completeMs, long storedMsAgo)
         implements OwnedJournal {}
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
@@ -27,24 +27,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/**
- * A queue's turn: the owner reads some hundred records in a moment and hands them to all nodes.
- *
- * <p>Callers' jobs wait. Each record went to each node in a packet of its own; with some twenty
- * nodes the packets filled an owner's link of 1.4 Mbit/s, its orders to workers timed out, and runs
- * lost their leases.
- */
+/** Guards against journal records that fill the owner's link when it reads many in a short time. */
 public class JournalStreamTest {
     private static final long TOKEN = 7;
     private static final int RECORDS = 300;
     private static final int RECORD_BYTES = 50;
 
-    /** With one follower the records of a moment fit, and five times as many don't. */
+    /** Carries {@link #RECORDS} records to one follower at once, but not five times as many. */
     private static final LinkRate NARROW = new LinkRate(1.4);
 
     private static final int BATCHES_OVER_BUDGET = 5;
 
-    /** What a record of this size may take on the wire at most: its bytes and a frame's fields. */
+    /** Upper bound for a record with its frame's fields on the wire. */
     private static final int FRAME_BYTES = RECORD_BYTES + 20;
 
     private final AtomicLong mPosition = new AtomicLong();
@@ -71,7 +65,7 @@
                         new FakeJobQueries());
         mFollower = new Socket();
         mFollower.connect(mStream.address());
-        // The first frame, by which the follower is known to the stream.
+        // After the first frame the stream has registered the follower.
         PeerFrame first = nextFrame();
         assertEquals(((PeerFrame.Heartbeat) first).token(), PeerFrame.NO_OWNER);
     }
@@ -100,14 +94,14 @@
         return PeerFrame.decode(Unpooled.wrappedBuffer(frame));
     }
 
-    /** Frames up to the one with the last record. */
+    /** Reads frames up to the one with the last record. */
     private List<PeerFrame> framesUntilLastRecord() throws IOException {
         List<PeerFrame> frames = new ArrayList<>();
         PeerFrame frame;
         do {
             frame = nextFrame();
             frames.add(frame);
-        } while (!(frame instanceof PeerFrame.StreamedRecord j) || j.offset() < RECORDS - 1);
+        } while (!(frame instanceof PeerFrame.StreamedRecord r) || r.offset() < RECORDS - 1);
         return frames;
     }
 
@@ -150,8 +144,8 @@
 
         long expected = 0;
         for (PeerFrame f : framesUntilLastRecord()) {
-            if (f instanceof PeerFrame.StreamedRecord j) {
-                assertEquals(j.offset(), expected);
+            if (f instanceof PeerFrame.StreamedRecord r) {
+                assertEquals(r.offset(), expected);
                 expected++;
             } else if (f instanceof PeerFrame.Heartbeat h) {
                 assertTrue(h.position().offsets().get(0) <= expected, "a record is missing");
@@ -169,7 +163,7 @@
                         })
                 .get();
 
-        assertTrue(mStream.flushCount() <= 5, "a packet each: " + mStream.flushCount());
+        assertTrue(mStream.flushCount() <= 5, "batches sent: " + mStream.flushCount());
         framesUntilLastRecord();
         long bytes = (long) RECORDS * FRAME_BYTES;
         assertTrue(mStream.sentBytes() <= bytes, mStream.sentBytes() + " bytes");
@@ -177,7 +171,6 @@
 
     @Test(timeOut = 60_000)
     public void recordsBeyondTheBudgetAreDroppedAndTheHeartbeatCoversThem() throws Exception {
-        // The follower reads what it lacks from the store.
         mLoop.submit(
                         () -> {
                             becomeOwner();
@@ -202,7 +195,7 @@
 
     @Test(timeOut = 60_000)
     public void theBatchIsDiscardedWhenOwnershipIsLost() throws Exception {
-        // The next owner's journal may differ in what comes after; followers read on at the store.
+        // The next owner's journal may continue differently; followers read it from the store.
         mLoop.submit(
                         () -> {
                             becomeOwner();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
@@ -33,11 +33,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a follower learns of the owner over its connection, on the loopback interface. */
+/** Tests a follower's connection to the owner over the loopback interface. */
 public class OwnerLinkTest {
     private static final long TOKEN = 7;
 
-    /** Stores what begins with a 1, and knows nothing of the rest. */
+    /** Stores records that begin with a 1 and never responds to others. */
     private final Handover mStore =
             new Handover() {
                 @Override
@@ -56,7 +56,7 @@
     private final FakeJobQueries mJobQueries = new FakeJobQueries();
     private volatile long mOffsetMs;
 
-    /** The system's clock, which tests can move on. */
+    /** The system clock plus an offset that tests set. */
     private final Clock mClock =
             new Clock() {
                 @Override
@@ -130,7 +130,7 @@
                 });
     }
 
-    /** An owner, and this node following it. */
+    /** Starts an owner and follows it. */
     private JournalStream followOwner() throws Exception {
         return followOwner(listen());
     }
@@ -176,8 +176,7 @@
 
     @Test(timeOut = 60_000)
     public void aProcessThatDoesNotOwnIsReportedAsGone() throws Exception {
-        // After a power loss a new process listens where the owner did: it takes connections, and a
-        // follower that only waits for heartbeats learns nothing from that.
+        // A restarted process accepts connections at the owner's address, but no longer owns.
         listen();
         follow();
 
@@ -185,7 +184,7 @@
         assertEquals(
                 onLoop(() -> mLink.state(TOKEN + 1)),
                 OwnerState.SILENT,
-                "of a later owner it says nothing");
+                "a later owner's state must stay unknown");
     }
 
     @Test(timeOut = 60_000)
@@ -227,9 +226,8 @@
 
     @Test(timeOut = 60_000)
     public void heartbeatsOfAFormerOwnerAreNotAttributedToItsSuccessor() throws Exception {
-        // A node starts and reads the journal: it begins to connect to an owner of the past, and
-        // reads on to the present one. The old process says that it doesn't own; taken for a word
-        // on the present owner, that made the node take the place of a sound one.
+        // A starting node may connect to a former owner while it reads the journal. That process
+        // reports that it doesn't own, which must not make the node replace the current owner.
         listen();
         try (ServerSocket silent = new ServerSocket(0, 1, mAddress.getAddress())) {
             InetSocketAddress next =
@@ -253,7 +251,7 @@
         frame.encode().readBytes(follower.getOutputStream(), frame.encode().readableBytes());
     }
 
-    /** Guards against a book that counts as complete because its heartbeats arrive late. */
+    /** Guards against a journal that counts as complete for longer because heartbeats are late. */
     @Test(timeOut = 60_000)
     public void theQueueingDelayOfAHeartbeatDoesNotCountAsCompleteTime() throws Exception {
         long delayMs = 300;
@@ -285,10 +283,10 @@
         await(OwnerState.REFUSED);
     }
 
-    private <T> T query(Consumer<Consumer<T>> question) throws Exception {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        mLoop.execute(() -> question.accept(answer::complete));
-        return answer.get(30, TimeUnit.SECONDS);
+    private <T> T query(Consumer<Consumer<T>> query) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        mLoop.execute(() -> query.accept(result::complete));
+        return result.get(30, TimeUnit.SECONDS);
     }
 
     @Test(timeOut = 60_000)
@@ -297,37 +295,37 @@
         await(OwnerState.STREAMING);
 
         assertEquals(
-                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("known", callback)),
                 Optional.of(JobPhase.RUNNING));
         assertEquals(
-                query((Consumer<Optional<Integer>> a) -> mLink.pending("known", a)),
+                query((Consumer<Optional<Integer>> callback) -> mLink.pending("known", callback)),
                 Optional.of(0));
         assertEquals(
-                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("unknown", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("unknown", callback)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
     public void aQueryWithoutAnOwnerHasNoResult() throws Exception {
         assertEquals(
-                query((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("known", callback)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
     public void aQueryHasNoResultWhenTheOwnerIsLost() throws Exception {
-        // A caller would wait for an answer that nobody gives any more.
+        // Otherwise a caller would wait for a response that never arrives.
         JournalStream stream = followOwner();
         await(OwnerState.STREAMING);
-        CompletableFuture<Optional<JobPhase>> answer = new CompletableFuture<>();
+        CompletableFuture<Optional<JobPhase>> result = new CompletableFuture<>();
         onLoop(
                 () -> {
-                    mLink.phase("known", answer::complete);
+                    mLink.phase("known", result::complete);
                     stream.ownershipLost();
                     mLink.owner(Optional.empty());
                     return null;
                 });
 
-        assertEquals(answer.get(30, TimeUnit.SECONDS), Optional.empty());
+        assertEquals(result.get(30, TimeUnit.SECONDS), Optional.empty());
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
@@ -6,29 +6,23 @@
 import org.foxtailplank.node.LinkRate;
 import org.testng.annotations.Test;
 
-/**
- * A queue's turn under an owner with a narrow link.
- *
- * <p>Callers' jobs are accepted and not done. The owner hands each record of the journal to all
- * other nodes; its link is full of that, orders to workers wait behind it and are given up, and the
- * leases of all that runs lapse.
- */
+/** Guards against streamed records that fill a narrow link and delay orders to workers. */
 public class StreamBudgetTest {
     private static final LinkRate NARROW = new LinkRate(1.4);
     private static final LinkRate WIDE = new LinkRate(140);
     private static final int BATCH_DELAY_MS = 20;
     private static final int SECOND_MS = 1000;
 
-    /** Bytes of the journal a second: some ten jobs of eight tasks a step; a small fleet's turn. */
+    /** Bytes of the journal per second at about ten jobs of eight tasks a step. */
     private static final int LOAD = 9000;
 
-    /** The same of some fifty jobs, as of several hundred workers. */
+    /** Bytes of the journal per second at about fifty such jobs. */
     private static final int HEAVY_LOAD = 25_000;
 
-    /** The same while only standing tasks run: signs of life. */
+    /** Bytes of the journal per second while only the owner's periodic records are written. */
     private static final int LOW_LOAD = 100;
 
-    /** Bytes that the journal takes of the link in each second, handed to so many nodes. */
+    /** Returns the bytes sent in each second when records are streamed to this many nodes. */
     private static long[] simulate(LinkRate link, int nodes, int bytesPerS, int seconds) {
         StreamBudget budget = new StreamBudget(link, 0);
         long[] sent = new long[seconds];
@@ -59,7 +53,8 @@
 
         assertTrue(sum(sent) <= 30 * bytesPerS(NARROW) / 4 + bytesPerS(NARROW) / 8);
         for (long s : sent) {
-            assertTrue(s <= bytesPerS(NARROW) / 2, "half of a second's link is for orders: " + s);
+            assertTrue(
+                    s <= bytesPerS(NARROW) / 2, "more than half of the link in one second: " + s);
         }
     }
 
