--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
@@ -30,7 +30,7 @@
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.RouteSettings;
 
-/** The requests of callers, from any node: what they need stands in the journal. */
+/** Handles the HTTP requests of callers on any node, using the state read from the journal. */
 public final class CallerService implements HttpHandler {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -42,25 +42,25 @@
 
     private static final Pattern JOB_ID = Pattern.compile("[0-9a-fA-F]{16}");
 
-    /** How long to wait for the store where a caller doesn't say, in milliseconds. */
+    /** Deadline of requests that don't name one, in milliseconds. */
     private static final long DEFAULT_DEADLINE_MS = 3000;
 
-    /** What the owner has handed on this lately is told without a read of the journal. */
+    /** A phase that was up to date this recently is returned without another lookup. */
     private static final long MAX_PHASE_AGE_MS = 400;
 
     /**
-     * A book that was complete so long ago tells how many jobs of a queue are pending, in
-     * milliseconds: the number may be two seconds old when the caller has it.
+     * Age up to which this node's own count of pending jobs is returned, in milliseconds: the count
+     * may be two seconds old when the caller receives it.
      */
     static final long MAX_PENDING_AGE_MS = 1500;
 
-    /** Kept of a caller's time for the way of the answer, in milliseconds. */
+    /** Part of a caller's deadline reserved for sending the reply, in milliseconds. */
     private static final long REPLY_MARGIN_MS = 150;
 
-    /** Answers that take longer are written down, in milliseconds: many of the store's. */
+    /** Replies that take this long are logged, in milliseconds. */
     private static final long SLOW_REPLY_MS = 500;
 
-    /** When to ask again while the store takes nothing, in seconds: outages last a few seconds. */
+    /** Value of the Retry-After header while the store is unavailable, in seconds. */
     private static final String RETRY_AFTER_S = "1";
 
     private final OperatorFollower mOperator;
@@ -78,7 +78,7 @@
             OperatorFollower operator,
             JournalReader reader,
             OwnerLink link,
-            OwnerBook ownerBook,
+            OwnerBook ownerQueries,
             JournalWriter writer,
             CallerBodies bodies,
             Clock clock,
@@ -88,7 +88,7 @@
         mOperator = operator;
         mReader = reader;
         mLink = link;
-        mFinder = new JobFinder(reader, ownerBook, clock, timers);
+        mFinder = new JobFinder(reader, ownerQueries, clock, timers);
         mWriter = writer;
         mBodies = bodies;
         mClock = clock;
@@ -100,11 +100,11 @@
     public void handle(HttpRequest request, Consumer<HttpReply> reply) {
         long startMs = mClock.nowMs();
         Consumer<HttpReply> timed =
-                answer -> {
-                    mMetrics.counter("answers_" + answer.status()).inc();
+                response -> {
+                    mMetrics.counter("answers_" + response.status()).inc();
                     mMetrics.latency("answer").update(mClock.nowMs() - startMs);
-                    logIfSlow(request, answer, mClock.nowMs() - startMs);
-                    reply.accept(answer);
+                    logIfSlow(request, response, mClock.nowMs() - startMs);
+                    reply.accept(response);
                 };
         Optional<FleetConfig> config = mOperator.config();
         if (config.isEmpty()) {
@@ -119,12 +119,12 @@
         }
     }
 
-    private void logIfSlow(HttpRequest request, HttpReply answer, long tookMs) {
+    private void logIfSlow(HttpRequest request, HttpReply response, long tookMs) {
         if (tookMs >= SLOW_REPLY_MS) {
             mLog.line("answer-slow")
                     .with("method", request.method())
                     .with("path", request.path())
-                    .with("status", answer.status())
+                    .with("status", response.status())
                     .with("tookMs", tookMs)
                     .with("caughtUp", mReader.isCaughtUp())
                     .with("currentMsAgo", mClock.nowMs() - mLink.upToDateMs())
@@ -133,8 +133,8 @@
     }
 
     /**
-     * No queue is known for the path. Guards against telling a caller that a queue doesn't exist
-     * that was added a moment ago: the newest configuration is read before that is said.
+     * Reads the newest configuration before a path counts as unknown, so that requests for a queue
+     * that was just added aren't answered with 404.
      */
     private void refreshAndRoute(HttpRequest request, Consumer<HttpReply> reply) {
         mOperator.refresh(
@@ -146,10 +146,10 @@
                     if (route.isPresent()) {
                         handleRouted(request, route.get(), reply);
                     } else {
-                        long age = mClock.nowMs() - mOperator.lastReadMs();
+                        long ageMs = mClock.nowMs() - mOperator.lastReadMs();
                         mLog.line("no-queue")
                                 .with("path", request.path())
-                                .with("configAgeMs", age)
+                                .with("configAgeMs", ageMs)
                                 .write();
                         reply.accept(read ? HttpReply.empty(NOT_FOUND) : unavailableReply());
                     }
@@ -180,9 +180,9 @@
             reply.accept(HttpReply.empty(OK));
             return;
         }
-        List<Consumer<HttpReply>> waiting = mInFlight.get(id);
-        if (waiting != null) {
-            waiting.add(reply);
+        List<Consumer<HttpReply>> concurrent = mInFlight.get(id);
+        if (concurrent != null) {
+            concurrent.add(reply);
             return;
         }
         Submission submission;
@@ -224,9 +224,9 @@
     }
 
     /**
-     * Guards against a node that lacks records of the journal, since it has just started or was cut
-     * off, or since its owner lacks them: it would tell callers that nothing of a queue waits. A
-     * node that can't read what it lacks doesn't say a number.
+     * Replies with the number of pending jobs, from this node's own state only if it is up to date.
+     * A node that lacks journal records, since it has just started, was disconnected or its owner
+     * lacks them, would report too few.
      */
     private void replyPending(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
         long completeMs = Math.max(mLink.completeMs(), mReader.completeMs());
@@ -237,15 +237,16 @@
         mFinder.findPending(
                 route.name(),
                 deadlineMs(request),
-                found -> {
+                pending -> {
                     mLog.line("pending-asked")
                             .with("queue", route.name())
-                            .with("jobs", found.map(String::valueOf).orElse("unknown"))
+                            .with("jobs", pending.map(String::valueOf).orElse("unknown"))
                             .with("ownerCompleteMsAgo", mClock.nowMs() - mLink.completeMs())
                             .with("readCompleteMsAgo", mClock.nowMs() - mReader.completeMs())
                             .with("journal", mReader.position())
                             .write();
-                    reply.accept(found.map(this::pendingReply).orElseGet(() -> unavailableReply()));
+                    reply.accept(
+                            pending.map(this::pendingReply).orElseGet(() -> unavailableReply()));
                 });
     }
 
@@ -272,7 +273,7 @@
         return HttpReply.json(OK, mBodies.phase(phase));
     }
 
-    /** That no such job exists is said only where the journal was read to its end. */
+    /** Reports a job as unknown only if the journal was read to its end. */
     private static HttpReply notFoundReply(boolean read) {
         return read ? HttpReply.empty(GONE) : unavailableReply();
     }
@@ -312,8 +313,8 @@
     }
 
     /**
-     * A slow store is waited for as long as the caller waits: the record is on its way, and a
-     * caller that were told so sooner could only send it once more.
+     * Returns the time until which to wait for the store: nearly as long as the caller waits, since
+     * an earlier failure would only make it send the request again.
      */
     private long deadlineMs(HttpRequest request) {
         long wait = request.number(mBodies.deadlineHeader()).orElse(DEFAULT_DEADLINE_MS);
@@ -321,9 +322,9 @@
     }
 
     /**
-     * What a caller is told of a record that its request needs. Only a record that surely isn't
-     * stored is refused, since a refused job must never run; where that isn't known the caller
-     * learns so, and asks again.
+     * Maps the outcome of storing a request's record to a reply. Only a record that is certainly
+     * not stored is rejected, since a rejected job must never run. An unknown outcome is reported
+     * as a gateway timeout, so that the caller asks again.
      */
     private static HttpReply outcomeReply(StoreOutcome outcome) {
         return switch (outcome) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
@@ -10,91 +10,88 @@
 import org.foxtailplank.node.peer.OwnerBook;
 
 /**
- * Finds out what callers want to know of jobs, within their time: from the owner, which has read
- * all of the journal, else from the journal itself.
+ * Looks up jobs for callers within their deadlines: asks the owner first, which has read the whole
+ * journal, and reads the journal if the owner doesn't know.
  *
- * <p>Guards against a node that has just started, or was cut off, and answers nobody for as long as
- * its link takes to carry the journal.
+ * <p>This lets a node that has just started or was disconnected answer before it has read the
+ * journal.
  */
 final class JobFinder {
     private final JournalReader mReader;
-    private final OwnerBook mOwner;
+    private final OwnerBook mOwnerQueries;
     private final Clock mClock;
     private final Timers mTimers;
 
-    JobFinder(JournalReader reader, OwnerBook owner, Clock clock, Timers timers) {
+    JobFinder(JournalReader reader, OwnerBook ownerQueries, Clock clock, Timers timers) {
         mReader = reader;
-        mOwner = owner;
+        mOwnerQueries = ownerQueries;
         mClock = clock;
         mTimers = timers;
     }
 
-    /** Is told where a job stands, and whether all of the journal was read for that. */
+    /** Receives the phase of a job, and whether the journal was read to its end for it. */
     interface PhaseCallback {
         void accept(boolean read, Optional<JobPhase> phase);
     }
 
-    /** Where a job stands as far as this node knows. */
+    /** Returns the phase of a job according to this node's own state. */
     Optional<JobPhase> localPhase(String id) {
         return mReader.book().job(id).map(JobEntry::phase);
     }
 
-    /** How many jobs of a queue wait as far as this node knows. */
+    /** Returns the number of pending jobs of a queue according to this node's own state. */
     int localPending(String queue) {
         return mReader.book().pending(queue);
     }
 
     /**
-     * Finds out where a job stands. The owner may not have read yet what another node has stored by
-     * itself, so that a job that it doesn't know is looked for in the journal.
+     * Looks up the phase of a job. A job that the owner doesn't know is looked up in the journal,
+     * since the owner may not have read yet what another node has appended itself.
      */
-    void findPhase(String id, long deadlineMs, PhaseCallback then) {
-        mOwner.phase(
+    void findPhase(String id, long deadlineMs, PhaseCallback callback) {
+        mOwnerQueries.phase(
                 id,
-                told -> {
-                    if (told.isPresent()) {
-                        then.accept(false, told);
+                result -> {
+                    if (result.isPresent()) {
+                        callback.accept(false, result);
                     } else {
-                        readJournal(deadlineMs, read -> then.accept(read, localPhase(id)));
+                        readJournal(deadlineMs, read -> callback.accept(read, localPhase(id)));
                     }
                 });
     }
 
-    /** Finds out how many jobs of a queue wait; empty if that can't be found out in time. */
-    void findPending(String queue, long deadlineMs, Consumer<Optional<Integer>> then) {
-        mOwner.pending(
+    /** Looks up the number of pending jobs of a queue; empty if it isn't known in time. */
+    void findPending(String queue, long deadlineMs, Consumer<Optional<Integer>> callback) {
+        mOwnerQueries.pending(
                 queue,
-                told -> {
-                    if (told.isPresent()) {
-                        then.accept(told);
+                result -> {
+                    if (result.isPresent()) {
+                        callback.accept(result);
                     } else {
                         readJournal(
                                 deadlineMs,
                                 read ->
-                                        then.accept(
+                                        callback.accept(
                                                 Optional.of(localPending(queue))
                                                         .filter(p -> read)));
                     }
                 });
     }
 
-    /**
-     * Reads the journal to its end and says whether that worked, or that it didn't when the time is
-     * over.
-     */
-    private void readJournal(long deadlineMs, Consumer<Boolean> then) {
-        FirstResult once = new FirstResult(then);
-        mReader.refresh(once);
-        mTimers.after(deadlineMs - mClock.nowMs(), () -> once.accept(false));
+    /** Reads the journal to its end and reports whether that succeeded before the deadline. */
+    private void readJournal(long deadlineMs, Consumer<Boolean> callback) {
+        FirstResult firstResult = new FirstResult(callback);
+        mReader.refresh(firstResult);
+        mTimers.after(deadlineMs - mClock.nowMs(), () -> firstResult.accept(false));
     }
 
-    /** Hands the first outcome on. */
+    /** Forwards the first result and ignores the timeout or result that follows. */
     private static final class FirstResult implements Consumer<Boolean> {
         private final Consumer<Boolean> mCallback;
         private boolean mDone;
 
-        FirstResult(Consumer<Boolean> then) {
-            mCallback = then;
+        FirstResult(Consumer<Boolean> callback) {
+            mCallback = callback;
         }
 
         @Override
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/OwnBook.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/OwnBook.java
@@ -9,39 +9,39 @@
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.peer.OwnerBook;
 
-/** The book of this node, from which it answers while it owns and has read the journal. */
+/** Answers from this node's own job state while it owns and has read the journal. */
 public final class OwnBook implements OwnerBook {
     private final JournalReader mReader;
     private final Clock mClock;
     private final BooleanSupplier mIsOwner;
 
     /**
-     * A book.
+     * Creates the queries on a node's own job state.
      *
-     * @param owns whether this node owns as far as it knows, and has read the journal since
+     * @param isOwner whether this node owns as far as it knows, and has read the journal since
      */
-    public OwnBook(JournalReader reader, Clock clock, BooleanSupplier owns) {
+    public OwnBook(JournalReader reader, Clock clock, BooleanSupplier isOwner) {
         mReader = reader;
         mClock = clock;
-        mIsOwner = owns;
+        mIsOwner = isOwner;
     }
 
     @Override
-    public void phase(String job, Consumer<Optional<JobPhase>> then) {
-        Optional<JobEntry> known =
+    public void phase(String job, Consumer<Optional<JobPhase>> callback) {
+        Optional<JobEntry> entry =
                 mIsOwner.getAsBoolean() ? mReader.book().job(job) : Optional.empty();
-        then.accept(known.map(JobEntry::phase));
+        callback.accept(entry.map(JobEntry::phase));
     }
 
     /**
-     * Tells a number only from a book that was complete a moment ago. An owner whose requests the
-     * store rejects may have been replaced without knowing it, and its number may be 0 while jobs
-     * wait.
+     * Returns a number only if the journal was read to its end recently. An owner whose requests
+     * the store rejects may have been replaced without noticing, and would return an outdated
+     * number.
      */
     @Override
-    public void pending(String queue, Consumer<Optional<Integer>> then) {
-        long age = mClock.nowMs() - mReader.completeMs();
-        boolean knows = mIsOwner.getAsBoolean() && age < CallerService.MAX_PENDING_AGE_MS;
-        then.accept(knows ? Optional.of(mReader.book().pending(queue)) : Optional.empty());
+    public void pending(String queue, Consumer<Optional<Integer>> callback) {
+        long ageMs = mClock.nowMs() - mReader.completeMs();
+        boolean isUpToDate = mIsOwner.getAsBoolean() && ageMs < CallerService.MAX_PENDING_AGE_MS;
+        callback.accept(isUpToDate ? Optional.of(mReader.book().pending(queue)) : Optional.empty());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/package-info.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Answers callers: takes jobs, tells how they stand, cancels them. */
+/** HTTP API for callers: submits, queries and cancels jobs. */
 package org.foxtailplank.node.caller;
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
@@ -26,20 +26,23 @@
 import org.foxtailplank.port.OperatorOrder;
 import org.foxtailplank.port.SharedLog;
 
-/** The part of a node that answers callers. */
+/** A caller service with its dependencies, as in a node. */
 final class CallerServiceFixture {
     private final JournalReader mReader;
     private final OwnerLink mLink;
     private final OperatorFollower mOperator;
     private final CallerService mService;
 
-    /** A node without a connection to an owner. */
+    /** Creates a service that isn't connected to an owner. */
     CallerServiceFixture(
-            FakeNode time, SharedLog log, Feed<OperatorOrder> orders, FakeJobQueries owner) {
-        this(null, time, time, log, orders, Optional.of(owner));
+            FakeNode clock,
+            SharedLog log,
+            Feed<OperatorOrder> orders,
+            FakeJobQueries ownerQueries) {
+        this(null, clock, clock, log, orders, Optional.of(ownerQueries));
     }
 
-    /** A node that can follow an owner on the loopback interface, and asks it. */
+    /** Creates a service that can connect to an owner on the loopback interface and query it. */
     CallerServiceFixture(
             EventLoop loop, Clock clock, Timers timers, SharedLog log, Feed<OperatorOrder> orders) {
         this(loop, clock, timers, log, orders, Optional.empty());
@@ -51,7 +54,7 @@
             Timers timers,
             SharedLog log,
             Feed<OperatorOrder> orders,
-            Optional<OwnerBook> owner) {
+            Optional<OwnerBook> ownerQueries) {
         NodeLog out = NodeLog.silent(clock);
         mOperator = new OperatorFollower(orders, clock, timers, out);
         mReader =
@@ -70,7 +73,7 @@
                         mOperator,
                         mReader,
                         mLink,
-                        owner.orElse(mLink),
+                        ownerQueries.orElse(mLink),
                         new JournalWriter(log, JournalPartition.JOURNAL, mLink, clock, timers, out),
                         new UsersPlatform(
                                         null,
@@ -94,12 +97,12 @@
         return mLink;
     }
 
-    /** Reads what the operator has written. */
+    /** Reads the operator's orders. */
     void readOperatorOrders() {
         mOperator.refresh(read -> {});
     }
 
-    /** Sends a request; the answer is in the list once there is one. */
+    /** Sends a request; the returned list receives the reply. */
     List<HttpReply> send(String method, String path, byte[] body, Optional<String> deadlineMs) {
         List<HttpReply> replies = new ArrayList<>();
         HttpRequest request = new HttpRequest(method, path, "", "h", name -> deadlineMs, body);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
@@ -34,17 +34,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What callers are answered. */
+/** Tests the replies to callers. */
 public class CallerServiceTest {
     private static final String JOB = "00000000000000aa";
     private static final String BODY = "{\"spec\":\"a\",\"phases\":[{\"count\":1}]}";
 
-    private FakeNode mTime;
+    private FakeNode mClock;
     private FakeLog mLog;
     private FakeOperator mOperator;
-    private CallerServiceFixture mNode;
+    private CallerServiceFixture mService;
 
-    /** The operator's writings, of which each read brings the newest. */
+    /** Operator orders; each read returns the newest configuration. */
     private static final class FakeOperator implements Feed<OperatorOrder> {
         private final List<String> mPrefixes = new ArrayList<>();
         private boolean mUnavailable;
@@ -57,7 +57,7 @@
         @Override
         public void changes(long position, long waitMs, Consumer<Result<OperatorOrder>> then) {
             if (mUnavailable) {
-                then.accept(new Failed<>("away"));
+                then.accept(new Failed<>("unavailable"));
                 return;
             }
             List<RouteSettings> routes = new ArrayList<>();
@@ -71,24 +71,24 @@
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
+        mClock = new FakeNode();
         mLog = new FakeLog();
         mOperator = new FakeOperator();
         mOperator.mPrefixes.add("/q/");
-        mNode = new CallerServiceFixture(mTime, mLog, mOperator, new FakeJobQueries());
-        mNode.readOperatorOrders();
+        mService = new CallerServiceFixture(mClock, mLog, mOperator, new FakeJobQueries());
+        mService.readOperatorOrders();
     }
 
     private List<HttpReply> send(String method, String path, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return mNode.send(method, path, bytes, Optional.empty());
+        return mService.send(method, path, bytes, Optional.empty());
     }
 
     private HttpReply reply(String method, String path, String body) {
         List<HttpReply> replies = send(method, path, body);
         for (int i = 0; i < 30 && replies.isEmpty(); i++) {
             mLog.answer();
-            mTime.pass(100);
+            mClock.pass(100);
         }
         assertEquals(replies.size(), 1);
         return replies.get(0);
@@ -136,7 +136,7 @@
 
     @Test
     public void aJobThatMayHaveBeenStoredIsNotRejected() {
-        // A caller gives a refused job to somebody else. It must never run here.
+        // A rejected job must never run here, since the caller may submit it elsewhere.
         mLog.next(Fate.ANSWER_LOST);
         for (int i = 0; i < 40; i++) {
             mLog.next(Fate.REFUSED);
@@ -147,7 +147,7 @@
 
     @Test
     public void aQueueIsReportedMissingOnlyAfterReadingTheNewestConfiguration() {
-        // A queue was added a moment ago. A caller that is told 404 would give its job up.
+        // A caller would give up a job for a queue that was just added if it got a 404.
         mOperator.mPrefixes.add("/new/");
         assertEquals(reply("POST", "/new/" + JOB, BODY).status(), 200);
         assertEquals(reply("POST", "/none/" + JOB, BODY).status(), 404);
@@ -164,7 +164,7 @@
         assertEquals(reply("GET", "/q/00000000000000bb", "").status(), 410);
     }
 
-    /** Another node has stored a job, and nothing of the journal was read since. */
+    /** Stores a job as another node would, without reading the journal. */
     private void storeJobFromAnotherNode() {
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         TaskStep step =
@@ -177,14 +177,14 @@
                         RunMode.PLAIN);
         List<TaskStep> steps = List.of(step);
         JobOrder order =
-                new JobOrder(JOB, "/q/", "s", "a", steps, Timetable.AT_ONCE, terms, mTime.wallMs());
+                new JobOrder(
+                        JOB, "/q/", "s", "a", steps, Timetable.AT_ONCE, terms, mClock.wallMs());
         mLog.records(JournalPartition.JOURNAL).add(JournalCodec.encode(new JobAccepted(order)));
     }
 
     @Test
     public void jobsStoredByOtherNodesAreCountedAsPending() {
-        // A node has been started, or was cut off, and lags behind the journal. It told its callers
-        // that nothing of a queue waits while jobs had waited for five seconds.
+        // Guards against a count of 0 from a node that lags behind the journal.
         storeJobFromAnotherNode();
 
         assertEquals(text(reply("GET", "/q/", "")), "{\"pending\":1}");
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Callers of a node that is far behind the journal, on a link of 7 Mbit/s. */
+/** Tests the replies of a node that is far behind the journal, on a link of 7 Mbit/s. */
 public class LaggingNodeTest {
     private static final String JOB = "00000000000000aa";
     private static final double LINK_BYTES_PER_S = 875_000;
@@ -33,27 +33,27 @@
     private static final long CALLER_DEADLINE_MS = 3000;
     private static final long STEP_MS = 10;
 
-    private FakeNode mTime;
+    private FakeNode mClock;
     private FakeLog mLog;
     private BandwidthLimitedLog mLink;
     private JournalReader mReader;
     private FakeJobQueries mOwnerQueries;
-    private CallerServiceFixture mNode;
+    private CallerServiceFixture mService;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
+        mClock = new FakeNode();
         mLog = new FakeLog();
         mOwnerQueries = new FakeJobQueries();
-        mLink = new BandwidthLimitedLog(mLog, mTime, LINK_BYTES_PER_S);
+        mLink = new BandwidthLimitedLog(mLog, mClock, LINK_BYTES_PER_S);
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", terms);
         FakeFeed<OperatorOrder> orders = new FakeFeed<>();
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
         orders.put("config", new OperatorOrder.NewConfig(config));
-        mNode = new CallerServiceFixture(mTime, mLink, orders, mOwnerQueries);
-        mNode.readOperatorOrders();
-        mReader = mNode.reader();
+        mService = new CallerServiceFixture(mClock, mLink, orders, mOwnerQueries);
+        mService.readOperatorOrders();
+        mReader = mService.reader();
     }
 
     private void fillJournal() {
@@ -68,22 +68,19 @@
     }
 
     private List<HttpReply> send(String method, String path) {
-        Optional<String> deadline = Optional.of(Long.toString(CALLER_DEADLINE_MS));
-        return mNode.send(method, path, new byte[0], deadline);
+        Optional<String> deadlineMs = Optional.of(Long.toString(CALLER_DEADLINE_MS));
+        return mService.send(method, path, new byte[0], deadlineMs);
     }
 
     private void advance(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
-            mTime.pass(STEP_MS);
+            mClock.pass(STEP_MS);
         }
     }
 
     @Test
     public void aNodeFarBehindAnswersCallersWithinTheirDeadline() {
-        // All nodes were lost at the end of a day and started again. Callers asked for accepted
-        // jobs, and two of them got no answer at all: 26 nodes on links of 7 Mbit/s read the
-        // journal for 8 to 10 s. Cause: a question for a job waited for the end of that read,
-        // however short its caller's time was.
+        // Guards against requests that wait for the whole journal beyond their deadline.
         fillJournal();
         mReader.follow();
         advance(500);
@@ -100,11 +97,7 @@
 
     @Test
     public void aStartingNodeTransfersTheJournalOnce() {
-        // After the loss of all nodes one with a narrow link received 7.3 MB before it answered,
-        // twice what the journal held: its own reads and those for callers and for the owner's
-        // heartbeats each asked for the same pages. It answered for no job for twice as long.
-        // Cause:
-        // a reader had two loops over the same partition, which knew nothing of each other.
+        // Guards against concurrent refreshes that each read the same pages.
         fillJournal();
         mReader.follow();
         for (int i = 0; i < 100; i++) {
@@ -120,10 +113,7 @@
 
     @Test
     public void aNodeFarBehindAnswersFromTheOwner() {
-        // Nodes that had just started refused questions about jobs, cancellings and queues for as
-        // long as they read the journal, 8 to 10 s over a link of 7 Mbit/s, while the owner had
-        // read it within a second. After the loss of all nodes 66 of 173 requests were late. Cause:
-        // each node answered from its own book alone.
+        // Guards against a starting node that can't answer until it has read the whole journal.
         fillJournal();
         mReader.follow();
         mOwnerQueries.mPhases.put(JOB, JobPhase.COMPLETED);
@@ -142,7 +132,7 @@
 
     @Test
     public void aJobUnknownToTheOwnerIsLookedUpInTheJournal() {
-        // The owner may not have read yet what another node has just stored by itself.
+        // The owner may not have read yet what another node has just appended itself.
         mReader.follow();
         advance(500);
         List<HttpReply> job = send("GET", "/q/" + JOB);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/OwnBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/OwnBookTest.java
@@ -14,10 +14,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a node that believes that it owns tells from its book. */
+/** Tests which queries a node answers that believes itself to be the owner. */
 public class OwnBookTest {
     private final List<Optional<Integer>> mResults = new ArrayList<>();
-    private FakeNode mTime;
+    private FakeNode mClock;
     private FakeLog mLog;
     private JournalReader mReader;
     private OwnBook mQueries;
@@ -25,18 +25,18 @@
     @BeforeMethod
     public void setUp() {
         mResults.clear();
-        mTime = new FakeNode();
+        mClock = new FakeNode();
         mLog = new FakeLog();
         mReader =
                 new JournalReader(
                         mLog,
                         JournalPartition.all(3),
-                        mTime,
-                        mTime,
-                        NodeLog.silent(mTime),
+                        mClock,
+                        mClock,
+                        NodeLog.silent(mClock),
                         new JobBook(120_000),
                         (record, job) -> {});
-        mQueries = new OwnBook(mReader, mTime, () -> true);
+        mQueries = new OwnBook(mReader, mClock, () -> true);
     }
 
     private void read() {
@@ -56,26 +56,26 @@
         assertEquals(pending(), Optional.of(0));
     }
 
-    /** Guards against a number of a former owner that has not noticed its successor. */
+    /** Guards against an outdated count from a former owner that has not noticed its successor. */
     @Test
     public void anOwnerWhoseReadsFailReturnsNoPendingCount() {
         read();
         JournalPartition.all(3).forEach(p -> mLog.down(p, true));
         for (int i = 0; i < 20; i++) {
-            mTime.pass(100);
+            mClock.pass(100);
             read();
         }
 
         assertEquals(pending(), Optional.empty());
     }
 
-    /** Guards against a number that lacks the jobs in a spare partition. */
+    /** Guards against a count without the jobs in a spare partition. */
     @Test
     public void anOwnerThatReadsOnlySomePartitionsReturnsNoPendingCount() {
         read();
         mLog.down(JournalPartition.all(3).get(1), true);
         for (int i = 0; i < 20; i++) {
-            mTime.pass(100);
+            mClock.pass(100);
             read();
         }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/StaleBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/StaleBookTest.java
@@ -43,7 +43,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How many jobs a node says are pending while its owner lacks records of the journal. */
+/** Tests the pending count of a node whose owner lacks records of the journal. */
 public class StaleBookTest {
     private static final long TOKEN = 7;
     private static final String QUEUE = "/q/";
@@ -55,7 +55,7 @@
     private EventLoop mLoop;
     private FakeLog mLog;
     private JournalStream mOwner;
-    private CallerServiceFixture mNode;
+    private CallerServiceFixture mService;
 
     @BeforeMethod
     public void setUp() throws Exception {
@@ -67,7 +67,7 @@
         RouteSettings queue = new RouteSettings(QUEUE, "h", QUEUE, "s", terms());
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
         orders.put("config", new OperatorOrder.NewConfig(config));
-        mNode = new CallerServiceFixture(mLoop, mClock, timers, mLog, orders);
+        mService = new CallerServiceFixture(mLoop, mClock, timers, mLog, orders);
         mOwner =
                 JournalStream.listen(
                         mLoop,
@@ -77,12 +77,12 @@
                         LinkRate.UNKNOWN,
                         new NoHandover(),
                         new FakeJobQueries());
-        run(mNode::readOperatorOrders);
+        run(mService::readOperatorOrders);
     }
 
     @AfterMethod
     public void tearDown() throws Exception {
-        run(() -> mNode.link().owner(Optional.empty()));
+        run(() -> mService.link().owner(Optional.empty()));
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
@@ -110,7 +110,7 @@
         return mLoop.submit(action).get();
     }
 
-    /** The node follows an owner whose heartbeats say this. */
+    /** Makes the node follow an owner whose heartbeats report this position. */
     private void followOwner(JournalPosition position) throws Exception {
         InetSocketAddress address = call(mOwner::address);
         run(
@@ -118,9 +118,9 @@
                     long longAgo = mClock.nowMs() - 10_000;
                     mOwner.ownershipAcquired(
                             TOKEN, new FixedJournalStatus(position, longAgo, 0), () -> false);
-                    mNode.link().owner(Optional.of(new KnownOwner(TOKEN, address)));
+                    mService.link().owner(Optional.of(new KnownOwner(TOKEN, address)));
                 });
-        while (!call(mNode.link()::isOpen)) {
+        while (!call(mService.link()::isOpen)) {
             Thread.onSpinWait();
         }
     }
@@ -149,14 +149,14 @@
 
     private String pending() throws Exception {
         List<HttpReply> replies =
-                call(() -> mNode.send("GET", QUEUE, new byte[0], Optional.empty()));
+                call(() -> mService.send("GET", QUEUE, new byte[0], Optional.empty()));
         while (call(replies::isEmpty)) {
             run(mLog::answer);
         }
         return new String(replies.get(0).body(), StandardCharsets.UTF_8);
     }
 
-    /** Guards against a number that is as old as the last read of an owner whose reads fail. */
+    /** Guards against a count as old as the last read of an owner whose reads fail. */
     @Test(timeOut = 60_000)
     public void anOwnerThatStoppedReadingDoesNotMakeItsFollowersUpToDate() throws Exception {
         mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
@@ -165,14 +165,14 @@
         assertEquals(pending(), "{\"pending\":1}");
     }
 
-    /** Guards against a record of the spare partition that hides missing ones of the first. */
+    /** Guards against a record of a spare partition that hides missing ones of the first. */
     @Test(timeOut = 60_000)
     public void aRecordOfOnePartitionDoesNotMakeTheNodeUpToDate() throws Exception {
         mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
         mLog.records(SPARE).add(acceptedJob("00000000000000bb"));
         followOwner(new JournalPosition(List.of(1L, 1L, 0L)));
         run(() -> mOwner.recordRead(1, 0, acceptedJob("00000000000000bb")));
-        while (!call(() -> mNode.reader().hasRead(1, 0))) {
+        while (!call(() -> mService.reader().hasRead(1, 0))) {
             Thread.onSpinWait();
         }
 
