--- a/foxtail-node/src/main/java/org/foxtailplank/node/Clock.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Clock.java
@@ -2,10 +2,10 @@
 
 import org.foxtailplank.lease.Moment;
 
-/** The times that a node goes by. */
+/** Source of monotonic and wall-clock time. */
 public interface Clock {
 
-    /** The clock of this process. */
+    /** Returns the system clock. */
     static Clock system() {
         return new Clock() {
             private static final long NANOS_PER_MS = 1_000_000;
@@ -22,13 +22,13 @@
         };
     }
 
-    /** Milliseconds of a steady clock. */
+    /** Returns the milliseconds of a monotonic clock. */
     long nowMs();
 
-    /** Milliseconds since 1970. */
+    /** Returns the milliseconds since the Unix epoch. */
     long wallMs();
 
-    /** Both times of now. */
+    /** Returns the current time on both clocks. */
     default Moment moment() {
         return new Moment(nowMs(), wallMs());
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.node;
 
-/** A share of a node's network link, as a token bucket of bytes. */
+/** Token bucket that limits traffic to a share of a node's network link. */
 public final class LinkBudget {
     private static final double BITS_PER_BYTE = 8;
     private static final double BITS_PER_MEGABIT = 1e6;
@@ -12,23 +12,23 @@
     private long mLastRefillMs;
 
     /**
-     * A budget; a link of which nothing is known has none.
+     * Creates a full bucket; a link of unknown rate is not limited.
      *
-     * @param share part of the link, 0 to 1
+     * @param share share of the link, 0 to 1
      * @param burstMs time whose share may be used at once, in milliseconds
-     * @param leastBurst bytes that may be used at once on any link
+     * @param minBurstBytes bytes that may be used at once on any link
      */
-    public LinkBudget(LinkRate link, double share, long burstMs, int leastBurst, long nowMs) {
+    public LinkBudget(LinkRate link, double share, long burstMs, int minBurstBytes, long nowMs) {
         boolean unknown = link.equals(LinkRate.UNKNOWN);
         double bitsPerS = link.megabitsPerS() * BITS_PER_MEGABIT;
         mBytesPerMs =
                 unknown ? Double.POSITIVE_INFINITY : share * bitsPerS / BITS_PER_BYTE / MS_PER_S;
-        mCapacityBytes = Math.max(leastBurst, mBytesPerMs * burstMs);
+        mCapacityBytes = Math.max(minBurstBytes, mBytesPerMs * burstMs);
         mAvailableBytes = mCapacityBytes;
         mLastRefillMs = nowMs;
     }
 
-    /** Takes bytes off the budget; whether they may be sent now. */
+    /** Takes bytes from the bucket and returns true, or returns false if it holds too few. */
     public boolean take(long bytes, long nowMs) {
         if (mBytesPerMs == Double.POSITIVE_INFINITY) {
             return true;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
@@ -1,44 +1,43 @@
 package org.foxtailplank.node;
 
 /**
- * How much a node's network link carries.
+ * Bandwidth of a node's network link.
  *
- * @param megabitsPerS megabits a second; 0 where the settings say nothing
+ * @param megabitsPerS megabits per second; 0 if the settings don't name it
  */
 public record LinkRate(double megabitsPerS) {
-    /** A link of which nothing is known. */
+    /** A link of unknown rate. */
     public static final LinkRate UNKNOWN = new LinkRate(0);
 
     /**
-     * On a link of this rate an owner has room for what it sends, in megabits a second: about as
-     * much as it sends to forty nodes in a queue's turn, by the number and size of the records.
+     * Rate at which a link carries all traffic of an owner, in megabits per second: about what the
+     * owner of forty nodes sends during a burst of jobs.
      */
     private static final double AMPLE_MEGABITS_PER_S = 100;
 
     /**
-     * Longest time that a node lets others go ahead, in milliseconds: twice the time over which the
-     * tries of nodes spread.
+     * Longest delay before a node with a narrow link tries to take ownership, in milliseconds:
+     * twice the random spread of such attempts.
      */
     private static final long MAX_YIELD_MS = 600;
 
     public LinkRate {
         if (!(megabitsPerS >= 0)) {
-            throw new IllegalArgumentException("no rate: " + megabitsPerS);
+            throw new IllegalArgumentException("invalid link rate in Mbit/s: " + megabitsPerS);
         }
     }
 
-    /** Whether an owner with this link has room for what it sends, as far as is known. */
+    /** Returns whether this link carries the traffic of an owner; true if its rate is unknown. */
     public boolean isAmple() {
         return yieldMs() == 0;
     }
 
     /**
-     * How long a node with this link lets others take an owner's place first, in milliseconds.
+     * Returns how long a node with this link waits before it tries to take ownership, in
+     * milliseconds, so that nodes with ample links go first.
      *
-     * <p>Guards against an owner whose link is full: it sends the journal to all other nodes and
-     * each task's text to a worker, and in a queue's turn its appends, looks and orders time out
-     * while jobs wait. A node whose link is not ample tries after those that have one, and at last
-     * all the same.
+     * <p>An owner sends the journal to all other nodes and each task's text to a worker. On a
+     * narrow link its appends and its calls to workers would time out during a burst of jobs.
      */
     public long yieldMs() {
         if (equals(UNKNOWN)) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -33,42 +33,40 @@
 import org.foxtailplank.node.peer.OwnerLink;
 import org.foxtailplank.port.SharedLog;
 
-/** One node, put together; all of it runs on one event loop's thread. */
+/** Assembles the components of one node; all of them run on one event loop thread. */
 public final class Node {
     private static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** Largest body of a caller's request, in bytes: the text, and steps by the hundred. */
+    /** Largest body of a caller's request, in bytes: a job's text and hundreds of steps. */
     private static final int MAX_BODY_BYTES = 256 << 10;
 
-    /** How long a connection may take to open, in milliseconds: some round trips. */
     private static final int CONNECT_TIMEOUT_MS = 400;
 
-    /** Most connections to the store: waiting reads, appends and refreshes at a time; VMs alike. */
+    /** Connections to the store: long polls, appends and refreshes; the same to the VM service. */
     private static final int STORE_CONNECTIONS = 12;
 
-    /** Most connections to one worker: a waiting look and starts side by side. */
+    /** Connections to one worker: a long poll and concurrent starts. */
     private static final int WORKER_CONNECTIONS = 6;
 
-    /** A node that could not read the journal for so long sends callers elsewhere. */
+    /** A node whose last read is older than this, in milliseconds, isn't ready for callers. */
     private static final long MAX_READ_AGE_MS = 2500;
 
-    /** How often ended jobs are looked through, in milliseconds. */
+    /** Interval at which ended jobs are removed, in milliseconds. */
     private static final long CLEANUP_INTERVAL_MS = 5000;
 
-    /** How long a leaving owner waits for the store, in milliseconds: some of its answers. */
-    private static final long LEAVE_TIMEOUT_MS = 150;
+    /** How long a resigning owner waits for the store, in milliseconds. */
+    private static final long RESIGN_TIMEOUT_MS = 150;
 
-    /** How often a stopping node looks whether it has answered everything, in milliseconds. */
     private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
-    /** How often an owner looks whether it gives its place up for its link's sake. */
+    /** How often an owner checks whether to resign because of its narrow link. */
     private static final long NARROW_CHECK_INTERVAL_MS = 200;
 
-    /** Kept of the grace time for the end of the process, in milliseconds. */
+    /** Part of the grace period reserved for the end of the process, in milliseconds. */
     private static final long EXIT_MARGIN_MS = 700;
 
-    /** How long a stopping node goes on listening: callers are sent elsewhere by then. */
+    /** How long a stopping node keeps listening, until callers are routed to other nodes. */
     private static final long MIN_LISTEN_MS = 2500;
 
     private final Clock mClock;
@@ -105,7 +103,7 @@
                         AdapterLimits.DEFAULTS,
                         clock::nowMs);
         SharedLog shared = mPlatform.log();
-        JobBook book = new JobBook(settings.journal().statusMs());
+        JobBook book = new JobBook(settings.journal().endedJobRetentionMs());
         mOperator = new OperatorFollower(mPlatform.operatorOrders(), clock, timers, log);
         mReader =
                 new JournalReader(
@@ -138,7 +136,7 @@
                         this::ownershipAcquired);
     }
 
-    /** Records that other nodes hand over: stored only while this node owns. */
+    /** Stores records locally while this node owns, and rejects them otherwise. */
     private final class LocalHandover implements Handover {
         @Override
         public boolean isOpen() {
@@ -147,13 +145,14 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
             mOwner.ifPresentOrElse(
-                    o -> o.handedOver(record, then), () -> then.accept(StoreOutcome.NOT_STORED));
+                    o -> o.handedOver(record, callback),
+                    () -> callback.accept(StoreOutcome.NOT_STORED));
         }
     }
 
-    /** Records of this node's callers: to the owner, wherever it is. */
+    /** Hands records over to the current owner, which may be this node. */
     private final class RoutedHandover implements Handover {
         private final Handover mLocal = new LocalHandover();
 
@@ -167,8 +166,8 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            target().handOver(record, then);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            target().handOver(record, callback);
         }
     }
 
@@ -176,7 +175,7 @@
         return new OwnBook(mReader, mClock, () -> mOwner.map(OwnerWork::isLoaded).orElse(false));
     }
 
-    /** The owner's book, wherever it is. */
+    /** Queries the current owner, which may be this node. */
     private final class RoutedJobQueries implements OwnerBook {
         private final OwnerBook mLocal = localJobQueries();
 
@@ -185,17 +184,17 @@
         }
 
         @Override
-        public void phase(String job, Consumer<Optional<JobPhase>> then) {
-            target().phase(job, then);
+        public void phase(String job, Consumer<Optional<JobPhase>> callback) {
+            target().phase(job, callback);
         }
 
         @Override
-        public void pending(String queue, Consumer<Optional<Integer>> then) {
-            target().pending(queue, then);
+        public void pending(String queue, Consumer<Optional<Integer>> callback) {
+            target().pending(queue, callback);
         }
     }
 
-    /** Listens; called on any thread but the event loop's, which would wait for itself. */
+    /** Binds all servers; must not be called on the event loop thread, which would deadlock. */
     public void listen() throws IOException {
         CallerService service =
                 new CallerService(
@@ -225,19 +224,19 @@
     }
 
     /**
-     * Settings have changed. Bounds hold from now on, for the owner from its next take-over;
-     * addresses that this node listens on stay until it is started again.
+     * Applies changed settings. Limits take effect at once, or at the next take-over if they
+     * concern the owner. Listen addresses take effect after a restart.
      */
     public void updateSettings(NodeSettings settings) {
         mSettings = settings;
     }
 
-    /** Where callers' requests arrive. */
+    /** Returns the address at which callers' requests arrive. */
     public InetSocketAddress callers() {
         return mCallerServer.address();
     }
 
-    /** Begins to work; called on the event loop's thread. */
+    /** Starts the node; called on the event loop thread. */
     public void start() {
         mLog.line("start")
                 .with("node", mSettings.name())
@@ -261,11 +260,11 @@
         mOwner.ifPresent(o -> o.recorded(record, job));
     }
 
-    /** Whether this node would be a better owner than one with a narrow link. */
+    /** Returns whether this node can replace an owner on a narrow link. */
     private boolean isStandby() {
-        boolean reads =
+        boolean current =
                 mReader.isCaughtUp() && mClock.nowMs() - mReader.lastReadMs() < MAX_READ_AGE_MS;
-        return mSettings.link().isAmple() && reads && !mStopping;
+        return mSettings.link().isAmple() && current && !mStopping;
     }
 
     private void checkNarrowLink() {
@@ -311,9 +310,8 @@
     }
 
     /**
-     * Whether new callers are welcome. A node that still reads the journal serves them through the
-     * owner; without that, most of a zone's nodes would be out of service for seconds after all
-     * were lost, as long as their links take to carry the journal.
+     * Returns whether new callers may be routed here. A node that is still reading the journal is
+     * ready while it can query the owner, so that nodes are available soon after a full restart.
      */
     private boolean isReady() {
         long now = mClock.nowMs();
@@ -331,8 +329,8 @@
     }
 
     /**
-     * A planned stop. New callers are sent elsewhere, those that are connected are answered to the
-     * last request, and another node may own the jobs at once.
+     * Shuts down gracefully: resigns ownership, stops accepting callers and finishes requests that
+     * are in flight.
      */
     public void stop(Runnable ended) {
         mStopping = true;
@@ -346,19 +344,19 @@
     }
 
     /**
-     * Followers are told that nobody owns once the journal says so: the next owner then finds its
-     * predecessor gone and takes over at once. A store that doesn't answer is not waited for; if it
-     * answers late, this node may own again.
+     * Records the resignation in the journal, then disconnects the followers, so that the next
+     * owner can take over at once. If the store doesn't answer in time, the followers are
+     * disconnected anyway; a late answer is ignored if this node owns again.
      */
     private void resign(OwnerWork owner) {
-        Runnable disown =
+        Runnable disconnect =
                 () -> {
                     if (mOwner.isEmpty()) {
                         mStream.ownershipLost();
                     }
                 };
-        owner.leave(disown);
-        mTimers.after(LEAVE_TIMEOUT_MS, disown);
+        owner.leave(disconnect);
+        mTimers.after(RESIGN_TIMEOUT_MS, disconnect);
     }
 
     private void drain(long listenUntilMs, long endMs, Runnable ended) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
@@ -14,7 +14,7 @@
 
 /** Starts a node: {@code foxtail-node [SETTINGS]}. */
 public final class NodeMain {
-    /** Names the settings file where the command line doesn't. */
+    /** Environment variable with the settings file, if the command line doesn't name one. */
     private static final String SETTINGS_VARIABLE = "FOXTAILPLANK_CONFIG";
 
     private static final int EXIT_USAGE = 2;
@@ -32,7 +32,8 @@
         try {
             settings = NodeSettingsReader.read(Path.of(file));
         } catch (SettingsException | IOException e) {
-            System.err.println("foxtail-node: settings " + file + ": " + e.getMessage());
+            System.err.println(
+                    "foxtail-node: cannot read settings " + file + ": " + e.getMessage());
             System.exit(EXIT_USAGE);
         }
         run(Path.of(file), settings);
@@ -63,7 +64,7 @@
         start(node, loop, log);
         SettingsWatch watch = new SettingsWatch(file, settings, timers, log, node::updateSettings);
         loop.execute(watch::watch);
-        // Without a handler of its own this signal would end the process.
+        // The default action of SIGHUP would end the process.
         Signal.handle(new Signal("HUP"), s -> loop.execute(() -> watch.reload("signal")));
     }
 
@@ -78,7 +79,7 @@
         }
     }
 
-    /** A broken invariant ends the process: another node goes on from what is stored. */
+    /** Ends the process on an unchecked exception; another node recovers from the journal. */
     private static Runnable failingFast(NodeLog log, Runnable action) {
         return () -> {
             try {
@@ -96,7 +97,7 @@
         Runtime.getRuntime().halt(EXIT_FAILURE);
     }
 
-    /** Spares Netty the search for a logging library and for a network card's address. */
+    /** Presets Netty's logging and machine ID to save its start-up detection. */
     public static void quietNetty() {
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("io.netty.processId", "1");
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeMetrics.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeMetrics.java
@@ -6,21 +6,21 @@
 import com.codahale.metrics.Snapshot;
 import java.util.Map;
 
-/** Counters and histograms of a node, and their text. */
+/** Counters and histograms of a node, with their text format. */
 public final class NodeMetrics {
     private final MetricRegistry mRegistry = new MetricRegistry();
 
-    /** A counter of this name. */
+    /** Returns the counter of this name, which is created if absent. */
     public Counter counter(String name) {
         return mRegistry.counter(name);
     }
 
-    /** A histogram of milliseconds. */
+    /** Returns the latency histogram of this name, in milliseconds; created if absent. */
     public Histogram latency(String name) {
         return mRegistry.histogram(name);
     }
 
-    /** One line a value. */
+    /** Formats all metrics, one value per line. */
     public String text() {
         StringBuilder out = new StringBuilder();
         for (Map.Entry<String, Counter> e : mRegistry.getCounters().entrySet()) {
@@ -36,7 +36,7 @@
         return out.toString();
     }
 
-    private static void appendLine(StringBuilder out, String name, String part, double value) {
-        out.append("foxtail_").append(name).append(part).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder out, String name, String suffix, double value) {
+        out.append("foxtail_").append(name).append(suffix).append(' ').append(value).append('\n');
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettings.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettings.java
@@ -10,19 +10,19 @@
 /**
  * Settings of a node.
  *
- * @param name its name
- * @param zone its availability zone
- * @param callers where callers' requests arrive
- * @param readiness where the platform asks whether callers may be sent here
- * @param metrics where metrics are read
- * @param peers where other nodes connect to this one
+ * @param name name of the node
+ * @param zone availability zone of the node
+ * @param callers listen address for callers' requests
+ * @param readiness listen address for the platform's readiness checks
+ * @param metrics listen address for metrics
+ * @param peers listen address for connections of other nodes
  * @param platform addresses of the platform's services
- * @param journal bounds for what is kept on the platform
- * @param schedule bounds for the scheduler
- * @param vmTokensChecked whether the VM service itself refuses an owner's token that is lower than
- *     one that it has seen
- * @param link what its network link carries
- * @param graceMs time between the signal to stop and the end of the process, in milliseconds
+ * @param journal limits for what is kept on the platform
+ * @param schedule limits for the scheduler
+ * @param vmTokensChecked whether the VM service itself rejects fencing tokens lower than the
+ *     highest one that it has seen
+ * @param link bandwidth of the node's network link
+ * @param graceMs time from the stop signal to the end of the process, in milliseconds
  */
 public record NodeSettings(
         String name,
@@ -39,21 +39,21 @@
         long graceMs) {
 
     /**
-     * Bounds for the journal; times in milliseconds.
+     * Limits for the journal; times in milliseconds.
      *
-     * @param keepMs how long the platform keeps a record
-     * @param statusMs how long an ended job can be asked for
-     * @param parts partitions of a topic of the shared log
+     * @param keepMs how long the platform retains a record
+     * @param endedJobRetentionMs how long an ended job can be queried
+     * @param partitionCount number of partitions of a topic on the shared log
      */
-    public record JournalBounds(long keepMs, long statusMs, int parts) {
+    public record JournalBounds(long keepMs, long endedJobRetentionMs, int partitionCount) {
 
-        /** The journal's partitions, the first one first. */
+        /** Returns the journal's partitions in order. */
         public List<LogPartition> partitions() {
-            return JournalPartition.all(parts);
+            return JournalPartition.all(partitionCount);
         }
     }
 
-    /** Where other nodes reach this one, as {@code ip:port}. */
+    /** Returns the address at which other nodes reach this one, as {@code ip:port}. */
     public String peerAddress() {
         return peers.getAddress().getHostAddress() + ':' + peers.getPort();
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
@@ -12,7 +12,7 @@
 import org.foxtailplank.adapter.UsersPlatform.PlatformAddresses;
 import org.foxtailplank.schedule.ScheduleLimits;
 
-/** Reads a node's settings: JSON with comments; unknown fields are passed over. */
+/** Parses a node's settings: JSON with comments. Unknown fields are ignored. */
 public final class NodeSettingsReader {
     private static final double MS_PER_S = 1000;
     private static final int MAX_PORT = 65_535;
@@ -25,12 +25,12 @@
         mTree = tree;
     }
 
-    /** Reads a file. */
+    /** Reads settings from a file. */
     public static NodeSettings read(Path file) throws SettingsException, IOException {
         return parse(Files.readString(file));
     }
 
-    /** Reads text. */
+    /** Parses the text of a settings file. */
     public static NodeSettings parse(String text) throws SettingsException {
         JsonMapper mapper =
                 JsonMapper.builder().configure(JsonParser.Feature.ALLOW_COMMENTS, true).build();
@@ -43,7 +43,7 @@
             }
             return settings;
         } catch (IOException e) {
-            throw new SettingsException(List.of("no JSON with comments: " + e.getMessage()));
+            throw new SettingsException(List.of("settings are not valid JSON: " + e.getMessage()));
         }
     }
 
@@ -90,12 +90,12 @@
     private boolean flag(String path) {
         JsonNode value = mTree.at(path);
         if (!value.isBoolean()) {
-            mProblems.add(path + " is neither true nor false");
+            mProblems.add(path + " must be true or false");
         }
         return value.asBoolean(false);
     }
 
-    /** Workers are called; another way of giving them orders than this default isn't known. */
+    /** Rejects order modes other than calls to workers, which is the only and default one. */
     private void checkOrderMode(String path) {
         String value = mTree.at(path).asText("");
         if (!value.isEmpty() && !value.equals(CALL_MODE)) {
@@ -106,13 +106,13 @@
     private double number(String path) {
         JsonNode value = mTree.at(path);
         if (!value.isNumber() || value.asDouble() < 0) {
-            mProblems.add(path + " is no number from 0 on");
+            mProblems.add(path + " must be a number of at least 0");
             return 0;
         }
         return value.asDouble();
     }
 
-    /** The rate of the node's link; it isn't known on every platform. */
+    /** Reads the link rate, which is optional since not every platform provides it. */
     private LinkRate link(String path) {
         return mTree.at(path).isMissingNode() ? LinkRate.UNKNOWN : new LinkRate(number(path));
     }
@@ -120,7 +120,7 @@
     private int positiveInt(String path) {
         int value = (int) number(path);
         if (value < 1) {
-            mProblems.add(path + " is less than 1");
+            mProblems.add(path + " must be at least 1");
         }
         return Math.max(1, value);
     }
@@ -129,7 +129,7 @@
         return (long) (number(path) * MS_PER_S);
     }
 
-    /** The text of an address that can be read as one. */
+    /** Returns the text of an address after checking that it is valid. */
     private String addressText(String path) {
         address(path);
         return mTree.at(path).asText("");
@@ -144,9 +144,9 @@
                 return new InetSocketAddress(value.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Falls through to the problem below, which names the value.
+            // Reported below, together with ports out of range.
         }
-        mProblems.add(path + " is no ip:port: '" + value + "'");
+        mProblems.add(path + " must be ip:port but is '" + value + "'");
         return new InetSocketAddress(0);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
@@ -11,12 +11,12 @@
 import org.foxtailplank.port.WaveOrder;
 import org.foxtailplank.schedule.DueWave;
 
-/** Follows what the operator writes: the configuration in force and the waves. */
+/** Follows the operator's orders: the current configuration and the maintenance waves. */
 public final class OperatorFollower {
-    /** How long a read waits for news, in milliseconds; a dead connection shows soon after. */
+    /** Wait time of a long poll, in milliseconds; bounds how late a dead connection is noticed. */
     private static final long POLL_WAIT_MS = 800;
 
-    /** Pause after a failed read, in milliseconds. */
+    /** Delay after a failed read, in milliseconds. */
     private static final long RETRY_MS = 150;
 
     private final Feed<OperatorOrder> mFeed;
@@ -37,22 +37,22 @@
         mLog = log;
     }
 
-    /** The newest configuration. */
+    /** Returns the newest configuration read. */
     public Optional<FleetConfig> config() {
         return mConfig;
     }
 
-    /** All waves by their numbers. */
+    /** Returns all waves by number. */
     public Map<Long, DueWave> waves() {
         return mWaves;
     }
 
-    /** When the store last answered. */
+    /** Returns when a read last succeeded. */
     public long lastReadMs() {
         return mLastReadMs;
     }
 
-    /** Begins to follow; goes on for ever. */
+    /** Starts polling, which never ends. */
     public void follow() {
         if (mPosition < 0) {
             mFeed.newest(this::pollCompleted);
@@ -70,23 +70,23 @@
         }
     }
 
-    /** Reads what there is now, then says whether that worked. */
-    public void refresh(Consumer<Boolean> then) {
-        Consumer<Feed.Result<OperatorOrder>> taken =
+    /** Reads all orders written so far, then reports whether that succeeded. */
+    public void refresh(Consumer<Boolean> callback) {
+        Consumer<Feed.Result<OperatorOrder>> listener =
                 r -> {
                     apply(r);
-                    then.accept(r instanceof Feed.Page);
+                    callback.accept(r instanceof Feed.Page);
                 };
         if (mPosition < 0) {
-            mFeed.newest(taken);
+            mFeed.newest(listener);
         } else {
-            mFeed.changes(mPosition, 0, taken);
+            mFeed.changes(mPosition, 0, listener);
         }
     }
 
     private void apply(Feed.Result<OperatorOrder> result) {
         if (result instanceof Feed.Gap) {
-            // The history was dropped: the newest values tell all that counts.
+            // The changes are no longer available: the next read fetches the newest values.
             mPosition = -1;
         } else if (result instanceof Feed.Page<OperatorOrder> page) {
             mLastReadMs = mClock.nowMs();
@@ -96,7 +96,7 @@
         }
     }
 
-    /** An order that can't be read is another writer's; what the operator said last stays. */
+    /** Ignores unreadable orders, which leave the last readable value in force. */
     private void apply(Feed.Item<OperatorOrder> item) {
         if (!item.readable()) {
             mLog.line("order-unreadable").with("key", item.key()).write();
@@ -104,10 +104,10 @@
         item.value().ifPresent(this::apply);
     }
 
-    /** A wave that was ordered before this node started may be half over already. */
+    /** Gives a wave ordered before this node started only half of its duration. */
     private DueWave dueWave(WaveOrder wave) {
-        long left = mFirstPageRead ? wave.durationMs() : wave.durationMs() / 2;
-        return new DueWave(wave, mClock.nowMs() + left);
+        long remainingMs = mFirstPageRead ? wave.durationMs() : wave.durationMs() / 2;
+        return new DueWave(wave, mClock.nowMs() + remainingMs);
     }
 
     private void apply(OperatorOrder order) {
@@ -124,7 +124,7 @@
             return;
         }
         FleetConfig config = ((OperatorOrder.NewConfig) order).config();
-        // Versions rise; an older one may still arrive from a read that was on its way.
+        // Concurrent reads may deliver an older version late.
         if (mConfig.isEmpty() || config.version() > mConfig.get().version()) {
             mConfig = Optional.of(config);
             mLog.line("config")
--- a/foxtail-node/src/main/java/org/foxtailplank/node/SettingsException.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings that can't be used; the message names all that is wrong. */
+/** Thrown for invalid settings; the message lists all problems. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/SettingsWatch.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/SettingsWatch.java
@@ -6,9 +6,8 @@
 import java.util.function.Consumer;
 import org.foxtailplank.node.log.NodeLog;
 
-/** Reads the settings again when a signal says so, or when the file has changed without one. */
+/** Reloads the settings on a signal or when the file has changed. */
 public final class SettingsWatch {
-    /** How often the file is looked at, in milliseconds. */
     private static final long POLL_INTERVAL_MS = 1000;
 
     private final Path mFile;
@@ -23,15 +22,15 @@
             NodeSettings settings,
             Timers timers,
             NodeLog log,
-            Consumer<NodeSettings> changed) {
+            Consumer<NodeSettings> listener) {
         mFile = file;
         mSettings = settings;
         mTimers = timers;
         mLog = log;
-        mListener = changed;
+        mListener = listener;
     }
 
-    /** Begins to look. */
+    /** Starts polling the file's modification time. */
     public void watch() {
         mTimers.after(POLL_INTERVAL_MS, this::poll);
     }
@@ -45,18 +44,18 @@
         }
     }
 
-    /** Reads the file; settings that are wrong change nothing. */
+    /** Reloads the file; invalid settings are logged and change nothing. */
     public void reload(String why) {
         String outcome;
         try {
             NodeSettings read = NodeSettingsReader.parse(Files.readString(mFile));
-            outcome = read.equals(mSettings) ? "the same" : "in force";
+            outcome = read.equals(mSettings) ? "unchanged" : "applied";
             if (!read.equals(mSettings)) {
                 mSettings = read;
                 mListener.accept(read);
             }
         } catch (SettingsException | IOException e) {
-            outcome = "kept the old ones: " + e.getMessage();
+            outcome = "rejected: " + e.getMessage();
         }
         mLog.line("reload").with("why", why).with("outcome", outcome).write();
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Timers.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Timers.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.node;
 
-/** Runs something later on the node's thread. */
+/** Schedules actions on the node's event loop thread. */
 @FunctionalInterface
 public interface Timers {
 
-    /** Runs something after so many milliseconds. */
+    /** Runs an action after a delay in milliseconds. */
     void after(long delayMs, Runnable action);
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/package-info.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/package-info.java
@@ -1,6 +1,7 @@
 /**
- * One node: it takes callers' jobs, and one node at a time owns them all and orders the workers.
+ * A node of the system. Every node accepts callers' jobs; one at a time owns all jobs and sends
+ * orders to the workers.
  *
- * <p>{@code Node} puts the parts together; all of them run on one thread.
+ * <p>{@code Node} assembles the components, which all run on one event loop thread.
  */
 package org.foxtailplank.node;
--- a/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
@@ -6,8 +6,8 @@
 import org.foxtailplank.port.SharedLog;
 
 /**
- * A shared log behind a link that carries so many bytes a second. Pages come one after the other;
- * one that isn't there in time is given up, and what it was to carry is not sent any more.
+ * A shared log behind a link of limited bandwidth. Pages are transferred one after the other. A
+ * read that can't complete in time fails and uses no bandwidth.
  */
 public final class BandwidthLimitedLog implements SharedLog {
     private static final long READ_TIMEOUT_MS = 1000;
@@ -19,14 +19,14 @@
     private long mLinkFreeMs;
     private long mTransferredBytes;
 
-    /** A link of this rate to a log, whose appends cost nothing. */
-    public BandwidthLimitedLog(FakeLog log, FakeNode time, double bytesPerS) {
+    /** Limits reads of a log to this rate; appends are not limited. */
+    public BandwidthLimitedLog(FakeLog log, FakeNode clock, double bytesPerS) {
         mLog = log;
-        mClock = time;
+        mClock = clock;
         mBytesPerMs = bytesPerS / MS_PER_S;
     }
 
-    /** Bytes of records that it has carried. */
+    /** Returns the bytes of all records transferred. */
     public long transferredBytes() {
         return mTransferredBytes;
     }
@@ -40,14 +40,14 @@
     private void deliver(ReadResult result, Consumer<ReadResult> then) {
         long now = mClock.nowMs();
         long bytes = result instanceof Records r ? bytes(r) : 0;
-        long arrivesMs = Math.max(now, mLinkFreeMs) + 1 + (long) (bytes / mBytesPerMs);
-        if (arrivesMs - now > READ_TIMEOUT_MS) {
+        long arrivalMs = Math.max(now, mLinkFreeMs) + 1 + (long) (bytes / mBytesPerMs);
+        if (arrivalMs - now > READ_TIMEOUT_MS) {
             mClock.after(READ_TIMEOUT_MS, () -> then.accept(new ReadFailed("timeout")));
             return;
         }
-        mLinkFreeMs = arrivesMs;
+        mLinkFreeMs = arrivalMs;
         mTransferredBytes += bytes;
-        mClock.after(arrivesMs - now, () -> then.accept(result));
+        mClock.after(arrivalMs - now, () -> then.accept(result));
     }
 
     private static long bytes(Records page) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
@@ -6,22 +6,22 @@
 import java.util.function.Consumer;
 import org.foxtailplank.port.Feed;
 
-/** A feed that tells at the next read what the test has put into it. */
+/** A feed whose next read returns the items that a test has added. */
 public final class FakeFeed<T> implements Feed<T> {
     private final List<Item<T>> mItems = new ArrayList<>();
     private long mNext;
 
-    /** A value under a key. */
+    /** Adds a value for a key. */
     public void put(String key, T value) {
         mItems.add(new Item<>(key, Optional.of(value)));
     }
 
-    /** The key is dropped. */
+    /** Adds the deletion of a key. */
     public void drop(String key) {
         mItems.add(new Item<>(key, Optional.empty()));
     }
 
-    /** Another writer's record under a key. */
+    /** Adds an unreadable record for a key, as another writer's. */
     public void putForeign(String key) {
         mItems.add(Item.unreadable(key));
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
@@ -13,23 +13,23 @@
 import org.foxtailplank.port.SharedLog;
 
 /**
- * A shared log in memory. Answers are held until a test lets them go, and the next appends can be
- * told to fail; it refuses what the platform's store refuses.
+ * In-memory shared log. Answers are held back until a test delivers them, and tests can make
+ * appends and reads fail. It rejects the same appends as the platform's store.
  */
 public final class FakeLog implements SharedLog {
-    /** What happens to an append. */
+    /** Outcome of an append. */
     public enum Fate {
-        /** It is stored and answered. */
+        /** Stored, and confirmed. */
         STORED,
-        /** Nothing is stored, and that is answered. */
+        /** Not stored, and rejected with an answer. */
         REFUSED,
-        /** It is stored, and the answer is lost. */
+        /** Stored, but reported as unknown. */
         ANSWER_LOST,
-        /** Nothing is stored, and nobody says so. */
+        /** Not stored, and reported as unknown. */
         LOST,
-        /** It is stored, and there is no answer at all. */
+        /** Stored, and never answered. */
         SILENT,
-        /** Nobody says anything, and it is carried out when the test lets late ones go. */
+        /** Reported as unknown, and stored by {@link #carryOutLate}. */
         LATE
     }
 
@@ -41,19 +41,19 @@
     private final Set<LogPartition> mUnavailable = new HashSet<>();
     private int mMaxAnswerBytes = Integer.MAX_VALUE;
 
-    /** The fenced writer of a partition, as the store remembers it. */
+    /** The store's state of a partition's fenced writer. */
     private static final class Writer {
         long mEpoch;
         long mSequence = -1;
         AppendResult mLast = new Stored(0, 0);
     }
 
-    /** What happens to the next appends, in order; all others are stored. */
+    /** Sets the outcomes of the next appends, in order; later ones are stored. */
     public void next(Fate... fates) {
         mScriptedFates.addAll(List.of(fates));
     }
 
-    /** A partition refuses all calls from now on, or works again. */
+    /** Makes a partition reject all calls, or accept them again. */
     public void down(LogPartition partition, boolean down) {
         if (down) {
             mUnavailable.add(partition);
@@ -62,19 +62,19 @@
         }
     }
 
-    /** Answers that are larger than this don't come before a read is given up. */
+    /** Makes reads time out whose answer is larger than this. */
     public void linkCarries(int bytes) {
         mMaxAnswerBytes = bytes;
     }
 
-    /** Carries out the appends that were late. */
+    /** Performs the appends with the outcome {@link Fate#LATE}. */
     public void carryOutLate() {
         while (!mLateAppends.isEmpty()) {
             mLateAppends.poll().run();
         }
     }
 
-    /** Answers what waits, and what that leads to. */
+    /** Delivers all held answers, and those to calls that they cause. */
     public void answer() {
         while (!mPendingAnswers.isEmpty()) {
             mPendingAnswers.poll().run();
@@ -132,10 +132,10 @@
     }
 
     private AppendResult store(LogPartition at, List<byte[]> records) {
-        List<byte[]> all = records(at);
-        long first = all.size();
-        all.addAll(records);
-        return new Stored(first, all.size());
+        List<byte[]> stored = records(at);
+        long first = stored.size();
+        stored.addAll(records);
+        return new Stored(first, stored.size());
     }
 
     private interface Attempt {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeNode.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeNode.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A clock that tests move, with the timers that go by it. */
+/** A manually advanced clock with its timers. */
 public final class FakeNode implements Clock, Timers {
     private static final long WALL_MS = 1_700_000_000_000L;
 
@@ -28,7 +28,7 @@
         mDue.add(new Due(mNowMs + delayMs, action));
     }
 
-    /** Lets time pass and runs what falls due, in order. */
+    /** Advances the clock and runs the actions that become due, in order. */
     public void pass(long ms) {
         long end = mNowMs + ms;
         while (true) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
@@ -5,9 +5,8 @@
 
 import org.testng.annotations.Test;
 
-/** What may be sent over a share of a link. */
 public class LinkBudgetTest {
-    /** 12,500 bytes a second, of which half may be used. */
+    /** 12,500 bytes per second. */
     private static final LinkRate VERY_NARROW = new LinkRate(0.1);
 
     private static final double SHARE = 0.5;
@@ -26,7 +25,7 @@
         assertTrue(sent >= 9 * 625_000, sent + " bytes");
     }
 
-    /** Guards against an order that is larger than the burst and waits for ever. */
+    /** Guards against an order larger than the burst that is never sent. */
     @Test
     public void theMinimumBurstIsAvailableOnAnyLink() {
         LinkBudget budget = new LinkBudget(VERY_NARROW, SHARE, BURST_MS, LARGE, 0);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
@@ -7,7 +7,6 @@
 
 import org.testng.annotations.Test;
 
-/** Settings of a node. */
 public class NodeSettingsReaderTest {
     private static final String GOOD =
             "// a comment\n{\"node\":{\"name\":\"n\",\"zone\":\"z\",\"graceS\":6},\"listen\":{"
@@ -40,8 +39,7 @@
 
     @Test
     public void anUnsupportedOrderModeIsRejected() {
-        // The platform is set up so that workers fetch their orders. A node that took no notice
-        // would call workers that never answer, and every job would wait.
+        // On a platform where workers fetch their orders, calls to workers would never be answered.
         String bad =
                 GOOD.replace("\"orders\":\"call\"", "\"orders\":\"heartbeat\"")
                         .replace("\"vmTokensChecked\":false", "\"vmTokensChecked\":7");
@@ -70,8 +68,7 @@
 
     @Test
     public void malformedPlatformAddressesAreReported() {
-        // A node ended with an index out of bounds as it was put together, or as it became the
-        // owner.
+        // Guards against an index out of bounds while the node starts or takes ownership.
         String bad =
                 GOOD.replace("\"store\":\"10.0.0.2:1\"", "\"store\":\"10.0.0.2\"")
                         .replace("\"advice\":\"\"", "\"advice\":\"there\"");
--- a/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
@@ -10,7 +10,6 @@
 import org.foxtailplank.port.WaveOrder;
 import org.testng.annotations.Test;
 
-/** What a node takes from the operator's orders. */
 public class OperatorFollowerTest {
     private static OperatorOrder config(long version) {
         return new OperatorOrder.NewConfig(new FleetConfig(version, List.of(), List.of(), 1000));
@@ -18,11 +17,11 @@
 
     @Test
     public void anUnreadableConfigurationDoesNotReplaceTheLastOne() {
-        // Callers of every queue are told that there is none: the newest configuration is another
-        // writer's, and the one before it would be taken to hold no more.
-        FakeNode time = new FakeNode();
+        // Otherwise callers of every queue would get a 404.
+        FakeNode clock = new FakeNode();
         FakeFeed<OperatorOrder> orders = new FakeFeed<>();
-        OperatorFollower operator = new OperatorFollower(orders, time, time, NodeLog.silent(time));
+        OperatorFollower operator =
+                new OperatorFollower(orders, clock, clock, NodeLog.silent(clock));
         orders.put("config", config(7));
         operator.refresh(read -> {});
         orders.putForeign("config");
