--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -33,43 +33,41 @@
 import org.foxtailplank.node.peer.OwnerLink;
 import org.foxtailplank.port.SharedLog;
 
-/** One node, put together; all of it runs on one event loop's thread. */
+/** Assembles the components of one node; all of them run on one event loop thread. */
 public final class Node {
     private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** Largest body of a caller's request, in bytes: the text, and steps by the hundred. */
+    /** Largest body of a caller's request, in bytes: a job's text and hundreds of steps. */
     private static final int MAX_BODY_BYTES = 256 << 10;
 
-    /** How long a connection may take to open, in milliseconds: some round trips. */
-    private static final int CONNECT_MS = 400;
+    private static final int CONNECT_TIMEOUT_MS = 400;
 
-    /** Most connections to the store: waiting reads, appends and refreshes at a time; VMs alike. */
+    /** Connections to the store: long polls, appends and refreshes; the same to the VM service. */
     private static final int STORE_CONNECTIONS = 12;
 
-    /** Most connections to one worker: a waiting look and starts side by side. */
+    /** Connections to one worker: a long poll and concurrent starts. */
     private static final int WORKER_CONNECTIONS = 6;
 
-    /** A node that could not read the journal for so long sends callers elsewhere. */
-    private static final long STALE_MS = 2500;
+    /** A node whose last read is older than this, in milliseconds, isn't ready for callers. */
+    private static final long MAX_READ_AGE_MS = 2500;
 
-    /** How often ended jobs are looked through, in milliseconds. */
-    private static final long FORGET_MS = 5000;
+    /** Interval at which ended jobs are removed, in milliseconds. */
+    private static final long CLEANUP_INTERVAL_MS = 5000;
 
-    /** How long a leaving owner waits for the store, in milliseconds: some of its answers. */
-    private static final long LEAVE_MS = 150;
+    /** How long a resigning owner waits for the store, in milliseconds. */
+    private static final long RESIGN_TIMEOUT_MS = 150;
 
-    /** How often a stopping node looks whether it has answered everything, in milliseconds. */
-    private static final long DRAIN_CHECK_MS = 20;
+    private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
-    /** How often an owner looks whether it gives its place up for its link's sake. */
-    private static final long NARROW_CHECK_MS = 200;
+    /** How often an owner checks whether to resign because of its narrow link. */
+    private static final long NARROW_CHECK_INTERVAL_MS = 200;
 
-    /** Kept of the grace time for the end of the process, in milliseconds. */
-    private static final long EXIT_MS = 700;
+    /** Part of the grace period reserved for the end of the process, in milliseconds. */
+    private static final long EXIT_MARGIN_MS = 700;
 
-    /** How long a stopping node goes on listening: callers are sent elsewhere by then. */
-    private static final long LISTEN_ON_MS = 2500;
+    /** How long a stopping node keeps listening, until callers are routed to other nodes. */
+    private static final long MIN_LISTEN_MS = 2500;
 
     private final Clock mClock;
     private final Timers mTimers;
@@ -82,10 +80,10 @@
     private final JournalWriter mWriter;
     private final OwnerLink mLink;
     private final Ownership mOwnership;
-    private final NarrowOwner mNarrow;
+    private final NarrowOwner mNarrowOwner;
 
     private Optional<OwnerWork> mOwner = Optional.empty();
-    private HttpServer mCallers;
+    private HttpServer mCallerServer;
     private JournalStream mStream;
     private boolean mStopping;
     private NodeSettings mSettings;
@@ -98,14 +96,14 @@
         mLog = log;
         mPlatform =
                 new UsersPlatform(
-                        new HttpClient(loop, CONNECT_MS, STORE_CONNECTIONS),
-                        new HttpClient(loop, CONNECT_MS, WORKER_CONNECTIONS),
-                        HttpClient.resetting(loop, CONNECT_MS, STORE_CONNECTIONS),
+                        new HttpClient(loop, CONNECT_TIMEOUT_MS, STORE_CONNECTIONS),
+                        new HttpClient(loop, CONNECT_TIMEOUT_MS, WORKER_CONNECTIONS),
+                        HttpClient.resetting(loop, CONNECT_TIMEOUT_MS, STORE_CONNECTIONS),
                         settings.platform(),
                         AdapterLimits.DEFAULTS,
                         clock::nowMs);
         SharedLog shared = mPlatform.log();
-        JobBook book = new JobBook(settings.journal().statusMs());
+        JobBook book = new JobBook(settings.journal().endedJobRetentionMs());
         mOperator = new OperatorFollower(mPlatform.operatorOrders(), clock, timers, log);
         mReader =
                 new JournalReader(
@@ -115,14 +113,14 @@
                         timers,
                         log,
                         book,
-                        this::recorded);
+                        this::recordApplied);
         mLink = new OwnerLink(loop, clock, timers, log, mReader);
         mReader.streaming(mLink::isAlive);
-        mLink.standsBy(this::couldOwn);
-        mNarrow = new NarrowOwner(settings.link());
+        mLink.setStandbyCondition(this::isStandby);
+        mNarrowOwner = new NarrowOwner(settings.link());
         mWriter =
                 new JournalWriter(
-                        shared, JournalPartition.JOURNAL, new OwnerOrLink(), clock, timers, log);
+                        shared, JournalPartition.JOURNAL, new RoutedHandover(), clock, timers, log);
         mOwnership =
                 new Ownership(
                         shared,
@@ -135,11 +133,11 @@
                         settings.link(),
                         mLink,
                         mPlatform.vmActions(),
-                        this::own);
+                        this::ownershipAcquired);
     }
 
-    /** Records that other nodes hand over: stored only while this node owns. */
-    private final class OwnerOnly implements Handover {
+    /** Stores records locally while this node owns, and rejects them otherwise. */
+    private final class LocalHandover implements Handover {
         @Override
         public boolean isOpen() {
             return mOwner.isPresent()
@@ -147,69 +145,70 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
             mOwner.ifPresentOrElse(
-                    o -> o.handedOver(record, then), () -> then.accept(StoreOutcome.NOT_STORED));
+                    o -> o.handedOver(record, callback),
+                    () -> callback.accept(StoreOutcome.NOT_STORED));
         }
     }
 
-    /** Records of this node's callers: to the owner, wherever it is. */
-    private final class OwnerOrLink implements Handover {
-        private final Handover mHere = new OwnerOnly();
+    /** Hands records over to the current owner, which may be this node. */
+    private final class RoutedHandover implements Handover {
+        private final Handover mLocal = new LocalHandover();
 
-        private Handover way() {
-            return mOwner.isPresent() ? mHere : mLink;
+        private Handover target() {
+            return mOwner.isPresent() ? mLocal : mLink;
         }
 
         @Override
         public boolean isOpen() {
-            return way().isOpen();
+            return target().isOpen();
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            way().handOver(record, then);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            target().handOver(record, callback);
         }
     }
 
-    private OwnerBook ownBook() {
+    private OwnerBook localJobQueries() {
         return new OwnBook(mReader, mClock, () -> mOwner.map(OwnerWork::isLoaded).orElse(false));
     }
 
-    /** The owner's book, wherever it is. */
-    private final class OwnBookOrLink implements OwnerBook {
-        private final OwnerBook mHere = ownBook();
+    /** Queries the current owner, which may be this node. */
+    private final class RoutedJobQueries implements OwnerBook {
+        private final OwnerBook mLocal = localJobQueries();
 
-        private OwnerBook way() {
-            return mOwner.isPresent() ? mHere : mLink;
+        private OwnerBook target() {
+            return mOwner.isPresent() ? mLocal : mLink;
         }
 
         @Override
-        public void phase(String job, Consumer<Optional<JobPhase>> then) {
-            way().phase(job, then);
+        public void phase(String job, Consumer<Optional<JobPhase>> callback) {
+            target().phase(job, callback);
         }
 
         @Override
-        public void pending(String queue, Consumer<Optional<Integer>> then) {
-            way().pending(queue, then);
+        public void pending(String queue, Consumer<Optional<Integer>> callback) {
+            target().pending(queue, callback);
         }
     }
 
-    /** Listens; called on any thread but the event loop's, which would wait for itself. */
+    /** Binds all servers; must not be called on the event loop thread, which would deadlock. */
     public void listen() throws IOException {
         CallerService service =
                 new CallerService(
                         mOperator,
                         mReader,
                         mLink,
-                        new OwnBookOrLink(),
+                        new RoutedJobQueries(),
                         mWriter,
                         mPlatform.callerBodies(),
                         mClock,
                         mTimers,
                         mLog,
                         mMetrics);
-        mCallers = HttpServer.bind(mLoop, mSettings.callers(), MAX_BODY_BYTES, service);
+        mCallerServer = HttpServer.bind(mLoop, mSettings.callers(), MAX_BODY_BYTES, service);
         mStream =
                 JournalStream.listen(
                         mLoop,
@@ -217,69 +216,70 @@
                         mClock,
                         mTimers,
                         mSettings.link(),
-                        new OwnerOnly(),
-                        ownBook());
-        mReader.tap(mStream::read);
+                        new LocalHandover(),
+                        localJobQueries());
+        mReader.tap(mStream::recordRead);
         HttpServer.bind(mLoop, mSettings.readiness(), MAX_BODY_BYTES, this::readiness);
         HttpServer.bind(mLoop, mSettings.metrics(), MAX_BODY_BYTES, this::metrics);
     }
 
     /**
-     * Settings have changed. Bounds hold from now on, for the owner from its next take-over;
-     * addresses that this node listens on stay until it is started again.
+     * Applies changed settings. Limits take effect at once, or at the next take-over if they
+     * concern the owner. Listen addresses take effect after a restart.
      */
-    public void settings(NodeSettings settings) {
+    public void updateSettings(NodeSettings settings) {
         mSettings = settings;
     }
 
-    /** Where callers' requests arrive. */
+    /** Returns the address at which callers' requests arrive. */
     public InetSocketAddress callers() {
-        return mCallers.address();
+        return mCallerServer.address();
     }
 
-    /** Begins to work; called on the event loop's thread. */
+    /** Starts the node; called on the event loop thread. */
     public void start() {
         mLog.line("start")
                 .with("node", mSettings.name())
                 .with("zone", mSettings.zone())
-                .with("callers", mCallers.address())
+                .with("callers", mCallerServer.address())
                 .write();
         mOperator.follow();
         mReader.follow();
         mOwnership.watch();
-        forgetEnded();
-        giveUpIfNarrow();
+        removeEndedJobs();
+        checkNarrowLink();
     }
 
-    private void forgetEnded() {
+    private void removeEndedJobs() {
         mReader.book().forgetEnded(mClock.wallMs());
-        mTimers.after(FORGET_MS, this::forgetEnded);
+        mTimers.after(CLEANUP_INTERVAL_MS, this::removeEndedJobs);
     }
 
-    private void recorded(JournalRecord record, Optional<JobEntry> job) {
+    private void recordApplied(JournalRecord record, Optional<JobEntry> job) {
         mOwnership.seen(record);
         mOwner.ifPresent(o -> o.recorded(record, job));
     }
 
-    /** Whether this node would be a better owner than one with a narrow link. */
-    private boolean couldOwn() {
-        boolean reads = mReader.isCaughtUp() && mClock.nowMs() - mReader.lastReadMs() < STALE_MS;
-        return mSettings.link().isAmple() && reads && !mStopping;
+    /** Returns whether this node can replace an owner on a narrow link. */
+    private boolean isStandby() {
+        boolean current =
+                mReader.isCaughtUp() && mClock.nowMs() - mReader.lastReadMs() < MAX_READ_AGE_MS;
+        return mSettings.link().isAmple() && current && !mStopping;
     }
 
-    private void giveUpIfNarrow() {
-        mTimers.after(NARROW_CHECK_MS, this::giveUpIfNarrow);
-        if (mOwner.isPresent() && mNarrow.givesUp(mStream.standbyMs(), mClock.nowMs())) {
+    private void checkNarrowLink() {
+        mTimers.after(NARROW_CHECK_INTERVAL_MS, this::checkNarrowLink);
+        if (mOwner.isPresent() && mNarrowOwner.givesUp(mStream.lastStandbyMs(), mClock.nowMs())) {
             mLog.line("owner-narrow").with("node", mSettings.name()).write();
             OwnerWork owner = mOwner.get();
             mOwner = Optional.empty();
-            leave(owner);
+            resign(owner);
             mOwnership.lost();
         }
     }
 
-    private void own(TakeOver taken) {
-        mNarrow.owns(mClock.nowMs());
+    private void ownershipAcquired(TakeOver taken) {
+        mNarrowOwner.owns(mClock.nowMs());
         OwnerParts parts =
                 new OwnerParts(
                         mSettings,
@@ -299,30 +299,29 @@
         OwnerWork work = new OwnerWork(parts, taken, this::fenced);
         mOwner = Optional.of(work);
         mLink.owner(Optional.empty());
-        mStream.own(taken.token(), work, work::areCallsOver);
+        mStream.ownershipAcquired(taken.token(), work, work::areCallsOver);
         work.start();
     }
 
     private void fenced() {
         mOwner = Optional.empty();
-        mStream.disown();
+        mStream.ownershipLost();
         mOwnership.lost();
     }
 
     /**
-     * Whether new callers are welcome. A node that still reads the journal serves them through the
-     * owner; without that, most of a zone's nodes would be out of service for seconds after all
-     * were lost, as long as their links take to carry the journal.
+     * Returns whether new callers may be routed here. A node that is still reading the journal is
+     * ready while it can query the owner, so that nodes are available soon after a full restart.
      */
     private boolean isReady() {
         long now = mClock.nowMs();
-        boolean current = mReader.isCaughtUp() && now - mReader.lastReadMs() < STALE_MS;
-        boolean throughOwner = mLink.isOpen() && now - mOperator.lastReadMs() < STALE_MS;
+        boolean current = mReader.isCaughtUp() && now - mReader.lastReadMs() < MAX_READ_AGE_MS;
+        boolean throughOwner = mLink.isOpen() && now - mOperator.lastReadMs() < MAX_READ_AGE_MS;
         return !mStopping && mOperator.config().isPresent() && (current || throughOwner);
     }
 
     private void readiness(HttpRequest request, Consumer<HttpReply> reply) {
-        reply.accept(HttpReply.empty(isReady() ? OK : UNAVAILABLE));
+        reply.accept(HttpReply.empty(isReady() ? OK : SERVICE_UNAVAILABLE));
     }
 
     private void metrics(HttpRequest request, Consumer<HttpReply> reply) {
@@ -330,47 +329,47 @@
     }
 
     /**
-     * A planned stop. New callers are sent elsewhere, those that are connected are answered to the
-     * last request, and another node may own the jobs at once.
+     * Shuts down gracefully: resigns ownership, stops accepting callers and finishes requests that
+     * are in flight.
      */
     public void stop(Runnable ended) {
         mStopping = true;
         mLog.line("stop").with("node", mSettings.name()).write();
         mOwnership.stop();
-        mOwner.ifPresent(this::leave);
+        mOwner.ifPresent(this::resign);
         mOwner = Optional.empty();
-        mCallers.stopKeepingOpen();
+        mCallerServer.stopKeepingOpen();
         long now = mClock.nowMs();
-        drain(now + LISTEN_ON_MS, now + mSettings.graceMs() - EXIT_MS, ended);
+        drain(now + MIN_LISTEN_MS, now + mSettings.graceMs() - EXIT_MARGIN_MS, ended);
     }
 
     /**
-     * Followers are told that nobody owns once the journal says so: the next owner then finds its
-     * predecessor gone and takes over at once. A store that doesn't answer is not waited for; if it
-     * answers late, this node may own again.
+     * Records the resignation in the journal, then disconnects the followers, so that the next
+     * owner can take over at once. If the store doesn't answer in time, the followers are
+     * disconnected anyway; a late answer is ignored if this node owns again.
      */
-    private void leave(OwnerWork owner) {
-        Runnable disown =
+    private void resign(OwnerWork owner) {
+        Runnable disconnect =
                 () -> {
                     if (mOwner.isEmpty()) {
-                        mStream.disown();
+                        mStream.ownershipLost();
                     }
                 };
-        owner.leave(disown);
-        mTimers.after(LEAVE_MS, disown);
+        owner.leave(disconnect);
+        mTimers.after(RESIGN_TIMEOUT_MS, disconnect);
     }
 
     private void drain(long listenUntilMs, long endMs, Runnable ended) {
         long now = mClock.nowMs();
         if (now >= listenUntilMs) {
-            mCallers.stopListening();
+            mCallerServer.stopListening();
         }
-        boolean drained = now >= listenUntilMs && mCallers.inFlight() == 0;
+        boolean drained = now >= listenUntilMs && mCallerServer.inFlight() == 0;
         if (drained || now >= endMs) {
-            mLog.line("stopped").with("inFlight", mCallers.inFlight()).write();
+            mLog.line("stopped").with("inFlight", mCallerServer.inFlight()).write();
             ended.run();
             return;
         }
-        mTimers.after(DRAIN_CHECK_MS, () -> drain(listenUntilMs, endMs, ended));
+        mTimers.after(DRAIN_CHECK_INTERVAL_MS, () -> drain(listenUntilMs, endMs, ended));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
@@ -12,11 +12,11 @@
 import org.foxtailplank.adapter.UsersPlatform.PlatformAddresses;
 import org.foxtailplank.schedule.ScheduleLimits;
 
-/** Reads a node's settings: JSON with comments; unknown fields are passed over. */
+/** Parses a node's settings: JSON with comments. Unknown fields are ignored. */
 public final class NodeSettingsReader {
     private static final double MS_PER_S = 1000;
     private static final int MAX_PORT = 65_535;
-    private static final String ORDERS_BY_CALL = "call";
+    private static final String CALL_MODE = "call";
 
     private final JsonNode mTree;
     private final List<String> mProblems = new ArrayList<>();
@@ -25,12 +25,12 @@
         mTree = tree;
     }
 
-    /** Reads a file. */
+    /** Reads settings from a file. */
     public static NodeSettings read(Path file) throws SettingsException, IOException {
         return parse(Files.readString(file));
     }
 
-    /** Reads text. */
+    /** Parses the text of a settings file. */
     public static NodeSettings parse(String text) throws SettingsException {
         JsonMapper mapper =
                 JsonMapper.builder().configure(JsonParser.Feature.ALLOW_COMMENTS, true).build();
@@ -43,12 +43,12 @@
             }
             return settings;
         } catch (IOException e) {
-            throw new SettingsException(List.of("no JSON with comments: " + e.getMessage()));
+            throw new SettingsException(List.of("settings are not valid JSON: " + e.getMessage()));
         }
     }
 
     private NodeSettings settings() {
-        checkOrders("/worker/orders");
+        checkOrderMode("/worker/orders");
         PlatformAddresses platform =
                 new PlatformAddresses(
                         addressText("/platform/store"),
@@ -61,9 +61,9 @@
                         (long) number("/worker/leaseMs"), (long) number("/jobs/earlyMs"));
         NodeSettings.JournalBounds journal =
                 new NodeSettings.JournalBounds(
-                        seconds("/platform/keepS"),
-                        seconds("/jobs/statusS"),
-                        atLeastOne("/platform/parts"));
+                        secondsAsMs("/platform/keepS"),
+                        secondsAsMs("/jobs/statusS"),
+                        positiveInt("/platform/parts"));
         return new NodeSettings(
                 text("/node/name"),
                 text("/node/zone"),
@@ -76,7 +76,7 @@
                 schedule,
                 flag("/platform/vmTokensChecked"),
                 link("/node/linkMbps"),
-                seconds("/node/graceS"));
+                secondsAsMs("/node/graceS"));
     }
 
     private String text(String path) {
@@ -90,46 +90,46 @@
     private boolean flag(String path) {
         JsonNode value = mTree.at(path);
         if (!value.isBoolean()) {
-            mProblems.add(path + " is neither true nor false");
+            mProblems.add(path + " must be true or false");
         }
         return value.asBoolean(false);
     }
 
-    /** Workers are called; another way of giving them orders than this default isn't known. */
-    private void checkOrders(String path) {
+    /** Rejects order modes other than calls to workers, which is the only and default one. */
+    private void checkOrderMode(String path) {
         String value = mTree.at(path).asText("");
-        if (!value.isEmpty() && !value.equals(ORDERS_BY_CALL)) {
-            mProblems.add(path + " is '" + value + "'; only '" + ORDERS_BY_CALL + "' is supported");
+        if (!value.isEmpty() && !value.equals(CALL_MODE)) {
+            mProblems.add(path + " is '" + value + "'; only '" + CALL_MODE + "' is supported");
         }
     }
 
     private double number(String path) {
         JsonNode value = mTree.at(path);
         if (!value.isNumber() || value.asDouble() < 0) {
-            mProblems.add(path + " is no number from 0 on");
+            mProblems.add(path + " must be a number of at least 0");
             return 0;
         }
         return value.asDouble();
     }
 
-    /** The rate of the node's link; it isn't known on every platform. */
+    /** Reads the link rate, which is optional since not every platform provides it. */
     private LinkRate link(String path) {
         return mTree.at(path).isMissingNode() ? LinkRate.UNKNOWN : new LinkRate(number(path));
     }
 
-    private int atLeastOne(String path) {
+    private int positiveInt(String path) {
         int value = (int) number(path);
         if (value < 1) {
-            mProblems.add(path + " is less than 1");
+            mProblems.add(path + " must be at least 1");
         }
         return Math.max(1, value);
     }
 
-    private long seconds(String path) {
+    private long secondsAsMs(String path) {
         return (long) (number(path) * MS_PER_S);
     }
 
-    /** The text of an address that can be read as one. */
+    /** Returns the text of an address after checking that it is valid. */
     private String addressText(String path) {
         address(path);
         return mTree.at(path).asText("");
@@ -144,9 +144,9 @@
                 return new InetSocketAddress(value.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Falls through to the problem below, which names the value.
+            // Reported below, together with ports out of range.
         }
-        mProblems.add(path + " is no ip:port: '" + value + "'");
+        mProblems.add(path + " must be ip:port but is '" + value + "'");
         return new InetSocketAddress(0);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
@@ -11,12 +11,12 @@
 import org.foxtailplank.port.WaveOrder;
 import org.foxtailplank.schedule.DueWave;
 
-/** Follows what the operator writes: the configuration in force and the waves. */
+/** Follows the operator's orders: the current configuration and the maintenance waves. */
 public final class OperatorFollower {
-    /** How long a read waits for news, in milliseconds; a dead connection shows soon after. */
-    private static final long WAIT_MS = 800;
+    /** Wait time of a long poll, in milliseconds; bounds how late a dead connection is noticed. */
+    private static final long POLL_WAIT_MS = 800;
 
-    /** Pause after a failed read, in milliseconds. */
+    /** Delay after a failed read, in milliseconds. */
     private static final long RETRY_MS = 150;
 
     private final Feed<OperatorOrder> mFeed;
@@ -26,7 +26,7 @@
     private final Map<Long, DueWave> mWaves = new LinkedHashMap<>();
 
     private Optional<FleetConfig> mConfig = Optional.empty();
-    private boolean mFollowing;
+    private boolean mFirstPageRead;
     private long mPosition = -1;
     private long mLastReadMs = Long.MIN_VALUE / 2;
 
@@ -37,32 +37,32 @@
         mLog = log;
     }
 
-    /** The newest configuration. */
+    /** Returns the newest configuration read. */
     public Optional<FleetConfig> config() {
         return mConfig;
     }
 
-    /** All waves by their numbers. */
+    /** Returns all waves by number. */
     public Map<Long, DueWave> waves() {
         return mWaves;
     }
 
-    /** When the store last answered. */
+    /** Returns when a read last succeeded. */
     public long lastReadMs() {
         return mLastReadMs;
     }
 
-    /** Begins to follow; goes on for ever. */
+    /** Starts polling, which never ends. */
     public void follow() {
         if (mPosition < 0) {
-            mFeed.newest(this::followed);
+            mFeed.newest(this::pollCompleted);
         } else {
-            mFeed.changes(mPosition, WAIT_MS, this::followed);
+            mFeed.changes(mPosition, POLL_WAIT_MS, this::pollCompleted);
         }
     }
 
-    private void followed(Feed.Result<OperatorOrder> result) {
-        take(result);
+    private void pollCompleted(Feed.Result<OperatorOrder> result) {
+        apply(result);
         if (result instanceof Feed.Page) {
             follow();
         } else {
@@ -70,50 +70,50 @@
         }
     }
 
-    /** Reads what there is now, then says whether that worked. */
-    public void refresh(Consumer<Boolean> then) {
-        Consumer<Feed.Result<OperatorOrder>> taken =
+    /** Reads all orders written so far, then reports whether that succeeded. */
+    public void refresh(Consumer<Boolean> callback) {
+        Consumer<Feed.Result<OperatorOrder>> listener =
                 r -> {
-                    take(r);
-                    then.accept(r instanceof Feed.Page);
+                    apply(r);
+                    callback.accept(r instanceof Feed.Page);
                 };
         if (mPosition < 0) {
-            mFeed.newest(taken);
+            mFeed.newest(listener);
         } else {
-            mFeed.changes(mPosition, 0, taken);
+            mFeed.changes(mPosition, 0, listener);
         }
     }
 
-    private void take(Feed.Result<OperatorOrder> result) {
+    private void apply(Feed.Result<OperatorOrder> result) {
         if (result instanceof Feed.Gap) {
-            // The history was dropped: the newest values tell all that counts.
+            // The changes are no longer available: the next read fetches the newest values.
             mPosition = -1;
         } else if (result instanceof Feed.Page<OperatorOrder> page) {
             mLastReadMs = mClock.nowMs();
             mPosition = Math.max(mPosition, page.next());
-            page.items().forEach(this::take);
-            mFollowing = true;
+            page.items().forEach(this::apply);
+            mFirstPageRead = true;
         }
     }
 
-    /** An order that can't be read is another writer's; what the operator said last stays. */
-    private void take(Feed.Item<OperatorOrder> item) {
+    /** Ignores unreadable orders, which leave the last readable value in force. */
+    private void apply(Feed.Item<OperatorOrder> item) {
         if (!item.readable()) {
             mLog.line("order-unreadable").with("key", item.key()).write();
         }
-        item.value().ifPresent(this::take);
+        item.value().ifPresent(this::apply);
     }
 
-    /** A wave that was ordered before this node started may be half over already. */
-    private DueWave due(WaveOrder wave) {
-        long left = mFollowing ? wave.durationMs() : wave.durationMs() / 2;
-        return new DueWave(wave, mClock.nowMs() + left);
+    /** Gives a wave ordered before this node started only half of its duration. */
+    private DueWave dueWave(WaveOrder wave) {
+        long remainingMs = mFirstPageRead ? wave.durationMs() : wave.durationMs() / 2;
+        return new DueWave(wave, mClock.nowMs() + remainingMs);
     }
 
-    private void take(OperatorOrder order) {
+    private void apply(OperatorOrder order) {
         if (order instanceof OperatorOrder.NewWave w) {
             if (!mWaves.containsKey(w.wave().number())) {
-                mWaves.put(w.wave().number(), due(w.wave()));
+                mWaves.put(w.wave().number(), dueWave(w.wave()));
                 mLog.line("wave-ordered")
                         .with("wave", w.wave().number())
                         .with("vms", w.wave().vms().size())
@@ -124,7 +124,7 @@
             return;
         }
         FleetConfig config = ((OperatorOrder.NewConfig) order).config();
-        // Versions rise; an older one may still arrive from a read that was on its way.
+        // Concurrent reads may deliver an older version late.
         if (mConfig.isEmpty() || config.version() > mConfig.get().version()) {
             mConfig = Optional.of(config);
             mLog.line("config")
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
@@ -30,37 +30,37 @@
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.RouteSettings;
 
-/** The requests of callers, from any node: what they need stands in the journal. */
+/** Handles the HTTP requests of callers on any node, using the state read from the journal. */
 public final class CallerService implements HttpHandler {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int BAD_METHOD = 405;
+    private static final int METHOD_NOT_ALLOWED = 405;
     private static final int GONE = 410;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
     private static final Pattern JOB_ID = Pattern.compile("[0-9a-fA-F]{16}");
 
-    /** How long to wait for the store where a caller doesn't say, in milliseconds. */
+    /** Deadline of requests that don't name one, in milliseconds. */
     private static final long DEFAULT_DEADLINE_MS = 3000;
 
-    /** What the owner has handed on this lately is told without a read of the journal. */
-    private static final long CURRENT_MS = 400;
+    /** A phase that was up to date this recently is returned without another lookup. */
+    private static final long MAX_PHASE_AGE_MS = 400;
 
     /**
-     * A book that was complete so long ago tells how many jobs of a queue are pending, in
-     * milliseconds: the number may be two seconds old when the caller has it.
+     * Age up to which this node's own count of pending jobs is returned, in milliseconds: the count
+     * may be two seconds old when the caller receives it.
      */
-    static final long PENDING_COMPLETE_MS = 1500;
+    static final long MAX_PENDING_AGE_MS = 1500;
 
-    /** Kept of a caller's time for the way of the answer, in milliseconds. */
-    private static final long ANSWER_MS = 150;
+    /** Part of a caller's deadline reserved for sending the reply, in milliseconds. */
+    private static final long REPLY_MARGIN_MS = 150;
 
-    /** Answers that take longer are written down, in milliseconds: many of the store's. */
-    private static final long SLOW_MS = 500;
+    /** Replies that take this long are logged, in milliseconds. */
+    private static final long SLOW_REPLY_MS = 500;
 
-    /** When to ask again while the store takes nothing, in seconds: outages last a few seconds. */
+    /** Value of the Retry-After header while the store is unavailable, in seconds. */
     private static final String RETRY_AFTER_S = "1";
 
     private final OperatorFollower mOperator;
@@ -78,7 +78,7 @@
             OperatorFollower operator,
             JournalReader reader,
             OwnerLink link,
-            OwnerBook ownerBook,
+            OwnerBook ownerQueries,
             JournalWriter writer,
             CallerBodies bodies,
             Clock clock,
@@ -88,7 +88,7 @@
         mOperator = operator;
         mReader = reader;
         mLink = link;
-        mFinder = new JobFinder(reader, ownerBook, clock, timers);
+        mFinder = new JobFinder(reader, ownerQueries, clock, timers);
         mWriter = writer;
         mBodies = bodies;
         mClock = clock;
@@ -100,43 +100,43 @@
     public void handle(HttpRequest request, Consumer<HttpReply> reply) {
         long startMs = mClock.nowMs();
         Consumer<HttpReply> timed =
-                answer -> {
-                    mMetrics.counter("answers_" + answer.status()).inc();
+                response -> {
+                    mMetrics.counter("answers_" + response.status()).inc();
                     mMetrics.latency("answer").update(mClock.nowMs() - startMs);
-                    noteIfSlow(request, answer, mClock.nowMs() - startMs);
-                    reply.accept(answer);
+                    logIfSlow(request, response, mClock.nowMs() - startMs);
+                    reply.accept(response);
                 };
         Optional<FleetConfig> config = mOperator.config();
         if (config.isEmpty()) {
-            timed.accept(unavailable());
+            timed.accept(unavailableReply());
             return;
         }
         Optional<RouteSettings> route = config.get().route(request.host(), request.path());
         if (route.isPresent()) {
-            routed(request, route.get(), timed);
+            handleRouted(request, route.get(), timed);
         } else {
-            askOperatorAgain(request, timed);
+            refreshAndRoute(request, timed);
         }
     }
 
-    private void noteIfSlow(HttpRequest request, HttpReply answer, long tookMs) {
-        if (tookMs >= SLOW_MS) {
+    private void logIfSlow(HttpRequest request, HttpReply response, long tookMs) {
+        if (tookMs >= SLOW_REPLY_MS) {
             mLog.line("answer-slow")
                     .with("method", request.method())
                     .with("path", request.path())
-                    .with("status", answer.status())
+                    .with("status", response.status())
                     .with("tookMs", tookMs)
                     .with("caughtUp", mReader.isCaughtUp())
-                    .with("currentMsAgo", mClock.nowMs() - mLink.currentMs())
+                    .with("currentMsAgo", mClock.nowMs() - mLink.upToDateMs())
                     .write();
         }
     }
 
     /**
-     * No queue is known for the path. Guards against telling a caller that a queue doesn't exist
-     * that was added a moment ago: the newest configuration is read before that is said.
+     * Reads the newest configuration before a path counts as unknown, so that requests for a queue
+     * that was just added aren't answered with 404.
      */
-    private void askOperatorAgain(HttpRequest request, Consumer<HttpReply> reply) {
+    private void refreshAndRoute(HttpRequest request, Consumer<HttpReply> reply) {
         mOperator.refresh(
                 read -> {
                     Optional<RouteSettings> route =
@@ -144,22 +144,22 @@
                                     .config()
                                     .flatMap(c -> c.route(request.host(), request.path()));
                     if (route.isPresent()) {
-                        routed(request, route.get(), reply);
+                        handleRouted(request, route.get(), reply);
                     } else {
-                        long age = mClock.nowMs() - mOperator.lastReadMs();
+                        long ageMs = mClock.nowMs() - mOperator.lastReadMs();
                         mLog.line("no-queue")
                                 .with("path", request.path())
-                                .with("configAgeMs", age)
+                                .with("configAgeMs", ageMs)
                                 .write();
-                        reply.accept(read ? HttpReply.empty(NOT_FOUND) : unavailable());
+                        reply.accept(read ? HttpReply.empty(NOT_FOUND) : unavailableReply());
                     }
                 });
     }
 
-    private void routed(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
+    private void handleRouted(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
         String id = request.path().substring(route.pathPrefix().length());
         if (id.isEmpty() && request.method().equals("GET")) {
-            tellPending(request, route, reply);
+            replyPending(request, route, reply);
             return;
         }
         if (!JOB_ID.matcher(id).matches()) {
@@ -168,9 +168,9 @@
         }
         switch (request.method()) {
             case "POST" -> submit(request, route, id, reply);
-            case "GET" -> tell(request, id, reply);
+            case "GET" -> replyPhase(request, id, reply);
             case "DELETE" -> cancel(request, id, reply);
-            default -> reply.accept(HttpReply.empty(BAD_METHOD));
+            default -> reply.accept(HttpReply.empty(METHOD_NOT_ALLOWED));
         }
     }
 
@@ -180,9 +180,9 @@
             reply.accept(HttpReply.empty(OK));
             return;
         }
-        List<Consumer<HttpReply>> waiting = mInFlight.get(id);
-        if (waiting != null) {
-            waiting.add(reply);
+        List<Consumer<HttpReply>> concurrent = mInFlight.get(id);
+        if (concurrent != null) {
+            concurrent.add(reply);
             return;
         }
         Submission submission;
@@ -206,10 +206,11 @@
         List<Consumer<HttpReply>> replies = new ArrayList<>(List.of(reply));
         mInFlight.put(id, replies);
         long deadline = deadlineMs(request);
-        mWriter.store(new JobAccepted(order), deadline, o -> submitted(order, replies, o));
+        mWriter.store(
+                new JobAccepted(order), deadline, o -> submissionCompleted(order, replies, o));
     }
 
-    private void submitted(
+    private void submissionCompleted(
             JobOrder order, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
         mInFlight.remove(order.id());
         mLog.line("job-submitted")
@@ -219,75 +220,77 @@
                 .with("tasks", order.tasksPerRun())
                 .with("outcome", outcome)
                 .write();
-        replies.forEach(r -> r.accept(stored(outcome)));
+        replies.forEach(r -> r.accept(outcomeReply(outcome)));
     }
 
     /**
-     * Guards against a node that lacks records of the journal, since it has just started or was cut
-     * off, or since its owner lacks them: it would tell callers that nothing of a queue waits. A
-     * node that can't read what it lacks doesn't say a number.
+     * Replies with the number of pending jobs, from this node's own state only if it is up to date.
+     * A node that lacks journal records, since it has just started, was disconnected or its owner
+     * lacks them, would report too few.
      */
-    private void tellPending(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
+    private void replyPending(HttpRequest request, RouteSettings route, Consumer<HttpReply> reply) {
         long completeMs = Math.max(mLink.completeMs(), mReader.completeMs());
-        if (mClock.nowMs() - completeMs < PENDING_COMPLETE_MS) {
-            reply.accept(pending(mFinder.knownPending(route.name())));
+        if (mClock.nowMs() - completeMs < MAX_PENDING_AGE_MS) {
+            reply.accept(pendingReply(mFinder.localPending(route.name())));
             return;
         }
-        mFinder.pending(
+        mFinder.findPending(
                 route.name(),
                 deadlineMs(request),
-                found -> {
+                pending -> {
                     mLog.line("pending-asked")
                             .with("queue", route.name())
-                            .with("jobs", found.map(String::valueOf).orElse("unknown"))
+                            .with("jobs", pending.map(String::valueOf).orElse("unknown"))
                             .with("ownerCompleteMsAgo", mClock.nowMs() - mLink.completeMs())
                             .with("readCompleteMsAgo", mClock.nowMs() - mReader.completeMs())
                             .with("journal", mReader.position())
                             .write();
-                    reply.accept(found.map(this::pending).orElseGet(() -> unavailable()));
+                    reply.accept(
+                            pending.map(this::pendingReply).orElseGet(() -> unavailableReply()));
                 });
     }
 
-    private HttpReply pending(int jobs) {
+    private HttpReply pendingReply(int jobs) {
         return HttpReply.json(OK, mBodies.pending(jobs));
     }
 
-    private void tell(HttpRequest request, String id, Consumer<HttpReply> reply) {
-        Optional<JobPhase> known = mFinder.known(id);
-        boolean current = mClock.nowMs() - mLink.currentMs() < CURRENT_MS;
+    private void replyPhase(HttpRequest request, String id, Consumer<HttpReply> reply) {
+        Optional<JobPhase> known = mFinder.localPhase(id);
+        boolean current = mClock.nowMs() - mLink.upToDateMs() < MAX_PHASE_AGE_MS;
         if (known.isPresent() && (current || known.get().isFinal())) {
-            reply.accept(phase(known.get()));
+            reply.accept(phaseReply(known.get()));
             return;
         }
-        mFinder.find(
+        mFinder.findPhase(
                 id,
                 deadlineMs(request),
                 (read, phase) ->
-                        reply.accept(phase.map(this::phase).orElseGet(() -> notFound(read))));
+                        reply.accept(
+                                phase.map(this::phaseReply).orElseGet(() -> notFoundReply(read))));
     }
 
-    private HttpReply phase(JobPhase phase) {
+    private HttpReply phaseReply(JobPhase phase) {
         return HttpReply.json(OK, mBodies.phase(phase));
     }
 
-    /** That no such job exists is said only where the journal was read to its end. */
-    private static HttpReply notFound(boolean read) {
-        return read ? HttpReply.empty(GONE) : unavailable();
+    /** Reports a job as unknown only if the journal was read to its end. */
+    private static HttpReply notFoundReply(boolean read) {
+        return read ? HttpReply.empty(GONE) : unavailableReply();
     }
 
     private void cancel(HttpRequest request, String id, Consumer<HttpReply> reply) {
-        Optional<JobPhase> known = mFinder.known(id);
+        Optional<JobPhase> known = mFinder.localPhase(id);
         if (known.isPresent()) {
             cancelKnown(request, id, known.get(), reply);
             return;
         }
-        mFinder.find(
+        mFinder.findPhase(
                 id,
                 deadlineMs(request),
                 (read, phase) ->
                         phase.ifPresentOrElse(
                                 p -> cancelKnown(request, id, p, reply),
-                                () -> reply.accept(notFound(read))));
+                                () -> reply.accept(notFoundReply(read))));
     }
 
     private void cancelKnown(
@@ -295,43 +298,43 @@
         if (phase.isFinal()) {
             reply.accept(HttpReply.empty(OK));
         } else {
-            storeCancel(request, id, reply);
+            storeCancellation(request, id, reply);
         }
     }
 
-    private void storeCancel(HttpRequest request, String id, Consumer<HttpReply> reply) {
+    private void storeCancellation(HttpRequest request, String id, Consumer<HttpReply> reply) {
         mWriter.store(
                 new JobCancelled(id, mClock.wallMs()),
                 deadlineMs(request),
                 o -> {
                     mLog.line("job-cancelled").with("job", id).with("outcome", o).write();
-                    reply.accept(stored(o));
+                    reply.accept(outcomeReply(o));
                 });
     }
 
     /**
-     * A slow store is waited for as long as the caller waits: the record is on its way, and a
-     * caller that were told so sooner could only send it once more.
+     * Returns the time until which to wait for the store: nearly as long as the caller waits, since
+     * an earlier failure would only make it send the request again.
      */
     private long deadlineMs(HttpRequest request) {
         long wait = request.number(mBodies.deadlineHeader()).orElse(DEFAULT_DEADLINE_MS);
-        return mClock.nowMs() + Math.max(ANSWER_MS, wait - ANSWER_MS);
+        return mClock.nowMs() + Math.max(REPLY_MARGIN_MS, wait - REPLY_MARGIN_MS);
     }
 
     /**
-     * What a caller is told of a record that its request needs. Only a record that surely isn't
-     * stored is refused, since a refused job must never run; where that isn't known the caller
-     * learns so, and asks again.
+     * Maps the outcome of storing a request's record to a reply. Only a record that is certainly
+     * not stored is rejected, since a rejected job must never run. An unknown outcome is reported
+     * as a gateway timeout, so that the caller asks again.
      */
-    private static HttpReply stored(StoreOutcome outcome) {
+    private static HttpReply outcomeReply(StoreOutcome outcome) {
         return switch (outcome) {
             case STORED -> HttpReply.empty(OK);
-            case NOT_STORED -> unavailable();
+            case NOT_STORED -> unavailableReply();
             case UNKNOWN -> HttpReply.empty(GATEWAY_TIMEOUT);
         };
     }
 
-    private static HttpReply unavailable() {
-        return HttpReply.empty(UNAVAILABLE).with(Map.of("Retry-After", RETRY_AFTER_S));
+    private static HttpReply unavailableReply() {
+        return HttpReply.empty(SERVICE_UNAVAILABLE).with(Map.of("Retry-After", RETRY_AFTER_S));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
@@ -21,53 +21,49 @@
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
 
-/** The owner's end: sends the journal and heartbeats to the nodes that are connected. */
+/** Server side of the peer protocol: streams the owner's journal and heartbeats to followers. */
 public final class JournalStream {
-    /** How often a heartbeat is sent, in milliseconds. */
-    private static final long HEARTBEAT_MS = 200;
+    private static final long HEARTBEAT_INTERVAL_MS = 200;
 
-    /**
-     * How long records are gathered before they are sent on, in milliseconds: little beside the
-     * second and more that a caller's shortest job takes.
-     */
-    private static final long GATHER_MS = 20;
+    /** Longest time a record waits in a batch, in milliseconds. */
+    private static final long BATCH_DELAY_MS = 20;
 
-    /** Records beyond this number of bytes are sent at once: half of what may wait to be sent. */
-    private static final int GATHER_BYTES = 32 << 10;
+    /** A batch of this size is sent at once: half of Netty's default high water mark. */
+    private static final int MAX_BATCH_BYTES = 32 << 10;
 
     private final boolean mNarrow;
     private final Clock mClock;
     private final Timers mTimers;
     private final StreamBudget mBudget;
     private final Handover mHandover;
-    private final OwnerBook mBook;
+    private final OwnerBook mJobQueries;
     private final Set<Channel> mFollowers = new HashSet<>();
-    private final ByteBuf mGathered = Unpooled.buffer();
-    private boolean mSendDue;
-    private long mSendings;
+    private final ByteBuf mBatch = Unpooled.buffer();
+    private boolean mFlushScheduled;
+    private long mFlushCount;
     private long mSentBytes;
     private InetSocketAddress mAddress;
     private long mToken = PeerFrame.NO_OWNER;
     private OwnedJournal mJournal = OwnedJournal.NONE;
-    private long mStandbyMs = Long.MIN_VALUE / 2;
+    private long mLastStandbyMs = Long.MIN_VALUE / 2;
     private BooleanSupplier mCallsOver = () -> true;
 
     private JournalStream(
-            Clock clock, Timers timers, LinkRate link, Handover handover, OwnerBook book) {
+            Clock clock, Timers timers, LinkRate link, Handover handover, OwnerBook jobQueries) {
         mNarrow = !link.isAmple();
         mClock = clock;
         mTimers = timers;
         mBudget = new StreamBudget(link, clock.nowMs());
         mHandover = handover;
-        mBook = book;
+        mJobQueries = jobQueries;
     }
 
     /**
-     * Listens for followers; until this node owns they hear that it doesn't.
+     * Listens for followers. Until this node owns, its heartbeats report that it doesn't.
      *
      * @param link the node's network link
-     * @param handover what stores the records that followers hand over
-     * @param book what followers' questions are answered from
+     * @param handover stores the records that followers hand over
+     * @param jobQueries answers the queries of followers
      */
     public static JournalStream listen(
             EventLoop loop,
@@ -76,16 +72,16 @@
             Timers timers,
             LinkRate link,
             Handover handover,
-            OwnerBook book)
+            OwnerBook jobQueries)
             throws IOException {
-        JournalStream stream = new JournalStream(clock, timers, link, handover, book);
+        JournalStream stream = new JournalStream(clock, timers, link, handover, jobQueries);
         var bound =
                 new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childHandler(PeerChannels.with(() -> stream.new Follower()))
+                        .childHandler(PeerFraming.initializer(() -> stream.new FollowerHandler()))
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -95,32 +91,32 @@
         return stream;
     }
 
-    /** The address, with the port that the system chose. */
+    /** Returns the bound address, with the port that the system chose. */
     public InetSocketAddress address() {
         return mAddress;
     }
 
-    /** When a follower last said that it could own and has an ample link. */
-    public long standbyMs() {
-        return mStandbyMs;
+    /** Returns when a follower on an ample link last reported that it can take ownership. */
+    public long lastStandbyMs() {
+        return mLastStandbyMs;
     }
 
-    /** How often gathered frames were sent. */
-    long sendings() {
-        return mSendings;
+    /** Returns how many batches were sent. */
+    long flushCount() {
+        return mFlushCount;
     }
 
-    /** Bytes that were sent to each follower. */
+    /** Returns the bytes sent to each follower. */
     long sentBytes() {
         return mSentBytes;
     }
 
-    private final class Follower extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class FollowerHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             mFollowers.add(context.channel());
-            // The first frame tells who looks for the owner whether this node is it.
-            context.writeAndFlush(heartbeat().encode());
+            // Tells the follower at once whether this node owns.
+            context.writeAndFlush(newHeartbeat().encode());
         }
 
         @Override
@@ -130,24 +126,31 @@
             if (frame instanceof PeerFrame.Handover handover) {
                 mHandover.handOver(
                         handover.record(),
-                        o -> {
-                            PeerFrame answer = new PeerFrame.HandoverAnswer(handover.number(), o);
-                            context.writeAndFlush(answer.encode());
+                        outcome -> {
+                            PeerFrame response =
+                                    new PeerFrame.HandoverResponse(handover.number(), outcome);
+                            context.writeAndFlush(response.encode());
                         });
-            } else if (frame instanceof PeerFrame.Question question) {
-                answer(question, context);
+            } else if (frame instanceof PeerFrame.Query query) {
+                respond(query, context);
             } else if (frame instanceof PeerFrame.Standby) {
-                mStandbyMs = mClock.nowMs();
+                mLastStandbyMs = mClock.nowMs();
             }
         }
 
-        private void answer(PeerFrame.Question question, ChannelHandlerContext context) {
-            Consumer<Optional<Integer>> then =
-                    v -> context.writeAndFlush(new PeerFrame.Answer(question.number(), v).encode());
-            switch (question.subject()) {
-                case JOB -> mBook.phase(question.name(), p -> then.accept(p.map(Enum::ordinal)));
-                case QUEUE -> mBook.pending(question.name(), then);
-                default -> throw new IllegalStateException("no rule for " + question.subject());
+        private void respond(PeerFrame.Query query, ChannelHandlerContext context) {
+            Consumer<Optional<Integer>> reply =
+                    v ->
+                            context.writeAndFlush(
+                                    new PeerFrame.QueryResponse(query.number(), v).encode());
+            switch (query.subject()) {
+                case JOB ->
+                        mJobQueries.phase(
+                                query.name(), phase -> reply.accept(phase.map(Enum::ordinal)));
+                case QUEUE -> mJobQueries.pending(query.name(), reply);
+                default ->
+                        throw new IllegalStateException(
+                                "unexpected query subject: " + query.subject());
             }
         }
 
@@ -163,66 +166,66 @@
     }
 
     /**
-     * This node owns from now on.
+     * Starts streaming as the owner.
      *
-     * @param journal what heartbeats say of the journal
-     * @param callsOver whether its calls to the VM service are over; said once it owns no more
+     * @param token fencing token of the ownership
+     * @param journal journal status that heartbeats report
+     * @param callsOver whether its calls to the VM service are over; reported once it has lost
+     *     ownership
      */
-    public void own(long token, OwnedJournal journal, BooleanSupplier callsOver) {
+    public void ownershipAcquired(long token, OwnedJournal journal, BooleanSupplier callsOver) {
         mCallsOver = callsOver;
         mToken = token;
         mJournal = journal;
-        heartbeat(token);
+        sendHeartbeat(token);
     }
 
-    /** This node does not own any more; who follows it looks for the owner elsewhere. */
-    public void disown() {
+    /** Stops streaming and disconnects the followers, which then look for the new owner. */
+    public void ownershipLost() {
         mToken = PeerFrame.NO_OWNER;
-        mGathered.clear();
+        mBatch.clear();
         Set.copyOf(mFollowers).forEach(Channel::close);
     }
 
     /**
-     * The owner has read a record of the journal.
+     * Adds a record that the owner has read to the current batch.
      *
-     * <p>Answers some hundred records a second that go to some forty nodes: sent one by one, each
-     * takes a packet and wakes a process on every node, and on a narrow link the packets alone keep
-     * orders to workers waiting. Records of some moments go out together, put together once for all
-     * nodes; beyond the link's budget they are left out, and the next heartbeat tells the nodes
-     * that they lack some.
+     * <p>Batching keeps packets from filling a narrow link and delaying orders to workers. Batches
+     * that exceed the link's budget are dropped; followers detect the gap from the next heartbeat
+     * and read the records from the store.
      */
-    public void read(int partition, long offset, byte[] record) {
+    public void recordRead(int partition, long offset, byte[] record) {
         if (mToken == PeerFrame.NO_OWNER) {
             return;
         }
-        gather(new PeerFrame.Journal(mToken, partition, offset, record));
-        if (mGathered.readableBytes() >= GATHER_BYTES) {
-            sendRecords();
-        } else if (!mSendDue) {
-            mSendDue = true;
-            mTimers.after(GATHER_MS, this::sendRecords);
+        addToBatch(new PeerFrame.StreamedRecord(mToken, partition, offset, record));
+        if (mBatch.readableBytes() >= MAX_BATCH_BYTES) {
+            flushOrDrop();
+        } else if (!mFlushScheduled) {
+            mFlushScheduled = true;
+            mTimers.after(BATCH_DELAY_MS, this::flushOrDrop);
         }
     }
 
-    private void gather(PeerFrame frame) {
+    private void addToBatch(PeerFrame frame) {
         ByteBuf bytes = frame.encode();
-        mGathered.writeBytes(bytes);
+        mBatch.writeBytes(bytes);
         bytes.release();
     }
 
-    private void heartbeat(long token) {
+    private void sendHeartbeat(long token) {
         if (mToken != token) {
             return;
         }
-        // After the records up to the position that it names: a node that lacks one of them would
-        // read the store.
-        sendRecords();
-        gather(heartbeat());
-        send();
-        mTimers.after(HEARTBEAT_MS, () -> heartbeat(token));
+        // The records up to the reported position go first: a follower that lacks one of them reads
+        // the store.
+        flushOrDrop();
+        addToBatch(newHeartbeat());
+        flush();
+        mTimers.after(HEARTBEAT_INTERVAL_MS, () -> sendHeartbeat(token));
     }
 
-    private PeerFrame heartbeat() {
+    private PeerFrame newHeartbeat() {
         boolean callsOver = mToken == PeerFrame.NO_OWNER && mCallsOver.getAsBoolean();
         return new PeerFrame.Heartbeat(
                 mToken,
@@ -234,25 +237,25 @@
                 mNarrow);
     }
 
-    /** Sends what was gathered, or leaves it out where the link has no room for it. */
-    private void sendRecords() {
-        mSendDue = false;
-        if (!mGathered.isReadable()) {
+    /** Sends the batch, or drops it if the link's budget is used up. */
+    private void flushOrDrop() {
+        mFlushScheduled = false;
+        if (!mBatch.isReadable()) {
             return;
         }
-        long bytes = (long) mGathered.readableBytes() * mFollowers.size();
-        if (mBudget.take(bytes, mClock.nowMs())) {
-            send();
+        long bytes = (long) mBatch.readableBytes() * mFollowers.size();
+        if (mBudget.tryConsume(bytes, mClock.nowMs())) {
+            flush();
         } else {
-            mGathered.clear();
+            mBatch.clear();
         }
     }
 
-    /** A follower that doesn't read is passed over: it would pile frames up in memory. */
-    private void send() {
-        ByteBuf frames = Unpooled.directBuffer(mGathered.readableBytes()).writeBytes(mGathered);
-        mGathered.clear();
-        mSendings++;
+    /** Sends the batch to all followers but slow readers, whose frames would fill the memory. */
+    private void flush() {
+        ByteBuf frames = Unpooled.directBuffer(mBatch.readableBytes()).writeBytes(mBatch);
+        mBatch.clear();
+        mFlushCount++;
         mSentBytes += frames.readableBytes();
         for (Channel c : mFollowers) {
             if (c.isWritable()) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
@@ -13,71 +13,71 @@
 import org.foxtailplank.port.SharedLog;
 
 /**
- * A shared log in memory. Answers are held until a test lets them go, and the next appends can be
- * told to fail; it refuses what the platform's store refuses.
+ * In-memory shared log. Answers are held back until a test delivers them, and tests can make
+ * appends and reads fail. It rejects the same appends as the platform's store.
  */
 public final class FakeLog implements SharedLog {
-    /** What happens to an append. */
+    /** Outcome of an append. */
     public enum Fate {
-        /** It is stored and answered. */
+        /** Stored, and confirmed. */
         STORED,
-        /** Nothing is stored, and that is answered. */
+        /** Not stored, and rejected with an answer. */
         REFUSED,
-        /** It is stored, and the answer is lost. */
+        /** Stored, but reported as unknown. */
         ANSWER_LOST,
-        /** Nothing is stored, and nobody says so. */
+        /** Not stored, and reported as unknown. */
         LOST,
-        /** It is stored, and there is no answer at all. */
+        /** Stored, and never answered. */
         SILENT,
-        /** Nobody says anything, and it is carried out when the test lets late ones go. */
+        /** Reported as unknown, and stored by {@link #carryOutLate}. */
         LATE
     }
 
     private final Map<LogPartition, List<byte[]>> mRecords = new HashMap<>();
-    private final Deque<Fate> mFates = new ArrayDeque<>();
-    private final Deque<Runnable> mAnswers = new ArrayDeque<>();
-    private final Deque<Attempt> mLate = new ArrayDeque<>();
+    private final Deque<Fate> mScriptedFates = new ArrayDeque<>();
+    private final Deque<Runnable> mPendingAnswers = new ArrayDeque<>();
+    private final Deque<Attempt> mLateAppends = new ArrayDeque<>();
     private final Map<LogPartition, Writer> mWriters = new HashMap<>();
-    private final Set<LogPartition> mDown = new HashSet<>();
-    private int mLinkBytes = Integer.MAX_VALUE;
+    private final Set<LogPartition> mUnavailable = new HashSet<>();
+    private int mMaxAnswerBytes = Integer.MAX_VALUE;
 
-    /** The fenced writer of a partition, as the store remembers it. */
+    /** The store's state of a partition's fenced writer. */
     private static final class Writer {
         long mEpoch;
         long mSequence = -1;
         AppendResult mLast = new Stored(0, 0);
     }
 
-    /** What happens to the next appends, in order; all others are stored. */
+    /** Sets the outcomes of the next appends, in order; later ones are stored. */
     public void next(Fate... fates) {
-        mFates.addAll(List.of(fates));
+        mScriptedFates.addAll(List.of(fates));
     }
 
-    /** A partition refuses all calls from now on, or works again. */
+    /** Makes a partition reject all calls, or accept them again. */
     public void down(LogPartition partition, boolean down) {
         if (down) {
-            mDown.add(partition);
+            mUnavailable.add(partition);
         } else {
-            mDown.remove(partition);
+            mUnavailable.remove(partition);
         }
     }
 
-    /** Answers that are larger than this don't come before a read is given up. */
+    /** Makes reads time out whose answer is larger than this. */
     public void linkCarries(int bytes) {
-        mLinkBytes = bytes;
+        mMaxAnswerBytes = bytes;
     }
 
-    /** Carries out the appends that were late. */
+    /** Performs the appends with the outcome {@link Fate#LATE}. */
     public void carryOutLate() {
-        while (!mLate.isEmpty()) {
-            mLate.poll().run();
+        while (!mLateAppends.isEmpty()) {
+            mLateAppends.poll().run();
         }
     }
 
-    /** Answers what waits, and what that leads to. */
+    /** Delivers all held answers, and those to calls that they cause. */
     public void answer() {
-        while (!mAnswers.isEmpty()) {
-            mAnswers.poll().run();
+        while (!mPendingAnswers.isEmpty()) {
+            mPendingAnswers.poll().run();
         }
     }
 
@@ -132,10 +132,10 @@
     }
 
     private AppendResult store(LogPartition at, List<byte[]> records) {
-        List<byte[]> all = records(at);
-        long first = all.size();
-        all.addAll(records);
-        return new Stored(first, all.size());
+        List<byte[]> stored = records(at);
+        long first = stored.size();
+        stored.addAll(records);
+        return new Stored(first, stored.size());
     }
 
     private interface Attempt {
@@ -143,11 +143,11 @@
     }
 
     private void answerLater(LogPartition at, Consumer<AppendResult> then, Attempt attempt) {
-        if (mDown.contains(at)) {
-            mAnswers.add(() -> then.accept(new NotStored("down")));
+        if (mUnavailable.contains(at)) {
+            mPendingAnswers.add(() -> then.accept(new NotStored("down")));
             return;
         }
-        Fate fate = mFates.isEmpty() ? Fate.STORED : mFates.poll();
+        Fate fate = mScriptedFates.isEmpty() ? Fate.STORED : mScriptedFates.poll();
         if (fate == Fate.SILENT) {
             attempt.run();
             return;
@@ -158,7 +158,7 @@
                     case REFUSED -> new NotStored("refused");
                     case LOST -> new MaybeStored("lost");
                     case LATE -> {
-                        mLate.add(attempt);
+                        mLateAppends.add(attempt);
                         yield new MaybeStored("late");
                     }
                     case SILENT -> throw new IllegalStateException("handled above");
@@ -167,13 +167,13 @@
                         yield new MaybeStored("answer lost");
                     }
                 };
-        mAnswers.add(() -> then.accept(result));
+        mPendingAnswers.add(() -> then.accept(result));
     }
 
     @Override
     public void read(LogPartition at, long from, PageRequest request, Consumer<ReadResult> then) {
-        if (mDown.contains(at)) {
-            mAnswers.add(() -> then.accept(new ReadFailed("down")));
+        if (mUnavailable.contains(at)) {
+            mPendingAnswers.add(() -> then.accept(new ReadFailed("down")));
             return;
         }
         List<byte[]> all = records(at);
@@ -189,7 +189,7 @@
         int sent = page.stream().mapToInt(r -> r.length).sum();
         long end = all.size();
         ReadResult result =
-                sent > mLinkBytes ? new ReadFailed("timeout") : new Records(from, end, page);
-        mAnswers.add(() -> then.accept(result));
+                sent > mMaxAnswerBytes ? new ReadFailed("timeout") : new Records(from, end, page);
+        mPendingAnswers.add(() -> then.accept(result));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
@@ -5,9 +5,8 @@
 
 import org.testng.annotations.Test;
 
-/** What may be sent over a share of a link. */
 public class LinkBudgetTest {
-    /** 12,500 bytes a second, of which half may be used. */
+    /** 12,500 bytes per second. */
     private static final LinkRate VERY_NARROW = new LinkRate(0.1);
 
     private static final double SHARE = 0.5;
@@ -15,7 +14,7 @@
     private static final int LARGE = 4000;
 
     @Test
-    public void aShareOfTheLinkIsLeftFree() {
+    public void throughputStaysWithinTheShareOfTheLink() {
         LinkBudget budget = new LinkBudget(new LinkRate(10), SHARE, BURST_MS, 0, 0);
         long sent = 0;
         for (long now = 0; now < 10_000; now++) {
@@ -26,9 +25,9 @@
         assertTrue(sent >= 9 * 625_000, sent + " bytes");
     }
 
-    /** Guards against an order that is larger than the burst and waits for ever. */
+    /** Guards against an order larger than the burst that is never sent. */
     @Test
-    public void theLeastBurstGoesOverAnyLink() {
+    public void theMinimumBurstIsAvailableOnAnyLink() {
         LinkBudget budget = new LinkBudget(VERY_NARROW, SHARE, BURST_MS, LARGE, 0);
 
         assertTrue(budget.take(LARGE, 0));
@@ -37,7 +36,7 @@
     }
 
     @Test
-    public void aLinkOfWhichNothingIsKnownHasNoBound() {
+    public void aLinkOfUnknownRateIsNotLimited() {
         LinkBudget budget = new LinkBudget(LinkRate.UNKNOWN, SHARE, BURST_MS, 0, 0);
 
         assertTrue(budget.take(Integer.MAX_VALUE, 0));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
@@ -7,7 +7,6 @@
 
 import org.testng.annotations.Test;
 
-/** Settings of a node. */
 public class NodeSettingsReaderTest {
     private static final String GOOD =
             "// a comment\n{\"node\":{\"name\":\"n\",\"zone\":\"z\",\"graceS\":6},\"listen\":{"
@@ -31,7 +30,7 @@
     }
 
     @Test
-    public void theRateOfTheLinkIsReadWhereItIsKnown() throws SettingsException {
+    public void theLinkRateIsOptional() throws SettingsException {
         String known = GOOD.replace("\"graceS\":6", "\"graceS\":6,\"linkMbps\":7.5");
 
         assertEquals(NodeSettingsReader.parse(known).link(), new LinkRate(7.5));
@@ -39,9 +38,8 @@
     }
 
     @Test
-    public void aWayOfGivingOrdersThatIsNotKnownIsRefused() {
-        // The platform is set up so that workers fetch their orders. A node that took no notice
-        // would call workers that never answer, and every job would wait.
+    public void anUnsupportedOrderModeIsRejected() {
+        // On a platform where workers fetch their orders, calls to workers would never be answered.
         String bad =
                 GOOD.replace("\"orders\":\"call\"", "\"orders\":\"heartbeat\"")
                         .replace("\"vmTokensChecked\":false", "\"vmTokensChecked\":7");
@@ -54,7 +52,7 @@
     }
 
     @Test
-    public void allThatIsWrongIsNamedAtOnce() {
+    public void allProblemsAreReportedAtOnce() {
         String bad =
                 GOOD.replace("10.0.0.1:2", "nowhere")
                         .replace("\"leaseMs\":6000", "\"leaseMs\":\"long\"")
@@ -69,9 +67,8 @@
     }
 
     @Test
-    public void addressesOfThePlatformThatAreNoneAreNamed() {
-        // A node ended with an index out of bounds as it was put together, or as it became the
-        // owner.
+    public void malformedPlatformAddressesAreReported() {
+        // Guards against an index out of bounds while the node starts or takes ownership.
         String bad =
                 GOOD.replace("\"store\":\"10.0.0.2:1\"", "\"store\":\"10.0.0.2\"")
                         .replace("\"advice\":\"\"", "\"advice\":\"there\"");
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/TestedNode.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
@@ -11,8 +11,8 @@
 import org.foxtailplank.http.HttpRequest;
 import org.foxtailplank.job.JobBook;
 import org.foxtailplank.node.Clock;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.NodeMetrics;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.Timers;
@@ -26,31 +26,35 @@
 import org.foxtailplank.port.OperatorOrder;
 import org.foxtailplank.port.SharedLog;
 
-/** The part of a node that answers callers. */
-final class TestedNode {
+/** A caller service with its dependencies, as in a node. */
+final class CallerServiceFixture {
     private final JournalReader mReader;
     private final OwnerLink mLink;
     private final OperatorFollower mOperator;
     private final CallerService mService;
 
-    /** A node without a connection to an owner. */
-    TestedNode(FakeNode time, SharedLog log, Feed<OperatorOrder> orders, FakeOwnerBook owner) {
-        this(null, time, time, log, orders, Optional.of(owner));
+    /** Creates a service that isn't connected to an owner. */
+    CallerServiceFixture(
+            FakeNode clock,
+            SharedLog log,
+            Feed<OperatorOrder> orders,
+            FakeJobQueries ownerQueries) {
+        this(null, clock, clock, log, orders, Optional.of(ownerQueries));
     }
 
-    /** A node that can follow an owner on the loopback interface, and asks it. */
-    TestedNode(
+    /** Creates a service that can connect to an owner on the loopback interface and query it. */
+    CallerServiceFixture(
             EventLoop loop, Clock clock, Timers timers, SharedLog log, Feed<OperatorOrder> orders) {
         this(loop, clock, timers, log, orders, Optional.empty());
     }
 
-    private TestedNode(
+    private CallerServiceFixture(
             EventLoop loop,
             Clock clock,
             Timers timers,
             SharedLog log,
             Feed<OperatorOrder> orders,
-            Optional<OwnerBook> owner) {
+            Optional<OwnerBook> ownerQueries) {
         NodeLog out = NodeLog.silent(clock);
         mOperator = new OperatorFollower(orders, clock, timers, out);
         mReader =
@@ -69,7 +73,7 @@
                         mOperator,
                         mReader,
                         mLink,
-                        owner.orElse(mLink),
+                        ownerQueries.orElse(mLink),
                         new JournalWriter(log, JournalPartition.JOURNAL, mLink, clock, timers, out),
                         new UsersPlatform(
                                         null,
@@ -93,13 +97,13 @@
         return mLink;
     }
 
-    /** Reads what the operator has written. */
-    void readOrders() {
+    /** Reads the operator's orders. */
+    void readOperatorOrders() {
         mOperator.refresh(read -> {});
     }
 
-    /** Sends a request; the answer is in the list once there is one. */
-    List<HttpReply> ask(String method, String path, byte[] body, Optional<String> deadlineMs) {
+    /** Sends a request; the returned list receives the reply. */
+    List<HttpReply> send(String method, String path, byte[] body, Optional<String> deadlineMs) {
         List<HttpReply> replies = new ArrayList<>();
         HttpRequest request = new HttpRequest(method, path, "", "h", name -> deadlineMs, body);
         mService.handle(request, replies::add);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
@@ -10,11 +10,11 @@
 import org.foxtailplank.job.JobPhase;
 import org.foxtailplank.job.JournalRecord.OwnerAlive;
 import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.node.BandwidthLimitedLog;
 import org.foxtailplank.node.FakeFeed;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
 import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.FakeOwnerBook;
-import org.foxtailplank.node.NarrowLink;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.journal.JournalPartition;
 import org.foxtailplank.node.journal.JournalReader;
@@ -24,39 +24,39 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Callers of a node that is far behind the journal, on a link of 7 Mbit/s. */
+/** Tests the replies of a node that is far behind the journal, on a link of 7 Mbit/s. */
 public class LaggingNodeTest {
     private static final String JOB = "00000000000000aa";
     private static final double LINK_BYTES_PER_S = 875_000;
     private static final int RECORDS = 20_000;
     private static final int RECORD_BYTES = 500;
-    private static final long CALLER_MS = 3000;
+    private static final long CALLER_DEADLINE_MS = 3000;
     private static final long STEP_MS = 10;
 
-    private FakeNode mTime;
+    private FakeNode mClock;
     private FakeLog mLog;
-    private NarrowLink mLink;
+    private BandwidthLimitedLog mLink;
     private JournalReader mReader;
-    private FakeOwnerBook mOwner;
-    private TestedNode mNode;
+    private FakeJobQueries mOwnerQueries;
+    private CallerServiceFixture mService;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
+        mClock = new FakeNode();
         mLog = new FakeLog();
-        mOwner = new FakeOwnerBook();
-        mLink = new NarrowLink(mLog, mTime, LINK_BYTES_PER_S);
+        mOwnerQueries = new FakeJobQueries();
+        mLink = new BandwidthLimitedLog(mLog, mClock, LINK_BYTES_PER_S);
         QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
         RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", terms);
         FakeFeed<OperatorOrder> orders = new FakeFeed<>();
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
         orders.put("config", new OperatorOrder.NewConfig(config));
-        mNode = new TestedNode(mTime, mLink, orders, mOwner);
-        mNode.readOrders();
-        mReader = mNode.reader();
+        mService = new CallerServiceFixture(mClock, mLink, orders, mOwnerQueries);
+        mService.readOperatorOrders();
+        mReader = mService.reader();
     }
 
-    private void writeJournal() {
+    private void fillJournal() {
         byte[] record = JournalCodec.encode(new OwnerAlive(1, "a".repeat(RECORD_BYTES), 0));
         for (int i = 0; i < RECORDS; i++) {
             mLog.records(JournalPartition.JOURNAL).add(record);
@@ -67,30 +67,27 @@
         return mLog.records(JournalPartition.JOURNAL).stream().mapToLong(r -> r.length).sum();
     }
 
-    private List<HttpReply> ask(String method, String path) {
-        Optional<String> deadline = Optional.of(Long.toString(CALLER_MS));
-        return mNode.ask(method, path, new byte[0], deadline);
+    private List<HttpReply> send(String method, String path) {
+        Optional<String> deadlineMs = Optional.of(Long.toString(CALLER_DEADLINE_MS));
+        return mService.send(method, path, new byte[0], deadlineMs);
     }
 
-    private void pass(long ms) {
+    private void advance(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
-            mTime.pass(STEP_MS);
+            mClock.pass(STEP_MS);
         }
     }
 
     @Test
-    public void callersOfANodeThatIsFarBehindAreAnsweredWithinTheirTime() {
-        // All nodes were lost at the end of a day and started again. Callers asked for accepted
-        // jobs, and two of them got no answer at all: 26 nodes on links of 7 Mbit/s read the
-        // journal for 8 to 10 s. Cause: a question for a job waited for the end of that read,
-        // however short its caller's time was.
-        writeJournal();
+    public void aNodeFarBehindAnswersCallersWithinTheirDeadline() {
+        // Guards against requests that wait for the whole journal beyond their deadline.
+        fillJournal();
         mReader.follow();
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        List<HttpReply> pending = ask("GET", "/q/");
-        List<HttpReply> cancelled = ask("DELETE", "/q/" + JOB);
-        pass(CALLER_MS);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        List<HttpReply> pending = send("GET", "/q/");
+        List<HttpReply> cancelled = send("DELETE", "/q/" + JOB);
+        advance(CALLER_DEADLINE_MS);
 
         assertEquals(job.size(), 1);
         assertEquals(job.get(0).status(), 503);
@@ -99,38 +96,33 @@
     }
 
     @Test
-    public void aNodeThatHasStartedReadsTheJournalOverItsLinkOnce() {
-        // After the loss of all nodes one with a narrow link received 7.3 MB before it answered,
-        // twice what the journal held: its own reads and those for callers and for the owner's
-        // heartbeats each asked for the same pages. It answered for no job for twice as long.
-        // Cause:
-        // a reader had two loops over the same partition, which knew nothing of each other.
-        writeJournal();
+    public void aStartingNodeTransfersTheJournalOnce() {
+        // Guards against concurrent refreshes that each read the same pages.
+        fillJournal();
         mReader.follow();
         for (int i = 0; i < 100; i++) {
             mReader.refresh(read -> {});
-            pass(200);
+            advance(200);
         }
 
         assertTrue(mReader.isCaughtUp());
-        assertTrue(mLink.carriedBytes() <= 1.02 * journalBytes(), mLink.carriedBytes() + " bytes");
+        assertTrue(
+                mLink.transferredBytes() <= 1.02 * journalBytes(),
+                mLink.transferredBytes() + " bytes");
     }
 
     @Test
-    public void aNodeThatIsFarBehindTellsWhatTheOwnerKnows() {
-        // Nodes that had just started refused questions about jobs, cancellings and queues for as
-        // long as they read the journal, 8 to 10 s over a link of 7 Mbit/s, while the owner had
-        // read it within a second. After the loss of all nodes 66 of 173 requests were late. Cause:
-        // each node answered from its own book alone.
-        writeJournal();
+    public void aNodeFarBehindAnswersFromTheOwner() {
+        // Guards against a starting node that can't answer until it has read the whole journal.
+        fillJournal();
         mReader.follow();
-        mOwner.mPhases.put(JOB, JobPhase.COMPLETED);
-        mOwner.mPending.put("/q/", 7);
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        List<HttpReply> pending = ask("GET", "/q/");
-        List<HttpReply> cancelled = ask("DELETE", "/q/" + JOB);
-        pass(STEP_MS);
+        mOwnerQueries.mPhases.put(JOB, JobPhase.COMPLETED);
+        mOwnerQueries.mPending.put("/q/", 7);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        List<HttpReply> pending = send("GET", "/q/");
+        List<HttpReply> cancelled = send("DELETE", "/q/" + JOB);
+        advance(STEP_MS);
 
         assertEquals(text(job), "{\"state\":\"completed\"}");
         assertEquals(text(pending), "{\"pending\":7}");
@@ -139,12 +131,12 @@
     }
 
     @Test
-    public void aJobThatTheOwnerDoesNotKnowIsLookedForInTheJournal() {
-        // The owner may not have read yet what another node has just stored by itself.
+    public void aJobUnknownToTheOwnerIsLookedUpInTheJournal() {
+        // The owner may not have read yet what another node has just appended itself.
         mReader.follow();
-        pass(500);
-        List<HttpReply> job = ask("GET", "/q/" + JOB);
-        pass(500);
+        advance(500);
+        List<HttpReply> job = send("GET", "/q/" + JOB);
+        advance(500);
 
         assertEquals(job.size(), 1);
         assertEquals(job.get(0).status(), 410);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
@@ -18,8 +18,8 @@
 import org.foxtailplank.job.JobBook;
 import org.foxtailplank.job.JobPhase;
 import org.foxtailplank.node.Clock;
+import org.foxtailplank.node.FakeJobQueries;
 import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeOwnerBook;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
@@ -33,11 +33,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a follower learns of the owner over its connection, on the loopback interface. */
+/** Tests a follower's connection to the owner over the loopback interface. */
 public class OwnerLinkTest {
     private static final long TOKEN = 7;
 
-    /** Stores what begins with a 1, and knows nothing of the rest. */
+    /** Stores records that begin with a 1 and never responds to others. */
     private final Handover mStore =
             new Handover() {
                 @Override
@@ -53,20 +53,20 @@
                 }
             };
 
-    private final FakeOwnerBook mBook = new FakeOwnerBook();
-    private volatile long mPassedMs;
+    private final FakeJobQueries mJobQueries = new FakeJobQueries();
+    private volatile long mOffsetMs;
 
-    /** The system's clock, which tests can move on. */
+    /** The system clock plus an offset that tests set. */
     private final Clock mClock =
             new Clock() {
                 @Override
                 public long nowMs() {
-                    return Clock.system().nowMs() + mPassedMs;
+                    return Clock.system().nowMs() + mOffsetMs;
                 }
 
                 @Override
                 public long wallMs() {
-                    return Clock.system().wallMs() + mPassedMs;
+                    return Clock.system().wallMs() + mOffsetMs;
                 }
             };
 
@@ -78,7 +78,7 @@
 
     @BeforeMethod
     public void setUp() throws IOException {
-        mPassedMs = 0;
+        mOffsetMs = 0;
         mGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         mLoop = (EventLoop) mGroup.next();
         mTimers = (ms, action) -> mLoop.schedule(action, ms, TimeUnit.MILLISECONDS);
@@ -93,8 +93,8 @@
                         new JobBook(120_000),
                         (record, job) -> {});
         mLink = new OwnerLink(mLoop, mClock, mTimers, out, reader);
-        mBook.mPhases.put("known", JobPhase.RUNNING);
-        mBook.mPending.put("known", 0);
+        mJobQueries.mPhases.put("known", JobPhase.RUNNING);
+        mJobQueries.mPending.put("known", 0);
         try (ServerSocket free = new ServerSocket(0)) {
             mAddress = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
@@ -119,7 +119,7 @@
     }
 
     private JournalStream listen(LinkRate link) throws IOException {
-        return JournalStream.listen(mLoop, mAddress, mClock, mTimers, link, mStore, mBook);
+        return JournalStream.listen(mLoop, mAddress, mClock, mTimers, link, mStore, mJobQueries);
     }
 
     private void follow() throws Exception {
@@ -130,7 +130,7 @@
                 });
     }
 
-    /** An owner, and this node following it. */
+    /** Starts an owner and follows it. */
     private JournalStream followOwner() throws Exception {
         return followOwner(listen());
     }
@@ -139,8 +139,8 @@
         onLoop(
                 () -> {
                     long now = mClock.nowMs();
-                    OwnedJournal journal = new StillJournal(JournalPosition.START, now, 0);
-                    stream.own(TOKEN, journal, () -> false);
+                    OwnedJournal journal = new FixedJournalStatus(JournalPosition.START, now, 0);
+                    stream.ownershipAcquired(TOKEN, journal, () -> false);
                     return null;
                 });
         follow();
@@ -154,30 +154,29 @@
     }
 
     @Test(timeOut = 60_000)
-    public void anOwnerIsHeard() throws Exception {
+    public void anOwnerThatSendsHeartbeatsIsStreaming() throws Exception {
         followOwner();
 
         await(OwnerState.STREAMING);
     }
 
     @Test(timeOut = 60_000)
-    public void aFollowerThatCouldOwnTellsAnOwnerOnANarrowLink() throws Exception {
+    public void aStandbyFollowerReportsToAnOwnerOnANarrowLink() throws Exception {
         onLoop(
                 () -> {
-                    mLink.standsBy(() -> true);
+                    mLink.setStandbyCondition(() -> true);
                     return null;
                 });
         JournalStream stream = followOwner(listen(new LinkRate(10)));
 
-        while (onLoop(stream::standbyMs) < 0) {
+        while (onLoop(stream::lastStandbyMs) < 0) {
             Thread.onSpinWait();
         }
     }
 
     @Test(timeOut = 60_000)
-    public void aProcessThatDoesNotOwnSaysSo() throws Exception {
-        // After a power loss a new process listens where the owner did: it takes connections, and a
-        // follower that only waits for heartbeats learns nothing from that.
+    public void aProcessThatDoesNotOwnIsReportedAsGone() throws Exception {
+        // A restarted process accepts connections at the owner's address, but no longer owns.
         listen();
         follow();
 
@@ -185,16 +184,16 @@
         assertEquals(
                 onLoop(() -> mLink.state(TOKEN + 1)),
                 OwnerState.SILENT,
-                "of a later owner it says nothing");
+                "a later owner's state must stay unknown");
     }
 
     @Test(timeOut = 60_000)
-    public void anOwnerThatLeavesSaysSo() throws Exception {
+    public void anOwnerThatResignsIsReportedAsGone() throws Exception {
         JournalStream stream = followOwner();
         await(OwnerState.STREAMING);
         onLoop(
                 () -> {
-                    stream.disown();
+                    stream.ownershipLost();
                     return null;
                 });
 
@@ -202,7 +201,7 @@
     }
 
     @Test(timeOut = 60_000)
-    public void handoversAreAnsweredOrLostWithTheConnection() throws Exception {
+    public void handoversCompleteOrFailWithTheConnection() throws Exception {
         JournalStream stream = followOwner();
         while (!onLoop(mLink::isOpen)) {
             Thread.onSpinWait();
@@ -219,17 +218,16 @@
         assertEquals(stored.get(), StoreOutcome.STORED);
         onLoop(
                 () -> {
-                    stream.disown();
+                    stream.ownershipLost();
                     return null;
                 });
         assertEquals(lost.get(), StoreOutcome.UNKNOWN);
     }
 
     @Test(timeOut = 60_000)
-    public void whatAnEarlierOwnersProcessSaysIsNotTakenForTheNextOne() throws Exception {
-        // A node starts and reads the journal: it begins to connect to an owner of the past, and
-        // reads on to the present one. The old process says that it doesn't own; taken for a word
-        // on the present owner, that made the node take the place of a sound one.
+    public void heartbeatsOfAFormerOwnerAreNotAttributedToItsSuccessor() throws Exception {
+        // A starting node may connect to a former owner while it reads the journal. That process
+        // reports that it doesn't own, which must not make the node replace the current owner.
         listen();
         try (ServerSocket silent = new ServerSocket(0, 1, mAddress.getAddress())) {
             InetSocketAddress next =
@@ -253,9 +251,9 @@
         frame.encode().readBytes(follower.getOutputStream(), frame.encode().readableBytes());
     }
 
-    /** Guards against a book that counts as complete because its heartbeats arrive late. */
+    /** Guards against a journal that counts as complete for longer because heartbeats are late. */
     @Test(timeOut = 60_000)
-    public void theTimeThatAHeartbeatWaitsInAFullLinkProvesNothing() throws Exception {
+    public void theQueueingDelayOfAHeartbeatDoesNotCountAsCompleteTime() throws Exception {
         long delayMs = 300;
         long betweenMs = 100;
         try (ServerSocket owner = new ServerSocket(0, 1, mAddress.getAddress())) {
@@ -267,7 +265,7 @@
                     Thread.onSpinWait();
                 }
                 long first = onLoop(mLink::completeMs);
-                mPassedMs = delayMs + betweenMs;
+                mOffsetMs = delayMs + betweenMs;
                 sendHeartbeat(follower, betweenMs);
                 while (onLoop(mLink::completeMs) == first) {
                     Thread.onSpinWait();
@@ -279,55 +277,55 @@
     }
 
     @Test(timeOut = 60_000)
-    public void anAddressWithoutAProcessRefuses() throws Exception {
+    public void anAddressWithoutAProcessIsReportedAsRefused() throws Exception {
         follow();
 
         await(OwnerState.REFUSED);
     }
 
-    private <T> T asked(Consumer<Consumer<T>> question) throws Exception {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        mLoop.execute(() -> question.accept(answer::complete));
-        return answer.get(30, TimeUnit.SECONDS);
+    private <T> T query(Consumer<Consumer<T>> query) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        mLoop.execute(() -> query.accept(result::complete));
+        return result.get(30, TimeUnit.SECONDS);
     }
 
     @Test(timeOut = 60_000)
-    public void theOwnerTellsWhereAJobStandsAndHowManyWait() throws Exception {
+    public void queriesReturnThePhaseOfAJobAndThePendingCountOfAQueue() throws Exception {
         followOwner();
         await(OwnerState.STREAMING);
 
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("known", callback)),
                 Optional.of(JobPhase.RUNNING));
         assertEquals(
-                asked((Consumer<Optional<Integer>> a) -> mLink.pending("known", a)),
+                query((Consumer<Optional<Integer>> callback) -> mLink.pending("known", callback)),
                 Optional.of(0));
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("unknown", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("unknown", callback)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
-    public void aQuestionWithoutAnOwnerIsAnsweredWithNothing() throws Exception {
+    public void aQueryWithoutAnOwnerHasNoResult() throws Exception {
         assertEquals(
-                asked((Consumer<Optional<JobPhase>> a) -> mLink.phase("known", a)),
+                query((Consumer<Optional<JobPhase>> callback) -> mLink.phase("known", callback)),
                 Optional.empty());
     }
 
     @Test(timeOut = 60_000)
-    public void aQuestionIsAnsweredWithNothingWhenTheOwnerIsLost() throws Exception {
-        // A caller would wait for an answer that nobody gives any more.
+    public void aQueryHasNoResultWhenTheOwnerIsLost() throws Exception {
+        // Otherwise a caller would wait for a response that never arrives.
         JournalStream stream = followOwner();
         await(OwnerState.STREAMING);
-        CompletableFuture<Optional<JobPhase>> answer = new CompletableFuture<>();
+        CompletableFuture<Optional<JobPhase>> result = new CompletableFuture<>();
         onLoop(
                 () -> {
-                    mLink.phase("known", answer::complete);
-                    stream.disown();
+                    mLink.phase("known", result::complete);
+                    stream.ownershipLost();
                     mLink.owner(Optional.empty());
                     return null;
                 });
 
-        assertEquals(answer.get(30, TimeUnit.SECONDS), Optional.empty());
+        assertEquals(result.get(30, TimeUnit.SECONDS), Optional.empty());
     }
 }
