--- a/foxtail-core/src/main/java/org/foxtailplank/membership/Incarnation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/Incarnation.java
@@ -3,29 +3,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One start of a process; a replaced VM with the same name and address has another one.
+ * Identifies one run of a process, so that a replaced VM is distinct from its predecessor with the
+ * same name and address.
  *
- * @param value random, never 0
+ * @param value random nonzero number
  */
 public record Incarnation(long value) {
 
     public Incarnation {
         if (value == 0) {
-            throw new IllegalArgumentException("an incarnation is never 0");
+            throw new IllegalArgumentException("incarnation must not be 0");
         }
     }
 
-    /** Draws the incarnation of a process that starts. */
+    /** Generates a random incarnation. */
     public static Incarnation draw(RandomGenerator random) {
         long value = random.nextLong();
         return new Incarnation(value == 0 ? 1 : value);
     }
 
     /**
-     * A short form for heartbeats.
+     * Returns a 32-bit hash that identifies the incarnation in heartbeats.
      *
-     * <p>Two members with the same tag would share each other's signs of life until both are gone;
-     * among 99 members that is once in a million starts.
+     * <p>Members whose tags collide keep each other alive until both fail. With 99 members, the
+     * probability of a collision is about one in a million.
      */
     public int tag() {
         return Long.hashCode(value);
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/LoadSummary.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/LoadSummary.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Requests that one entry has in flight at each instance.
+ * Number of requests that one entry has in flight at each instance.
  *
- * <p>Instances are named by a hash, so that the summary stays small in a heartbeat. Two instances
- * with the same hash are seen as one; that costs a moment's queue at most.
+ * <p>Instances are identified by a hash of their name to keep heartbeats small. Instances whose
+ * hashes collide are counted as one, which can only cause a short queue.
  *
- * @param inFlight requests in flight by the hash of the instance's name; only those above 0
+ * @param inFlight positive in-flight counts by hash of the instance name
  */
 public record LoadSummary(Map<Integer, Integer> inFlight) {
 
-    /** Most instances that a summary names; the busiest ones go first. */
+    /** Maximum number of instances in a summary; the least loaded ones are omitted. */
     public static final int MAX_INSTANCES = 48;
 
     private static final LoadSummary NONE = new LoadSummary(Map.of());
@@ -22,12 +22,12 @@
         inFlight = Map.copyOf(inFlight);
     }
 
-    /** Nothing in flight. */
+    /** Returns a summary with no requests in flight. */
     public static LoadSummary none() {
         return NONE;
     }
 
-    /** Sums up counts by the instance's name. */
+    /** Creates a summary from in-flight counts by instance name. */
     public static LoadSummary of(Map<String, Integer> byInstance) {
         Map<Integer, Integer> counts = new HashMap<>();
         byInstance.entrySet().stream()
@@ -38,7 +38,7 @@
         return new LoadSummary(counts);
     }
 
-    /** Requests in flight at an instance. */
+    /** Returns the number of requests in flight at an instance. */
     public int at(String instance) {
         return inFlight.getOrDefault(hash(instance), 0);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/Member.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/Member.java
@@ -3,20 +3,20 @@
 import org.foxtailplank.id.NodeId;
 
 /**
- * Another process of the system, as this one sees it.
+ * A remote member as seen by the local node.
  *
- * @param identity who it is
- * @param state whether it is there
- * @param status what it last said of itself
+ * @param identity authenticated identity
+ * @param state liveness state
+ * @param status last status that the member reported
  */
 public record Member(PeerIdentity identity, MemberState state, NodeStatus status) {
 
-    /** Its name. */
+    /** Returns the node id. */
     public NodeId node() {
         return identity.node();
     }
 
-    /** Which start of it. */
+    /** Returns the incarnation. */
     public Incarnation incarnation() {
         return identity.incarnation();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/MemberState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/MemberState.java
@@ -1,17 +1,17 @@
 package org.foxtailplank.membership;
 
-/** Whether a member is there, as far as this process can tell. */
+/** Liveness of a member as determined by the local failure detector. */
 public enum MemberState {
-    /** Heard of within half the time of silence. */
+    /** A heartbeat arrived within half of the failure timeout. */
     ALIVE,
-    /** Silent for a while; still asked when there is nobody better. */
+    /** Heartbeats are overdue; the member is used only when no live member is available. */
     SUSPECT,
-    /** Silent for too long, cut off, or replaced. */
+    /** The failure timeout has passed, or the member was replaced. */
     AWAY,
-    /** It has said that it leaves. */
+    /** The member announced its shutdown. */
     LEFT;
 
-    /** Whether messages may still be sent to it. */
+    /** Returns whether messages may be sent to the member. */
     public boolean isReachable() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/NodeRole.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/NodeRole.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.membership;
 
-/** What a process of the system does. */
+/** Role of a node in the cluster. */
 public enum NodeRole {
-    /** Takes callers' requests. */
+    /** Accepts requests from callers. */
     ENTRY,
-    /** Plans and acts on the fleet. */
+    /** Manages the fleet of VMs. */
     CONTROL
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/PeerIdentity.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/PeerIdentity.java
@@ -6,13 +6,13 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * Who a process is, as it proves to its peers.
+ * Identity by which a node authenticates to its peers.
  *
- * @param node its name
- * @param incarnation which start of it
- * @param zone availability zone it stands in
- * @param address where it takes peers' connections
- * @param roles what it does
+ * @param node node id
+ * @param incarnation identifies the current run of the process
+ * @param zone availability zone of the node
+ * @param address listen address for peer connections
+ * @param roles roles of the node
  */
 public record PeerIdentity(
         NodeId node,
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/Seed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/Seed.java
@@ -8,16 +8,16 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * A place where a peer may be met, known from the settings or from the platform's lagging list.
+ * A contact address of a peer, from the settings or from the platform's possibly outdated list.
  *
- * <p>Who stands there is known only once it has proved its identity.
+ * <p>The node at the address is unverified until it has authenticated.
  *
- * @param node name expected there
- * @param address address for peers
+ * @param node expected node id
+ * @param address address for peer connections
  */
 public record Seed(NodeId node, InetSocketAddress address) {
 
-    /** The processes named by the settings. */
+    /** Returns the seeds listed in the settings. */
     public static List<Seed> from(Settings settings) {
         return settings.nodes().entrySet().stream().map(Seed::from).toList();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/SeedSource.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/SeedSource.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.membership;
 
-/** Where a list of places to meet peers came from; a newer list replaces that of its source. */
+/** Origin of a seed list; a newer list replaces the previous one from the same source. */
 public enum SeedSource {
     SETTINGS,
     PLATFORM
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which of the system's own processes are there, and what each says of itself. */
+/** Cluster members, their identity, liveness state and self-reported status. */
 package org.foxtailplank.membership;
