--- a/foxtail-core/src/main/java/org/foxtailplank/lease/CallLease.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/CallLease.java
@@ -3,84 +3,86 @@
 import java.util.Optional;
 
 /**
- * Whether an owner may call the VM service, and for how long.
+ * Lease that limits when and for how long an owner may call the VM service.
  *
- * <p>Guards against two owners that call the VM service for the same VM in turns where that service
- * obeys whoever calls: an owner is cut off from the store and replaced, goes on calling, and a VM
- * is moved or rebooted against the plan of the owner in force. The shared log refuses appends of an
- * earlier owner from the moment at which its successor has raised the writer's epoch. So an append
- * that was stored under an owner's own epoch proves that the owner was not replaced when the append
- * was sent, and the owner calls for {@link #LENGTH_MS} from then on. Its calls are broken off when
- * that time ends, so that none arrives later. A successor waits that time out after it has raised
- * the epoch, unless its predecessor has left with no call under way. Who holds a higher token never
- * waits for more than one lease: raising the epoch ends those of all predecessors.
+ * <p>Prevents a replaced owner from calling a VM service that doesn't check fencing tokens, where a
+ * late call would move or reboot a VM against the plan of the current owner. Once a successor has
+ * raised the writer epoch, the shared log rejects appends of earlier owners. A successful append
+ * therefore proves that the owner was current when it sent the append, and extends the lease to
+ * {@link #DURATION_MS} after that time. Calls are aborted when the lease expires. A successor waits
+ * for {@link #WAIT_MS} after raising the epoch, unless its predecessor stopped with no pending
+ * calls. It never waits for more than one lease, since raising the epoch fences all predecessors.
  *
- * <p>Only calls to the VM service wait. Workers compare tokens themselves.
+ * <p>Only calls to the VM service are delayed. Workers compare tokens themselves.
  *
- * @param checked whether the VM service refuses lower tokens itself, so that no lease is needed
- * @param proof when the newest append was first sent that was stored under the owner's epoch
- * @param openFromMs when calls may begin, on the owner's steady clock
+ * @param tokensChecked whether the VM service rejects lower tokens itself, so that no lease is
+ *     needed
+ * @param lastAppendSentAt when the latest successful append under the owner's epoch was first sent
+ * @param waitUntilMs monotonic time from which calls are allowed
  */
-public record CallLease(boolean checked, Optional<Moment> proof, long openFromMs) {
+public record CallLease(
+        boolean tokensChecked, Optional<Moment> lastAppendSentAt, long waitUntilMs) {
     /**
-     * How long a proof holds, in milliseconds. An owner writes every 400 ms, and an append takes
-     * half a second while the store is 60 times as slow: with less, its calls would stop each time.
-     * With more, VMs wait longer at each change of owner.
+     * Lease duration, in milliseconds. It exceeds the 400 ms append interval plus the latency of an
+     * append to a slow store, so that the lease doesn't lapse there. A longer lease would delay VM
+     * operations after each change of owner.
      */
-    public static final long LENGTH_MS = 1000;
+    public static final long DURATION_MS = 1000;
 
-    /**
-     * What a successor waits beyond that, in milliseconds: two clocks that drift apart by 2% each,
-     * and a timer that fires late on a busy VM.
-     */
+    /** Allowance for 2% drift of either clock and for late timers, in milliseconds. */
     public static final long MARGIN_MS = 150;
 
-    /** Time after which no call of an earlier owner can be under way, in milliseconds. */
-    public static final long WAIT_MS = LENGTH_MS + MARGIN_MS;
+    /** Time after which no call of an earlier owner can be pending, in milliseconds. */
+    public static final long WAIT_MS = DURATION_MS + MARGIN_MS;
 
-    /** With less time left no call is begun, in milliseconds: some round trips to the service. */
-    public static final long LEAST_CALL_MS = 200;
+    /** Minimum remaining lease to start a call, in milliseconds; allows for a few round trips. */
+    public static final long MIN_CALL_MS = 200;
 
-    private static final long NOT_OPEN = Long.MAX_VALUE;
+    private static final long NO_EPOCH_YET = Long.MAX_VALUE;
 
-    /** The lease of an owner that has not taken over yet. */
-    public static CallLease of(boolean checked) {
-        return new CallLease(checked, Optional.empty(), NOT_OPEN);
+    /** Creates the lease of an owner that hasn't raised the epoch yet. */
+    public static CallLease of(boolean tokensChecked) {
+        return new CallLease(tokensChecked, Optional.empty(), NO_EPOCH_YET);
     }
 
     /**
-     * An append under the owner's epoch is stored; {@code sent} is when it was first sent. One that
-     * comes late, from a part of the log that was away, says less than what is known.
+     * Extends the lease after a successful append under the owner's epoch.
+     *
+     * <p>An append to a partition that was unavailable may complete out of order; it never shortens
+     * the lease.
+     *
+     * @param sentAt when the append was first sent
      */
-    public CallLease proved(Moment sent) {
-        boolean newer = proof.map(p -> sent.steadyMs() >= p.steadyMs()).orElse(true);
-        return newer ? new CallLease(checked, Optional.of(sent), openFromMs) : this;
+    public CallLease proved(Moment sentAt) {
+        boolean newer = lastAppendSentAt.map(p -> sentAt.steadyMs() >= p.steadyMs()).orElse(true);
+        return newer ? new CallLease(tokensChecked, Optional.of(sentAt), waitUntilMs) : this;
     }
 
     /**
-     * The epoch is raised: all earlier owners can store nothing more.
+     * Starts the wait for the leases of earlier owners, whose appends are rejected from now on.
      *
-     * @param predecessorOver whether the predecessor surely has no call under way, nor begins one
+     * @param predecessorStopped whether the predecessor is known to have no pending calls and to
+     *     start no more
      */
-    public CallLease tookOver(long nowMs, boolean predecessorOver) {
-        long wait = predecessorOver ? 0 : WAIT_MS;
-        return new CallLease(checked, proof, nowMs + wait);
+    public CallLease tookOver(long nowMs, boolean predecessorStopped) {
+        long wait = predecessorStopped ? 0 : WAIT_MS;
+        return new CallLease(tokensChecked, lastAppendSentAt, nowMs + wait);
     }
 
-    /** Whether no earlier owner's call can be under way any more. */
+    /** Returns whether all calls of earlier owners have ended. */
     public boolean isOpen(long nowMs) {
-        return checked || nowMs >= openFromMs;
+        return tokensChecked || nowMs >= waitUntilMs;
     }
 
-    /** How long a call that begins now may be under way, in milliseconds; 0 for no call. */
+    /** Returns the time limit for a call started now, in milliseconds; 0 if none is allowed. */
     public long leftMs(Moment now) {
-        if (checked) {
+        if (tokensChecked) {
             return Long.MAX_VALUE;
         }
-        if (proof.isEmpty() || !isOpen(now.steadyMs())) {
+        if (lastAppendSentAt.isEmpty() || !isOpen(now.steadyMs())) {
             return 0;
         }
-        long left = LENGTH_MS - now.since(proof.get());
-        return left < LEAST_CALL_MS ? 0 : left;
+        long remaining = DURATION_MS - now.elapsedSince(lastAppendSentAt.get());
+        return remaining < MIN_CALL_MS ? 0 : remaining;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/Moment.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/Moment.java
@@ -1,19 +1,19 @@
 package org.foxtailplank.lease;
 
 /**
- * A moment on two clocks of one VM, each of which fails in its own way: a steady clock stands still
- * while the VM is suspended, and the time of day may be set back.
+ * Reading of the monotonic and the wall clock of a VM. The monotonic clock stops while the VM is
+ * suspended, and the wall clock may be set back.
  *
- * @param steadyMs milliseconds of the steady clock
- * @param wallMs milliseconds since 1970
+ * @param steadyMs monotonic clock, in milliseconds
+ * @param wallMs milliseconds since the Unix epoch
  */
 public record Moment(long steadyMs, long wallMs) {
 
     /**
-     * Time since an earlier moment, by the clock that has moved further: a suspension and a step of
-     * the time of day can then only make the time look longer, unless they cancel each other.
+     * Returns the time elapsed since an earlier reading, by whichever clock advanced more. A
+     * suspension or a wall clock step can then only overestimate it, unless the two coincide.
      */
-    public long since(Moment earlier) {
+    public long elapsedSince(Moment earlier) {
         return Math.max(steadyMs - earlier.steadyMs, wallMs - earlier.wallMs);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/RenewalWindow.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/RenewalWindow.java
@@ -3,52 +3,59 @@
 import java.util.Optional;
 
 /**
- * For how long an owner may still renew the leases of workers.
+ * Limits for how long an owner may renew worker leases.
  *
- * <p>Guards against a task that runs on two workers: an owner is cut off from the shared log
- * together with some workers, and is replaced. It learns of nothing and goes on renewing their
- * leases. Its successor reaches none of them, takes the leases as over after the time that one
- * lasts, and starts the tasks elsewhere. Workers compare tokens, but only of owners that reach
- * them.
+ * <p>Prevents a task from running on two workers when an owner is partitioned from the shared log
+ * together with some workers. Such an owner keeps renewing their leases, while its successor can't
+ * reach these workers, assumes that their leases have expired and starts the tasks elsewhere.
+ * Workers can only compare the tokens of owners that reach them.
  *
- * <p>An append that was stored under an owner's own epoch proves that the owner was not replaced
- * when the append was sent. A lease that the owner gives ends at most {@link #LENGTH_MS} and the
- * length of a lease after that. A successor raises the epoch first, so that all proofs of earlier
- * owners are older; it adds {@link #WAIT_MS} to the lease of a worker that it has not reached.
+ * <p>A successful append under an owner's epoch proves that the owner was current when it sent the
+ * append. The leases that it grants end at most {@link #DURATION_MS} plus one lease duration after
+ * that time. A successor raises the epoch first, and adds {@link #WAIT_MS} to the lease of each
+ * worker that it hasn't reached.
  *
- * @param proof when the newest append was first sent that was stored under the owner's epoch
+ * @param lastAppendSentAt when the latest successful append under the owner's epoch was first sent
  */
-public record RenewalWindow(Optional<Moment> proof) {
+public record RenewalWindow(Optional<Moment> lastAppendSentAt) {
     /**
-     * For how long full leases are given without a proof, in milliseconds. With a lease of six
-     * seconds on top, standing tasks outlive a store that takes nothing for eight seconds; each
-     * second more is one that a successor waits for workers that it doesn't reach.
+     * Time for which full leases are granted after an append was sent, in milliseconds. A longer
+     * window lets tasks survive longer outages of the store, but delays a successor by the same
+     * time for workers that it can't reach.
      */
-    public static final long LENGTH_MS = 3000;
+    public static final long DURATION_MS = 3000;
 
-    /** What a successor adds, in milliseconds: that, and two clocks that drift apart by 2% each. */
-    public static final long WAIT_MS = LENGTH_MS + 150;
+    /** Time that a successor adds, with an allowance for 2% drift of either clock. */
+    public static final long WAIT_MS = DURATION_MS + 150;
 
-    /** The window of an owner that has proved nothing yet. */
+    /** Returns the window of an owner without a successful append. */
     public static RenewalWindow closed() {
         return new RenewalWindow(Optional.empty());
     }
 
     /**
-     * An append under the owner's epoch is stored; {@code sent} is when it was first sent. One that
-     * comes late, from a part of the log that was away, says less than what is known.
+     * Extends the window after a successful append under the owner's epoch.
+     *
+     * <p>An append to a partition that was unavailable may complete out of order; it never shortens
+     * the window.
+     *
+     * @param sentAt when the append was first sent
      */
-    public RenewalWindow proved(Moment sent) {
-        boolean newer = proof.map(p -> sent.steadyMs() >= p.steadyMs()).orElse(true);
-        return newer ? new RenewalWindow(Optional.of(sent)) : this;
+    public RenewalWindow proved(Moment sentAt) {
+        boolean newer = lastAppendSentAt.map(p -> sentAt.steadyMs() >= p.steadyMs()).orElse(true);
+        return newer ? new RenewalWindow(Optional.of(sentAt)) : this;
     }
 
-    /** Length of a lease that is given now, in milliseconds; 0 for none. */
-    public long leaseMs(Moment now, long longestMs) {
-        if (proof.isEmpty()) {
+    /**
+     * Returns the duration of a lease granted now, in milliseconds; 0 if none may be granted.
+     *
+     * @param maxMs duration of a full lease
+     */
+    public long leaseMs(Moment now, long maxMs) {
+        if (lastAppendSentAt.isEmpty()) {
             return 0;
         }
-        long overdue = Math.max(0, now.since(proof.get()) - LENGTH_MS);
-        return Math.max(0, longestMs - overdue);
+        long overdue = Math.max(0, now.elapsedSince(lastAppendSentAt.get()) - DURATION_MS);
+        return Math.max(0, maxMs - overdue);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/package-info.java
@@ -1,2 +1,2 @@
-/** For how long an owner may act where nobody checks its fencing token. */
+/** Time-based leases for operations whose recipient doesn't check fencing tokens. */
 package org.foxtailplank.lease;
--- a/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseExplorationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseExplorationTest.java
@@ -6,17 +6,14 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
-import org.foxtailplank.lease.LeaseWorld.Rules;
-import org.foxtailplank.lease.LeaseWorld.Scope;
+import org.foxtailplank.lease.LeaseModel.Guards;
+import org.foxtailplank.lease.LeaseModel.Scope;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /**
- * Every order of events among owners that follow each other, up to a depth: appends and calls that
- * arrive late, suspensions, clocks that are set forward and back, replacement at any moment.
- *
- * <p>What users see without the lease: an owner is cut off with its zone and replaced, goes on
- * calling, and a VM that the new owner has just moved is moved or rebooted again under its tasks.
+ * Explores all event orders up to a depth, with delayed messages, suspensions, clock steps and
+ * owner changes. Guards against a replaced owner calling the VM service after its successor.
  */
 public class LeaseExplorationTest {
     private static final Scope ALL = new Scope(3, true, true, true);
@@ -25,24 +22,26 @@
     private static final Scope SUSPENSIONS = new Scope(2, true, false, false);
     private static final Scope CLOCKS = new Scope(2, false, true, false);
 
-    /** Enough events for each fault to show, within its scope. */
+    /** Search depth that reveals the violation for each missing guard. */
     private static final int FAULT_DEPTH = 16;
 
-    /** Looks at all orders of events, each state once. */
+    /** Breadth-first search that visits each state once. */
     private static final class Search {
-        private final Set<LeaseWorld> mSeen = new HashSet<>();
+        private final Set<LeaseModel> mVisited = new HashSet<>();
 
-        /** A state in which a lower token has called after a higher one, if there is one. */
-        Optional<LeaseWorld> findBroken(Rules rules, Scope scope, int depth) {
-            Set<LeaseWorld> level = Set.of(LeaseWorld.start(rules, scope));
+        /**
+         * Returns a state in which a lower token called after a higher one, if one is reachable.
+         */
+        Optional<LeaseModel> findViolation(Guards guards, Scope scope, int depth) {
+            Set<LeaseModel> level = Set.of(LeaseModel.initial(guards, scope));
             for (int d = 0; d < depth; d++) {
-                Set<LeaseWorld> next = new HashSet<>();
-                for (LeaseWorld world : level) {
-                    for (LeaseWorld after : world.next()) {
-                        if (after.broken()) {
+                Set<LeaseModel> next = new HashSet<>();
+                for (LeaseModel state : level) {
+                    for (LeaseModel after : state.successors()) {
+                        if (after.violated()) {
                             return Optional.of(after);
                         }
-                        if (mSeen.add(after)) {
+                        if (mVisited.add(after)) {
                             next.add(after);
                         }
                     }
@@ -53,7 +52,7 @@
         }
     }
 
-    /** Scopes with the depth to which they are looked at, and the states that this must reach. */
+    /** Scopes, the search depth and the minimum number of distinct states to visit. */
     @DataProvider
     public Object[][] scopes() {
         return new Object[][] {
@@ -66,33 +65,39 @@
     }
 
     @Test(dataProvider = "scopes")
-    public void noOrderOfEventsLetsAnEarlierOwnerCallAfterALaterOne(
-            Scope scope, int depth, int states) {
+    public void noEventOrderLetsAReplacedOwnerCallAfterItsSuccessor(
+            Scope scope, int depth, int minStates) {
         Search search = new Search();
 
-        assertEquals(search.findBroken(Rules.all(), scope, depth), Optional.empty());
-        assertTrue(search.mSeen.size() >= states, "states seen: " + search.mSeen.size());
+        assertEquals(search.findViolation(Guards.all(), scope, depth), Optional.empty());
+        assertTrue(
+                search.mVisited.size() >= minStates, "visited states: " + search.mVisited.size());
     }
 
     @DataProvider
     public Object[][] missingGuards() {
         return new Object[][] {
             {
-                "proofs count from their answers",
-                new Rules(false, true, true, true, true),
+                "the lease starts at the response",
+                new Guards(false, true, true, true, true),
                 TWO_OWNERS
             },
-            {"the successor does not wait", new Rules(true, false, true, true, true), CLOCKS},
-            {"suspensions are not counted", new Rules(true, true, false, true, true), SUSPENSIONS},
-            {"a clock that is set back counts", new Rules(true, true, true, false, true), CLOCKS},
-            {"calls of who leaves", new Rules(true, true, true, true, false), THREE_OWNERS},
+            {"the successor doesn't wait", new Guards(true, false, true, true, true), CLOCKS},
+            {"the wall clock is ignored", new Guards(true, true, false, true, true), SUSPENSIONS},
+            {"the monotonic clock is ignored", new Guards(true, true, true, false, true), CLOCKS},
+            {
+                "pending calls of a stopped owner are ignored",
+                new Guards(true, true, true, true, false),
+                THREE_OWNERS
+            },
         };
     }
 
     @Test(dataProvider = "missingGuards")
-    public void withoutOneGuardAnEarlierOwnerCallsLate(String what, Rules rules, Scope scope) {
+    public void eachMissingGuardLetsAReplacedOwnerCallLate(
+            String missingGuard, Guards guards, Scope scope) {
         Search search = new Search();
-        boolean found = search.findBroken(rules, scope, FAULT_DEPTH).isPresent();
-        assertTrue(found, what);
+        boolean found = search.findViolation(guards, scope, FAULT_DEPTH).isPresent();
+        assertTrue(found, missingGuard);
     }
 }
