--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/BeatNews.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/BeatNews.java
@@ -1,19 +1,20 @@
 package org.foxtailplank.internal.membership;
 
 /**
- * The newest heartbeat that a node has heard of a member, told on to others in six bytes.
+ * Latest heartbeat known of a member, gossiped to other members in six bytes.
  *
  * @param tag tag of the member's incarnation
- * @param beat low bits of the heartbeat's number
+ * @param beat low 16 bits of the heartbeat's sequence number
  */
 public record BeatNews(int tag, short beat) {
 
     /**
-     * Whether this is newer than another beat of the same member.
+     * Returns whether a sequence number is newer than another one of the same member.
      *
-     * <p>The numbers wrap round; a member is forgotten long before half of their range has passed.
+     * <p>The comparison allows for wraparound: a member is removed from the table long before half
+     * of the range has passed.
      */
-    public static boolean isNewer(short beat, short than) {
-        return (short) (beat - than) > 0;
+    public static boolean isNewer(short sequence, short other) {
+        return (short) (sequence - other) > 0;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/CatchUp.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/CatchUp.java
@@ -12,7 +12,7 @@
 import org.foxtailplank.state.StatePosition;
 
 /**
- * Decides when a node that is behind asks a peer for what is newer, and which peer.
+ * Decides when a node that lags behind the log fetches records from a peer, and from which one.
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
@@ -27,12 +27,12 @@
     private StatePosition mBehindAt = StatePosition.NOTHING;
 
     /**
-     * Prepares to catch up.
+     * Creates a policy for a node that isn't behind.
      *
-     * @param zone availability zone of this node, whose peers are asked first
-     * @param graceNanos time that the platform has to bring the news itself
-     * @param avoidNanos time for which a peer that failed is not asked again
-     * @param random chooses among peers that are as good as each other
+     * @param zone availability zone of this node, whose peers are preferred
+     * @param graceNanos time without progress before a peer is asked
+     * @param avoidNanos time for which a failed peer isn't asked again
+     * @param random selects among equally suitable peers
      */
     public CatchUp(ZoneId zone, long graceNanos, long avoidNanos, Random random) {
         mZone = zone;
@@ -42,10 +42,10 @@
     }
 
     /**
-     * The peer to ask now, if this node has been behind for longer than its grace.
+     * Returns the peer to ask now, if this node has lagged behind for the grace period.
      *
-     * <p>The grace guards against every node asking its peers for each record while the platform is
-     * up and brings it to all of them anyway.
+     * <p>The grace period prevents every node from asking its peers for each record while the
+     * platform delivers it anyway.
      */
     public Optional<NodeId> peerToAsk(StatePosition own, Collection<Member> members, long now) {
         List<Member> ahead =
@@ -57,7 +57,7 @@
             mBehindSince = Optional.empty();
             return Optional.empty();
         }
-        // Progress by the platform starts the grace anew: it works, if slowly.
+        // Progress through the platform restarts the grace period.
         if (mBehindSince.isEmpty() || !mBehindAt.equals(own)) {
             mBehindSince = Optional.of(now);
             mBehindAt = own;
@@ -65,20 +65,20 @@
         if (now - mBehindSince.get() < mGraceNanos) {
             return Optional.empty();
         }
-        List<Member> willing =
+        List<Member> eligible =
                 ahead.stream().filter(m -> mAvoidUntil.getOrDefault(m.node(), now) <= now).toList();
-        List<Member> near =
-                willing.stream().filter(m -> m.identity().zone().equals(mZone)).toList();
-        return anyOf(near.isEmpty() ? willing : near);
+        List<Member> local =
+                eligible.stream().filter(m -> m.identity().zone().equals(mZone)).toList();
+        return anyOf(local.isEmpty() ? eligible : local);
     }
 
-    /** A peer did not help: others are asked for a while. */
+    /** Excludes a peer for a while after a failed request. */
     public void failed(NodeId peer, long now) {
         mAvoidUntil.values().removeIf(until -> until <= now);
         mAvoidUntil.put(peer, now + mAvoidNanos);
     }
 
-    /** A peer helped: it may be asked for more at once. */
+    /** Records progress through a peer, which doesn't restart the grace period. */
     public void helped(StatePosition own) {
         mBehindAt = own;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/HeartbeatPlan.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/HeartbeatPlan.java
@@ -8,27 +8,27 @@
 import java.util.Set;
 
 /**
- * Chooses whom to send the next heartbeats to and how much they tell, within a budget of bytes.
+ * Selects the recipients of heartbeats and the number of gossiped digests, within a byte budget.
  *
- * <p>While the budget reaches for all peers, each of them gets every heartbeat. Beyond that the
- * peers take turns in an order that is shuffled anew each round, and heartbeats tell what was heard
- * of the others, so that news still reaches everybody soon.
+ * <p>If the budget allows, each heartbeat is sent to all peers. Otherwise the peers are selected
+ * round-robin, in an order that is shuffled each round, and heartbeats carry digests of other
+ * members' heartbeats.
  *
- * @param <T> what stands for a peer
+ * @param <T> type that identifies a peer
  */
 public final class HeartbeatPlan<T> {
 
-    /** Bytes that a heartbeat grows by for each member it tells of. */
+    /** Size of one digest in a heartbeat, in bytes. */
     public static final int BYTES_PER_NEWS = 6;
 
-    /** Headers of IP and TCP for a message and for the acknowledgement that TCP sends. */
+    /** Size of the IP and TCP headers of a message and of its acknowledgement. */
     private static final int PACKET_BYTES = 104;
 
-    /** Enough for a path that is cut in one direction, where each peer is heard by itself. */
-    private static final int FEW_NEWS = 2;
+    /** Number of digests when all peers are reached directly; covers one-way link failures. */
+    private static final int MIN_DIGESTS = 2;
 
-    private static final int MAX_NEWS = 100;
-    private static final int SPREAD_FACTOR = 4;
+    private static final int MAX_DIGESTS = 100;
+    private static final int PROPAGATION_FACTOR = 4;
 
     private final Duration mHeartbeat;
     private final double mBytesPerTick;
@@ -42,7 +42,7 @@
         mRandom = random;
     }
 
-    /** The peers of a regular heartbeat, where one without news has so many bytes. */
+    /** Returns the recipients of a regular heartbeat of {@code bytesEach} bytes without digests. */
     public List<T> next(Set<T> peers, int bytesEach) {
         int bytes = bytes(bytesEach, newsLimit(peers.size(), bytesEach));
         mCredit = Math.min(mCredit + mBytesPerTick, 2 * mBytesPerTick);
@@ -52,23 +52,22 @@
         return chosen;
     }
 
-    /** Peers to tell something at once; later heartbeats make up for the bytes. */
+    /** Returns recipients of an unscheduled message, whose bytes are deducted from the budget. */
     public List<T> atOnce(Set<T> peers, int count, int bytesEach) {
         List<T> chosen = choose(peers, count);
         spend(chosen.size() * bytes(bytesEach, 0));
         return chosen;
     }
 
-    /** How many members a regular heartbeat tells of. */
+    /** Returns the maximum number of digests in a regular heartbeat. */
     public int newsLimit(int peers, int bytesEach) {
-        return reachesAll(peers, bytesEach) ? FEW_NEWS : Math.min(peers, MAX_NEWS);
+        return reachesAll(peers, bytesEach) ? MIN_DIGESTS : Math.min(peers, MAX_DIGESTS);
     }
 
     /**
-     * Time that news may take from one node to all others beyond the direct way.
+     * Returns the additional time that gossip may take to reach all nodes.
      *
-     * <p>News that each node tells on at a rate reaches all in about twice the logarithm of their
-     * number over that rate; twice that is allowed.
+     * <p>Gossip reaches all of n nodes in about 2 ln(n) / rate; this allows for twice that time.
      */
     public Duration spread(int peers, int bytesEach) {
         if (peers == 0 || reachesAll(peers, bytesEach)) {
@@ -76,16 +75,16 @@
         }
         int bytes = bytes(bytesEach, newsLimit(peers, bytesEach));
         double messagesPerSecond = Math.max(1, mBytesPerTick / bytes) / seconds(mHeartbeat);
-        double spread = SPREAD_FACTOR * Math.log(peers) / messagesPerSecond;
-        return Duration.ofMillis((long) (spread * 1_000));
+        double delay = PROPAGATION_FACTOR * Math.log(peers) / messagesPerSecond;
+        return Duration.ofMillis((long) (delay * 1_000));
     }
 
     private boolean reachesAll(int peers, int bytesEach) {
-        return peers * bytes(bytesEach, FEW_NEWS) <= mBytesPerTick;
+        return peers * bytes(bytesEach, MIN_DIGESTS) <= mBytesPerTick;
     }
 
-    private static int bytes(int bytesEach, int news) {
-        return PACKET_BYTES + bytesEach + BYTES_PER_NEWS * news;
+    private static int bytes(int bytesEach, int digests) {
+        return PACKET_BYTES + bytesEach + BYTES_PER_NEWS * digests;
     }
 
     private void spend(int bytes) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/MemberTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/MemberTable.java
@@ -24,90 +24,89 @@
 import org.foxtailplank.membership.SeedSource;
 
 /**
- * The members that a node knows, kept by incarnation.
+ * Table of known members, keyed by incarnation.
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class MemberTable {
 
     private static final int MAX_MEMBERS = 1024;
-    private static final int MAX_STRANGERS = 64;
+    private static final int MAX_UNKNOWN_TAGS = 64;
 
     private final PeerIdentity mSelf;
     private final Map<Incarnation, TrackedMember> mMembers = new LinkedHashMap<>();
     private final Map<SeedSource, List<Seed>> mSeeds = new EnumMap<>(SeedSource.class);
-    private final Set<Integer> mStrangers = new LinkedHashSet<>();
-    private final List<Member> mChanged = new ArrayList<>();
+    private final Set<Integer> mUnknownTags = new LinkedHashSet<>();
+    private final List<Member> mPendingChanges = new ArrayList<>();
     private SilenceLimits mLimits;
-    private long mTurn;
+    private long mGossipRound;
 
     public MemberTable(PeerIdentity self, SilenceLimits limits) {
         mSelf = self;
         mLimits = limits;
     }
 
-    /** From now on members may be silent for so long. */
+    /** Sets the failure detection timeouts. */
     public void allow(SilenceLimits limits) {
         mLimits = limits;
     }
 
-    /** Takes a new list of places to meet peers in place of the last one from its source. */
+    /** Replaces the seeds of a source. */
     public void learn(SeedSource source, Collection<Seed> seeds) {
         mSeeds.put(source, List.copyOf(seeds));
     }
 
     /**
-     * A peer has proved its identity on a connection that this node made to its address.
+     * Records that a peer authenticated on an outgoing connection to an address.
      *
-     * <p>Guards against a replaced VM: the predecessor at that address would otherwise count as
-     * alive until its silence ran out, and asks would go to the wrong process. Only one process can
-     * hold an address, so whoever answers there has replaced all others.
+     * <p>Any other member known at that address has been replaced and is marked as away at once, so
+     * that no requests for it are sent to the wrong process.
      */
-    public void reached(PeerIdentity peer, InetSocketAddress at, long now) {
+    public void reached(PeerIdentity peer, InetSocketAddress address, long now) {
         met(peer, now);
         for (TrackedMember other : mMembers.values()) {
-            boolean same = other.mIdentity.incarnation().equals(peer.incarnation());
-            if (same) {
-                other.mReachedAt = at;
-            } else if (other.mReachedAt.equals(at) || other.isAt(peer.address())) {
+            boolean samePeer = other.mIdentity.incarnation().equals(peer.incarnation());
+            if (samePeer) {
+                other.mLastAddress = address;
+            } else if (other.mLastAddress.equals(address) || other.hasAddress(peer.address())) {
                 other.mReplaced = true;
-                change(other, MemberState.AWAY);
+                setState(other, MemberState.AWAY);
             }
         }
     }
 
-    /** A peer has proved its identity on a connection that it made. */
+    /** Records that a peer authenticated on an incoming connection. */
     public void met(PeerIdentity peer, long now) {
         if (isSelf(peer.incarnation())) {
             return;
         }
-        TrackedMember member = track(peer, now);
+        TrackedMember member = findOrAdd(peer, now);
         if (member != null) {
             member.mReplaced = false;
-            alive(member, now);
+            markAlive(member, now);
         }
     }
 
-    /** Another member knows this one; it counts as alive only when there is news of it. */
+    /** Adds a peer known to another member, as suspect until a newer heartbeat is seen. */
     public void introduced(PeerIdentity peer, long now) {
         if (!isSelf(peer.incarnation())) {
-            TrackedMember member = track(peer, now - mLimits.suspectNanos());
+            TrackedMember member = findOrAdd(peer, now - mLimits.suspectNanos());
             if (member != null) {
-                change(member, member.stateAfter(now - member.mHeardAt, mLimits));
+                setState(member, member.stateAfter(now - member.mLastHeardAt, mLimits));
             }
         }
     }
 
-    /** A member's own heartbeat, or its answer to one, has arrived from it. */
-    public void heard(Incarnation from, long beat, long now) {
+    /** Records a heartbeat or heartbeat response received directly from a member. */
+    public void heard(Incarnation from, long sequence, long now) {
         TrackedMember member = mMembers.get(from);
         if (member != null) {
-            member.mBeat = newest(member.mBeat, (short) beat);
-            alive(member, now);
+            member.mSequence = newest(member.mSequence, (short) sequence);
+            markAlive(member, now);
         }
     }
 
-    /** A member says how it is. */
+    /** Updates the reported status of a member. */
     public void status(Incarnation from, NodeStatus status) {
         TrackedMember member = mMembers.get(from);
         if (member != null) {
@@ -116,172 +115,172 @@
     }
 
     /**
-     * Another member tells of a heartbeat; it counts only when it is newer than the newest known.
+     * Records a gossiped digest, which counts as a sign of life only if it is newer than the last
+     * known heartbeat.
      *
-     * <p>Guards against old news that goes round: two nodes that tell each other of a dead one
-     * would keep it alive for ever if a beat that is already known counted again.
+     * <p>Otherwise two nodes that gossip about a failed member would keep it alive forever.
      */
-    public void told(BeatNews news, long now) {
-        boolean known = news.tag() == mSelf.incarnation().tag();
+    public void told(BeatNews digest, long now) {
+        boolean known = digest.tag() == mSelf.incarnation().tag();
         for (TrackedMember member : mMembers.values()) {
-            if (member.mIdentity.incarnation().tag() == news.tag()) {
+            if (member.mIdentity.incarnation().tag() == digest.tag()) {
                 known = true;
-                if (BeatNews.isNewer(news.beat(), member.mBeat) && !member.mReplaced) {
-                    member.mBeat = news.beat();
-                    alive(member, now);
+                if (BeatNews.isNewer(digest.beat(), member.mSequence) && !member.mReplaced) {
+                    member.mSequence = digest.beat();
+                    markAlive(member, now);
                 }
             }
         }
-        if (!known && mStrangers.size() < MAX_STRANGERS) {
-            mStrangers.add(news.tag());
+        if (!known && mUnknownTags.size() < MAX_UNKNOWN_TAGS) {
+            mUnknownTags.add(digest.tag());
         }
     }
 
-    /** A member has said that it leaves. */
+    /** Records that a member announced its shutdown. */
     public void left(Incarnation incarnation) {
         leftByTag(incarnation.tag());
     }
 
-    /** Another member tells that one has left. */
+    /** Records a gossiped departure notice. */
     public void leftByTag(int tag) {
-        tracked(tag).forEach(member -> change(member, MemberState.LEFT));
+        membersByTag(tag).forEach(member -> setState(member, MemberState.LEFT));
     }
 
-    /** Lets silence take its effect and forgets members that are long gone. */
+    /** Applies the failure detection timeouts and removes members that failed long ago. */
     public void tick(long now) {
-        Iterator<TrackedMember> all = mMembers.values().iterator();
-        while (all.hasNext()) {
-            TrackedMember member = all.next();
-            long silence = now - member.mHeardAt;
-            change(member, member.stateAfter(silence, mLimits));
+        Iterator<TrackedMember> it = mMembers.values().iterator();
+        while (it.hasNext()) {
+            TrackedMember member = it.next();
+            long silence = now - member.mLastHeardAt;
+            setState(member, member.stateAfter(silence, mLimits));
             if (silence >= mLimits.forgetNanos()) {
-                all.remove();
+                it.remove();
             }
         }
     }
 
-    /** The members whose state has changed since the last call. */
+    /** Returns and clears the members whose state changed since the last call. */
     public List<Member> takeChanges() {
-        List<Member> changes = List.copyOf(mChanged);
-        mChanged.clear();
+        List<Member> changes = List.copyOf(mPendingChanges);
+        mPendingChanges.clear();
         return changes;
     }
 
-    /** Heartbeats to tell on, longest untold first. */
+    /** Returns digests to gossip, least recently sent first. */
     public List<BeatNews> news(int limit) {
-        mTurn++;
-        List<TrackedMember> told =
+        mGossipRound++;
+        List<TrackedMember> selected =
                 mMembers.values().stream()
                         .filter(m -> m.mState == MemberState.ALIVE)
-                        .sorted(Comparator.comparingLong(m -> m.mToldTurn))
+                        .sorted(Comparator.comparingLong(m -> m.mLastGossipRound))
                         .limit(limit)
                         .toList();
-        told.forEach(member -> member.mToldTurn = mTurn);
-        return told.stream()
-                .map(m -> new BeatNews(m.mIdentity.incarnation().tag(), m.mBeat))
+        selected.forEach(member -> member.mLastGossipRound = mGossipRound);
+        return selected.stream()
+                .map(m -> new BeatNews(m.mIdentity.incarnation().tag(), m.mSequence))
                 .toList();
     }
 
-    /** Tags of members that have left, each told on a few times. */
+    /** Returns tags of departed members to gossip; each tag is sent a limited number of times. */
     public List<Integer> farewells(int limit) {
-        List<TrackedMember> told =
+        List<TrackedMember> selected =
                 mMembers.values().stream()
-                        .filter(m -> m.mState == MemberState.LEFT && m.mFarewells > 0)
+                        .filter(m -> m.mState == MemberState.LEFT && m.mDepartureNotices > 0)
                         .limit(limit)
                         .toList();
-        told.forEach(m -> m.mFarewells--);
-        return told.stream().map(m -> m.mIdentity.incarnation().tag()).toList();
+        selected.forEach(m -> m.mDepartureNotices--);
+        return selected.stream().map(m -> m.mIdentity.incarnation().tag()).toList();
     }
 
-    /** Tags that others speak of and this node does not know; empties the list. */
+    /** Returns and clears the tags in received digests that match no known member. */
     public List<Integer> takeStrangers() {
-        List<Integer> strangers = List.copyOf(mStrangers);
-        mStrangers.clear();
-        return strangers;
+        List<Integer> unknown = List.copyOf(mUnknownTags);
+        mUnknownTags.clear();
+        return unknown;
     }
 
-    /** Who these are, as far as they are known and alive. */
+    /** Returns the identities of live members with the given tags. */
     public List<PeerIdentity> introduce(Collection<Integer> tags) {
         return tags.stream()
-                .flatMap(this::tracked)
+                .flatMap(this::membersByTag)
                 .filter(m -> m.mState == MemberState.ALIVE)
                 .map(m -> m.mIdentity)
                 .toList();
     }
 
     /**
-     * Addresses that this node keeps a connection to, or tries to.
+     * Returns the addresses to maintain connections to.
      *
-     * <p>The settings and the platform say where a node is reached from here; a node that they do
-     * not name is reached at the address that it states itself.
+     * <p>Addresses from the settings and the platform take precedence; other nodes are reached at
+     * the address that they advertise.
      */
     public Set<InetSocketAddress> addresses() {
         Set<InetSocketAddress> addresses = new LinkedHashSet<>();
-        Set<NodeId> named = new HashSet<>();
-        named.add(mSelf.node());
+        Set<NodeId> seeded = new HashSet<>();
+        seeded.add(mSelf.node());
         for (List<Seed> seeds : mSeeds.values()) {
             for (Seed seed : seeds) {
                 if (!seed.node().equals(mSelf.node())) {
                     addresses.add(seed.address());
                 }
-                named.add(seed.node());
+                seeded.add(seed.node());
             }
         }
         for (TrackedMember member : mMembers.values()) {
-            if (!named.contains(member.mIdentity.node()) && member.mayHoldItsAddress()) {
+            if (!seeded.contains(member.mIdentity.node()) && member.mayOwnAddress()) {
                 addresses.add(member.mIdentity.address());
             }
         }
         return addresses;
     }
 
-    /** The member that now goes by a name; of several, one that is there. */
+    /** Returns the member with a node id, preferring the most available and recent incarnation. */
     public Optional<Member> find(NodeId node) {
         return mMembers.values().stream()
                 .filter(m -> m.mIdentity.node().equals(node))
                 .max(
                         Comparator.<TrackedMember, MemberState>comparing(m -> m.mState)
                                 .reversed()
-                                .thenComparingLong(m -> m.mHeardAt))
-                .map(TrackedMember::view);
+                                .thenComparingLong(m -> m.mLastHeardAt))
+                .map(TrackedMember::toMember);
     }
 
-    /** The member of that incarnation. */
+    /** Returns the member with an incarnation. */
     public Optional<Member> find(Incarnation incarnation) {
-        return Optional.ofNullable(mMembers.get(incarnation)).map(TrackedMember::view);
+        return Optional.ofNullable(mMembers.get(incarnation)).map(TrackedMember::toMember);
     }
 
-    /** All members that are known, without this node. */
+    /** Returns all known members except this node. */
     public List<Member> members() {
-        return mMembers.values().stream().map(TrackedMember::view).toList();
+        return mMembers.values().stream().map(TrackedMember::toMember).toList();
     }
 
-    private TrackedMember track(PeerIdentity peer, long now) {
+    private TrackedMember findOrAdd(PeerIdentity peer, long now) {
         TrackedMember known = mMembers.get(peer.incarnation());
         if (known != null || mMembers.size() >= MAX_MEMBERS) {
             return known;
         }
         TrackedMember member = new TrackedMember(peer, now);
         mMembers.put(peer.incarnation(), member);
-        mChanged.add(member.view());
+        mPendingChanges.add(member.toMember());
         return member;
     }
 
-    private void alive(TrackedMember member, long now) {
-        member.mHeardAt = now;
+    private void markAlive(TrackedMember member, long now) {
+        member.mLastHeardAt = now;
         if (member.mState != MemberState.LEFT) {
-            change(member, MemberState.ALIVE);
+            setState(member, MemberState.ALIVE);
         }
     }
 
-    private void change(TrackedMember member, MemberState state) {
+    private void setState(TrackedMember member, MemberState state) {
         if (member.mState != state) {
             member.mState = state;
-            mChanged.add(member.view());
+            mPendingChanges.add(member.toMember());
         }
     }
 
-    private Stream<TrackedMember> tracked(int tag) {
+    private Stream<TrackedMember> membersByTag(int tag) {
         return mMembers.values().stream().filter(m -> m.mIdentity.incarnation().tag() == tag);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/SilenceLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/SilenceLimits.java
@@ -3,23 +3,23 @@
 import java.time.Duration;
 
 /**
- * How long a member may be silent.
+ * Timeouts of the failure detector, measured from the last heartbeat of a member.
  *
- * @param suspectNanos silence after which it is suspected
- * @param awayNanos silence after which it counts as away
- * @param forgetNanos silence after which it is forgotten
+ * @param suspectNanos time after which the member is suspected
+ * @param awayNanos time after which the member is considered away
+ * @param forgetNanos time after which the member is removed from the table
  */
 public record SilenceLimits(long suspectNanos, long awayNanos, long forgetNanos) {
 
     private static final int FORGET_FACTOR = 10;
 
-    /** Limits from the time after which a member counts as away. */
+    /** Derives all timeouts from the time after which a member is considered away. */
     public static SilenceLimits of(Duration away) {
         long nanos = away.toNanos();
         return new SilenceLimits(nanos / 2, nanos, nanos * FORGET_FACTOR);
     }
 
-    /** Limits that allow for the time that news takes from node to node. */
+    /** Returns timeouts that are extended by the propagation delay of gossip. */
     public SilenceLimits allowing(Duration spread) {
         return of(Duration.ofNanos(awayNanos).plus(spread));
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/TrackedMember.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/TrackedMember.java
@@ -6,45 +6,45 @@
 import org.foxtailplank.membership.NodeStatus;
 import org.foxtailplank.membership.PeerIdentity;
 
-/** What is kept of one member. */
+/** Mutable state of one member in the table. */
 final class TrackedMember {
 
-    private static final int FAREWELLS = 8;
+    private static final int DEPARTURE_NOTICES = 8;
 
     final PeerIdentity mIdentity;
     MemberState mState = MemberState.ALIVE;
 
-    /** Where it was last reached from here. */
-    InetSocketAddress mReachedAt;
+    /** Address at which this node last connected to the member. */
+    InetSocketAddress mLastAddress;
 
     NodeStatus mStatus = NodeStatus.none();
-    short mBeat;
-    long mHeardAt;
+    short mSequence;
+    long mLastHeardAt;
 
-    /** Another process was met at its address: only it itself can undo that. */
+    /** Another node authenticated at the member's address; cleared if the member reconnects. */
     boolean mReplaced;
 
-    /** Turn in which it was last told on. */
-    long mToldTurn;
+    /** Gossip round in which a digest of the member was last sent. */
+    long mLastGossipRound;
 
-    /** How often its leaving is still to be told on. */
-    int mFarewells = FAREWELLS;
+    /** Number of departure notices still to be sent for the member. */
+    int mDepartureNotices = DEPARTURE_NOTICES;
 
     TrackedMember(PeerIdentity identity, long now) {
         mIdentity = identity;
-        mReachedAt = identity.address();
-        mHeardAt = now;
+        mLastAddress = identity.address();
+        mLastHeardAt = now;
     }
 
-    boolean isAt(InetSocketAddress address) {
+    boolean hasAddress(InetSocketAddress address) {
         return mIdentity.address().equals(address);
     }
 
-    boolean mayHoldItsAddress() {
+    boolean mayOwnAddress() {
         return mState != MemberState.LEFT && !mReplaced;
     }
 
-    Member view() {
+    Member toMember() {
         return new Member(mIdentity, mState, mStatus);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/TryBudget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/TryBudget.java
@@ -1,10 +1,9 @@
 package org.foxtailplank.internal.membership;
 
 /**
- * Limits the tries a second over all peers together.
+ * Token bucket that limits the rate of connection attempts to all peers.
  *
- * <p>Guards against a storm when a partition heals: without it every node would open connections to
- * all that it had lost in the same moment.
+ * <p>Prevents a connection storm when a partition heals.
  */
 public final class TryBudget {
 
@@ -13,19 +12,19 @@
     private final int mPerSecond;
     private final int mBurst;
     private double mTokens;
-    private long mAt;
+    private long mRefilledAt;
 
     public TryBudget(int perSecond, int burst, long now) {
         mPerSecond = perSecond;
         mBurst = burst;
         mTokens = burst;
-        mAt = now;
+        mRefilledAt = now;
     }
 
-    /** Takes one try if there is one. */
+    /** Takes a token if one is available. */
     public boolean take(long now) {
-        mTokens = Math.min(mBurst, mTokens + (double) (now - mAt) * mPerSecond / NANOS);
-        mAt = now;
+        mTokens = Math.min(mBurst, mTokens + (double) (now - mRefilledAt) * mPerSecond / NANOS);
+        mRefilledAt = now;
         if (mTokens < 1) {
             return false;
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Decides who counts as a member from heartbeats, and whom to send the next heartbeats to. */
+/** Failure detection, heartbeat scheduling and catch-up decisions for cluster members. */
 package org.foxtailplank.internal.membership;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
@@ -9,7 +9,7 @@
 public class BackoffTest {
 
     @Test
-    public void waitsGrowUpToTheLimitAndStartAgainAfterASuccess() {
+    public void delaysDoubleUpToTheMaximumAndRestartAfterAReset() {
         Backoff backoff = new Backoff(100, 400, new Random(1));
         assertBetween(backoff.next(), 50, 100);
         assertBetween(backoff.next(), 100, 200);
@@ -20,16 +20,16 @@
     }
 
     @Test
-    public void triesAreLimitedOverAllPeersTogether() {
-        TryBudget budget = new TryBudget(10, 3, 0);
-        assertEquals(taken(budget, 0), 3);
-        assertEquals(taken(budget, 200_000_000L), 2);
-        assertEquals(taken(budget, 3_600_000_000_000L), 3);
+    public void connectionAttemptsAreRateLimited() {
+        TryBudget limiter = new TryBudget(10, 3, 0);
+        assertEquals(taken(limiter, 0), 3);
+        assertEquals(taken(limiter, 200_000_000L), 2);
+        assertEquals(taken(limiter, 3_600_000_000_000L), 3);
     }
 
-    private static int taken(TryBudget budget, long now) {
+    private static int taken(TryBudget limiter, long now) {
         int taken = 0;
-        while (budget.take(now)) {
+        while (limiter.take(now)) {
             taken++;
         }
         return taken;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/CatchUpTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/CatchUpTest.java
@@ -32,14 +32,14 @@
     }
 
     @Test
-    public void asksNobodyWhileNobodyIsAhead() {
+    public void asksNoPeerWhileNoneIsAhead() {
         assertEquals(mCatchUp.peerToAsk(at(9), List.of(member("x", "a", 9)), 0), Optional.empty());
         assertEquals(
                 mCatchUp.peerToAsk(at(9), List.of(member("x", "a", 8)), GRACE), Optional.empty());
     }
 
     @Test
-    public void leavesThePlatformTimeToBringTheNews() {
+    public void asksAPeerOnlyAfterTheGracePeriod() {
         List<Member> members = List.of(member("x", "a", 10));
         assertEquals(mCatchUp.peerToAsk(at(9), members, 0), Optional.empty());
         assertEquals(mCatchUp.peerToAsk(at(9), members, GRACE - 1), Optional.empty());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void progressByThePlatformStartsTheGraceAnew() {
+    public void progressThroughThePlatformRestartsTheGracePeriod() {
         List<Member> members = List.of(member("x", "a", 20));
         mCatchUp.peerToAsk(at(9), members, 0);
         assertEquals(mCatchUp.peerToAsk(at(10), members, GRACE), Optional.empty());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void aPeerThatHelpedIsAskedForMoreAtOnce() {
+    public void progressThroughAPeerDoesNotRestartTheGracePeriod() {
         List<Member> members = List.of(member("x", "a", 20));
         mCatchUp.peerToAsk(at(9), members, 0);
         mCatchUp.helped(at(12));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void prefersPeersOfItsOwnZone() {
+    public void prefersPeersInItsOwnZone() {
         List<Member> members = List.of(member("far", "b", 30), member("near", "a", 10));
         mCatchUp.peerToAsk(at(9), members, 0);
         assertEquals(mCatchUp.peerToAsk(at(9), members, GRACE), Optional.of(NodeId.of("near")));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void aRestoredLogCountsAsNewerThanALongerOneBeforeIt() {
+    public void restoredLogIsNewerThanTheLongerLogBeforeIt() {
         StatePosition restored = new StatePosition(1, 5, 5);
         NodeStatus status = new NodeStatus(0, restored, LoadSummary.none());
         Member peer = new Member(member("x", "a", 5).identity(), MemberState.ALIVE, status);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/HeartbeatPlanTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/HeartbeatPlanTest.java
@@ -17,7 +17,7 @@
     private static final Duration HEARTBEAT = Duration.ofSeconds(1);
 
     @Test
-    public void reachesAllPeersWhileTheBudgetAllows() {
+    public void sendsToAllPeersWithinTheBudget() {
         HeartbeatPlan<Integer> plan = plan(1_000);
         assertEquals(new HashSet<>(plan.next(peers(8), 9)), peers(8));
         assertEquals(plan.newsLimit(8, 9), 2);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void reachesEachPeerOnceARoundBeyondTheBudget() {
+    public void sendsToEachPeerOncePerRoundBeyondTheBudget() {
         HeartbeatPlan<Integer> plan = plan(1_000);
         Set<Integer> reached = new HashSet<>();
         for (int tick = 0; tick < 10; tick++) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void aTickNeverReachesAPeerTwiceNorOneThatIsGone() {
+    public void selectsNoPeerTwiceNorRemovedPeers() {
         HeartbeatPlan<Integer> plan = plan(1_000);
         plan.next(peers(5), 500);
         for (int tick = 0; tick < 20; tick++) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void laterHeartbeatsMakeUpForWhatWasToldAtOnce() {
+    public void unscheduledMessagesAreDeductedFromTheBudget() {
         HeartbeatPlan<Integer> plan = plan(1_000);
         plan.atOnce(peers(20), 8, 500);
         int sent = 8;
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void staysSilentWithoutPeers() {
+    public void sendsNothingWithoutPeers() {
         assertTrue(plan(1_000).next(Set.of(), 100).isEmpty());
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MemberTableTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MemberTableTest.java
@@ -28,7 +28,7 @@
     private final PeerIdentity mOther = peer("other", 2, 2000);
 
     @Test
-    public void aSilentMemberIsSuspectedThenAwayThenForgotten() {
+    public void silentMemberIsSuspectedThenAwayThenRemoved() {
         MemberTable table = table();
         table.met(mOther, 0);
         assertEquals(stateAt(table, SECOND - 1), MemberState.ALIVE);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void aHeartbeatBringsASilentMemberBack() {
+    public void heartbeatRestoresAMemberThatWasAway() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.tick(3 * SECOND);
@@ -48,54 +48,48 @@
     }
 
     @Test
-    public void eachChangeOfStateIsToldOnce() {
+    public void eachStateChangeIsReportedOnce() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.tick(2 * SECOND);
         table.tick(3 * SECOND);
-        List<MemberState> told = table.takeChanges().stream().map(Member::state).toList();
-        assertEquals(told, List.of(MemberState.ALIVE, MemberState.AWAY));
+        List<MemberState> states = table.takeChanges().stream().map(Member::state).toList();
+        assertEquals(states, List.of(MemberState.ALIVE, MemberState.AWAY));
         assertTrue(table.takeChanges().isEmpty());
     }
 
-    /**
-     * Two nodes would show a dead node as alive for ever. Each had heard its last heartbeat, and
-     * each goes on telling the other of it. Cause: old news counted as a sign of life.
-     */
+    /** Guards against nodes that keep a failed member alive by gossiping its last heartbeat. */
     @Test
-    public void newsThatIsAlreadyKnownKeepsNobodyAlive() {
+    public void knownDigestIsNoSignOfLife() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.heard(mOther.incarnation(), 7, 0);
-        table.told(news(mOther, 7), SECOND);
+        table.told(digest(mOther, 7), SECOND);
         assertEquals(stateAt(table, 2 * SECOND), MemberState.AWAY);
     }
 
     @Test
-    public void newerNewsKeepsAMemberAliveThatIsNotHeardItself() {
+    public void newerDigestKeepsAMemberAliveWithoutDirectHeartbeats() {
         MemberTable table = table();
         table.met(mOther, 0);
-        table.told(news(mOther, 1), SECOND);
+        table.told(digest(mOther, 1), SECOND);
         assertEquals(stateAt(table, 2 * SECOND - 1), MemberState.ALIVE);
     }
 
-    /**
-     * An ask would go to a VM that no longer exists. The VM was replaced, and its successor has the
-     * same name and address; late news of the old one still goes round.
-     */
+    /** Guards against late gossip that revives the predecessor of a replaced VM. */
     @Test
-    public void aReplacedVmWithTheSameAddressIsANewMember() {
+    public void replacedVmWithTheSameAddressIsANewMember() {
         MemberTable table = table();
         PeerIdentity successor = peer("other", 3, 2000);
         table.reached(mOther, mOther.address(), 0);
         table.reached(successor, successor.address(), 1);
-        table.told(news(mOther, 99), 2);
+        table.told(digest(mOther, 99), 2);
         assertEquals(table.find(mOther.node()).orElseThrow().incarnation().value(), 3);
         assertEquals(table.find(mOther.incarnation()).orElseThrow().state(), MemberState.AWAY);
     }
 
     @Test
-    public void aMemberThatSaidItLeavesDoesNotComeBackByLateHeartbeats() {
+    public void lateHeartbeatDoesNotReviveADepartedMember() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.left(mOther.incarnation());
@@ -106,20 +100,20 @@
     }
 
     @Test
-    public void theMemberLongestUntoldIsToldOnFirst() {
+    public void leastRecentlySentDigestIsSentFirst() {
         MemberTable table = table();
         PeerIdentity third = peer("third", 3, 3000);
         table.met(mOther, 0);
         table.met(third, 0);
         table.heard(mOther.incarnation(), 1, 0);
-        assertEquals(table.news(1), List.of(news(mOther, 1)));
+        assertEquals(table.news(1), List.of(digest(mOther, 1)));
         table.heard(mOther.incarnation(), 2, 0);
-        assertEquals(table.news(1), List.of(news(third, 0)));
-        assertEquals(table.news(9), List.of(news(mOther, 2), news(third, 0)));
+        assertEquals(table.news(1), List.of(digest(third, 0)));
+        assertEquals(table.news(9), List.of(digest(mOther, 2), digest(third, 0)));
     }
 
     @Test
-    public void newsOfASilentMemberIsNotToldOn() {
+    public void suspectMemberIsNotGossiped() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.tick(SECOND);
@@ -127,31 +121,31 @@
     }
 
     @Test
-    public void beatsStayNewerWhenTheirNumbersWrapRound() {
+    public void heartbeatSequenceWrapsAround() {
         MemberTable table = table();
         table.met(mOther, 0);
         table.heard(mOther.incarnation(), 0x7FFF, 0);
-        table.told(news(mOther, 0x8001), SECOND);
+        table.told(digest(mOther, 0x8001), SECOND);
         assertEquals(stateAt(table, 2 * SECOND - 1), MemberState.ALIVE);
-        table.told(news(mOther, 0x7FFF), 2 * SECOND - 1);
+        table.told(digest(mOther, 0x7FFF), 2 * SECOND - 1);
         assertEquals(stateAt(table, 2 * SECOND), MemberState.SUSPECT);
     }
 
     @Test
-    public void asksWhoAStrangerIsAndTakesTheIntroduction() {
+    public void introducedMemberIsSuspectUntilANewerDigest() {
         MemberTable table = table();
-        table.told(news(mOther, 5), 0);
+        table.told(digest(mOther, 5), 0);
         assertEquals(table.takeStrangers(), List.of(mOther.incarnation().tag()));
         table.introduced(mOther, 0);
         assertEquals(stateAt(table, 0), MemberState.SUSPECT);
-        table.told(news(mOther, 6), 0);
+        table.told(digest(mOther, 6), 0);
         assertEquals(stateAt(table, 0), MemberState.ALIVE);
         assertEquals(table.introduce(List.of(mOther.incarnation().tag())), List.of(mOther));
         assertTrue(table.takeStrangers().isEmpty());
     }
 
     @Test
-    public void theSettingsSayWhereANodeIsReached() {
+    public void seedAddressTakesPrecedenceOverTheAdvertisedOne() {
         MemberTable table = table();
         InetSocketAddress proxy = new InetSocketAddress("127.0.0.1", 9000);
         table.learn(
@@ -172,8 +166,8 @@
         return table.find(mOther.incarnation()).orElseThrow().state();
     }
 
-    private static BeatNews news(PeerIdentity peer, int beat) {
-        return new BeatNews(peer.incarnation().tag(), (short) beat);
+    private static BeatNews digest(PeerIdentity peer, int sequence) {
+        return new BeatNews(peer.incarnation().tag(), (short) sequence);
     }
 
     private static PeerIdentity peer(String node, long incarnation, int port) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MembershipScaleTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MembershipScaleTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The real tables and plans of many nodes, on a fake clock. */
+/** Simulates failure detection in clusters of up to 99 nodes with a fake clock. */
 public class MembershipScaleTest {
 
     private static final Duration HEARTBEAT = Duration.ofMillis(500);
@@ -29,7 +29,7 @@
     private static final int BYTES_EACH = 40;
     private static final long TICK = HEARTBEAT.toNanos();
 
-    /** Number of nodes, seed, and the seconds after which a dead node must be away everywhere. */
+    /** Number of nodes, seed, and seconds within which all nodes must detect a failed one. */
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {
@@ -38,8 +38,8 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void nobodyIsWronglyAwayAndADeadNodeIsSoonAwayEverywhere(
-            int size, long seed, int seconds) {
+    public void detectsAFailedNodeEverywhereWithoutFalsePositives(
+            int size, long seed, int maxSeconds) {
         List<Node> nodes = new ArrayList<>();
         Random random = new Random(seed);
         for (int i = 0; i < size; i++) {
@@ -50,34 +50,36 @@
             nodes.stream().filter(n -> n != node).forEach(n -> node.mTable.met(n.mSelf, 0));
         }
         for (int tick = 0; tick < 120; tick++, now += TICK) {
-            beat(nodes, nodes, now);
-            assertEquals(away(nodes), 0, "wrongly away in tick " + tick);
+            sendHeartbeats(nodes, nodes, now);
+            assertEquals(countAway(nodes), 0, "false positives in tick " + tick);
         }
-        Node dead = nodes.get(random.nextInt(size));
-        List<Node> alive = new ArrayList<>(nodes);
-        alive.remove(dead);
+        Node failed = nodes.get(random.nextInt(size));
+        List<Node> live = new ArrayList<>(nodes);
+        live.remove(failed);
         int ticks = 0;
-        for (; away(alive) < alive.size() && ticks < 200; ticks++, now += TICK) {
-            beat(alive, nodes, now);
+        for (; countAway(live) < live.size() && ticks < 200; ticks++, now += TICK) {
+            sendHeartbeats(live, nodes, now);
         }
-        assertTrue(ticks * HEARTBEAT.toMillis() <= seconds * 1_000L, "ticks until away: " + ticks);
+        assertTrue(
+                ticks * HEARTBEAT.toMillis() <= maxSeconds * 1_000L,
+                "ticks until detection: " + ticks);
         for (int tick = 0; tick < 20; tick++, now += TICK) {
-            beat(alive, nodes, now);
-            assertEquals(away(alive), alive.size(), "the dead node alone stays away");
+            sendHeartbeats(live, nodes, now);
+            assertEquals(countAway(live), live.size(), "only the failed node is away");
         }
     }
 
-    private static void beat(List<Node> senders, List<Node> receivers, long now) {
+    private static void sendHeartbeats(List<Node> senders, List<Node> receivers, long now) {
         for (Node sender : senders) {
-            sender.beat(receivers, now + sender.mPhase);
+            sender.sendHeartbeat(receivers, now + sender.mPhase);
         }
     }
 
-    private static long away(List<Node> nodes) {
-        return nodes.stream().mapToLong(Node::away).sum();
+    private static long countAway(List<Node> nodes) {
+        return nodes.stream().mapToLong(Node::countAway).sum();
     }
 
-    /** One node: its table, its plan and when in each interval it sends. */
+    /** A node with its member table, heartbeat plan and phase within the heartbeat interval. */
     private static final class Node {
 
         final PeerIdentity mSelf;
@@ -85,7 +87,7 @@
         final HeartbeatPlan<Integer> mPlan;
         final long mPhase;
         final int mIndex;
-        long mBeat;
+        long mSequence;
 
         Node(int index, Random random) {
             mIndex = index;
@@ -101,23 +103,23 @@
             mPhase = (long) (random.nextDouble() * TICK);
         }
 
-        void beat(List<Node> all, long now) {
+        void sendHeartbeat(List<Node> all, long now) {
             Set<Integer> peers = new LinkedHashSet<>();
             all.forEach(node -> peers.add(node.mIndex));
             peers.remove(mIndex);
-            Duration spread = mPlan.spread(peers.size(), BYTES_EACH);
-            mTable.allow(SilenceLimits.of(SILENCE).allowing(spread));
+            Duration delay = mPlan.spread(peers.size(), BYTES_EACH);
+            mTable.allow(SilenceLimits.of(SILENCE).allowing(delay));
             mTable.tick(now);
-            mBeat++;
-            int news = mPlan.newsLimit(peers.size(), BYTES_EACH);
+            mSequence++;
+            int digests = mPlan.newsLimit(peers.size(), BYTES_EACH);
             for (int peer : mPlan.next(peers, BYTES_EACH)) {
                 MemberTable table = all.get(peer).mTable;
-                table.heard(mSelf.incarnation(), mBeat, now);
-                mTable.news(news).forEach(n -> table.told(n, now));
+                table.heard(mSelf.incarnation(), mSequence, now);
+                mTable.news(digests).forEach(n -> table.told(n, now));
             }
         }
 
-        long away() {
+        long countAway() {
             return mTable.members().stream()
                     .map(Member::state)
                     .filter(state -> state == MemberState.AWAY)
