--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/Admission.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/Admission.java
@@ -1,27 +1,27 @@
 package org.foxtailplank.internal.admission;
 
 /**
- * Whether a request may wait, and otherwise why not.
+ * Result of an admission check.
  *
- * @param reason why, or {@link Reason#ADMITTED}
- * @param waitNanos expected time until its turn, in nanoseconds; for a refused one the time until
- *     it is worth asking again
+ * @param reason reason for the rejection, or {@link Reason#ADMITTED}
+ * @param waitNanos expected time in the queue, in nanoseconds; for a rejected request the time
+ *     after which to retry
  */
 public record Admission(Reason reason, long waitNanos) {
 
-    /** Why a request is refused. */
+    /** Reason for a rejection. */
     public enum Reason {
-        /** It is not refused. */
+        /** The request is admitted. */
         ADMITTED,
-        /** Its turn would come too late for its deadline. */
+        /** The request would miss its deadline. */
         TOO_LATE,
-        /** Its turn would come too late, and its team already has more than its quota waiting. */
+        /** The request would miss its deadline, and its team exceeds its quota of the queue. */
         OVER_QUOTA,
-        /** Waiting requests hold all the memory that they may. */
+        /** The queue has reached its memory limit. */
         FULL
     }
 
-    /** Whether the request may wait. */
+    /** Returns whether the request may be queued. */
     public boolean admitted() {
         return reason == Reason.ADMITTED;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
@@ -10,30 +10,30 @@
 import org.foxtailplank.request.RequestClass;
 
 /**
- * Requests of one service that wait for room at an instance.
+ * Queue of the requests of one service that wait for an available instance.
  *
- * <p>Urgent ones go first; within a class the teams share by quota. The queue is limited by
- * deadline: a request that would not get its turn in time is refused when it comes, and one whose
- * turn has become hopeless is given up at once.
+ * <p>Classes have strict priority; within a class, teams share the service by weighted fair
+ * queueing. Deadlines bound the queue: requests that would miss theirs are rejected on arrival or
+ * removed as soon as this becomes certain.
  *
- * @param <T> what stands for a request
+ * @param <T> type that represents a request
  */
 public final class AdmissionQueue<T> {
 
-    private static final double PACE_WEIGHT = 0.05;
+    private static final double INTERVAL_WEIGHT = 0.05;
 
     private final Map<RequestClass, ClassQueue<T>> mClasses = new EnumMap<>(RequestClass.class);
     private final long mMaxBytes;
     private long mBytes;
-    private double mPace;
-    private long mLastTake;
+    private double mMeanInterval;
+    private long mLastTakenAt;
     private boolean mBacklog;
 
     /**
-     * Starts empty.
+     * Creates an empty queue.
      *
-     * @param quotas quota of each team
-     * @param maxBytes memory that all waiting requests may hold
+     * @param quotas quota by team
+     * @param maxBytes memory limit for all queued requests
      */
     public AdmissionQueue(ToDoubleFunction<String> quotas, long maxBytes) {
         mMaxBytes = maxBytes;
@@ -42,97 +42,98 @@
         }
     }
 
-    /** Requests that wait. */
+    /** Returns the number of queued requests. */
     public int size() {
         return mClasses.values().stream().mapToInt(ClassQueue::size).sum();
     }
 
     /**
-     * Says whether a request would get its turn in time.
+     * Checks whether a request can be served before its deadline.
      *
-     * @param service usual time from its turn to its answer, in nanoseconds
+     * @param serviceTime expected time from dispatch to response, in nanoseconds
      */
-    public Admission check(Ticket<T> ticket, long service, long now) {
-        if (mBytes + ticket.bytes() > mMaxBytes) {
-            return new Admission(Admission.Reason.FULL, (long) (mPace * size()));
+    public Admission check(Ticket<T> request, long serviceTime, long now) {
+        if (mBytes + request.bytes() > mMaxBytes) {
+            return new Admission(Admission.Reason.FULL, (long) (mMeanInterval * size()));
         }
-        long wait = (long) (ahead(ticket) * mPace);
-        if (ticket.deadline() - now >= wait + service) {
+        long wait = (long) (requestsAhead(request) * mMeanInterval);
+        if (request.deadline() - now >= wait + serviceTime) {
             return new Admission(Admission.Reason.ADMITTED, wait);
         }
-        boolean over = mClasses.get(ticket.requestClass()).overQuota(ticket.team());
-        Admission.Reason reason = over ? Admission.Reason.OVER_QUOTA : Admission.Reason.TOO_LATE;
-        return new Admission(reason, Math.max(wait, service));
+        boolean overQuota = mClasses.get(request.requestClass()).overQuota(request.team());
+        Admission.Reason reason =
+                overQuota ? Admission.Reason.OVER_QUOTA : Admission.Reason.TOO_LATE;
+        return new Admission(reason, Math.max(wait, serviceTime));
     }
 
-    /** Lets a request wait. */
-    public void add(Ticket<T> ticket) {
-        mBytes += ticket.bytes();
-        mClasses.get(ticket.requestClass()).add(ticket);
+    /** Adds a request. */
+    public void add(Ticket<T> request) {
+        mBytes += request.bytes();
+        mClasses.get(request.requestClass()).add(request);
     }
 
-    /** Takes the request whose turn it is. */
+    /** Removes and returns the next request. */
     public Optional<Ticket<T>> take(long now) {
         for (ClassQueue<T> c : mClasses.values()) {
             Ticket<T> next = c.take();
             if (next != null) {
                 mBytes -= next.bytes();
-                measurePace(now);
+                recordInterval(now);
                 return Optional.of(next);
             }
         }
         return Optional.empty();
     }
 
-    /** Room has run out while requests wait: from now on the time between turns is measured. */
-    public void backlog(long now) {
+    /** Starts to measure the dispatch interval, as requests wait and no instance is available. */
+    public void backlogStarted(long now) {
         if (!mBacklog) {
             mBacklog = true;
-            mLastTake = now;
+            mLastTakenAt = now;
         }
     }
 
-    /** Removes the requests that can no longer be answered in time. */
-    public List<Ticket<T>> giveUp(long service, long now) {
-        List<Ticket<T>> late = new ArrayList<>();
+    /** Removes and returns requests that can no longer meet their deadline. */
+    public List<Ticket<T>> removeExpired(long serviceTime, long now) {
+        List<Ticket<T>> expired = new ArrayList<>();
         for (ClassQueue<T> c : mClasses.values()) {
-            int before = late.size();
-            c.teams().forEach(t -> collectLate(t, now + service, late));
-            c.trim(late.size() - before);
+            int before = expired.size();
+            c.teams().forEach(t -> collectExpired(t, now + serviceTime, expired));
+            c.expiredRemoved(expired.size() - before);
         }
-        late.forEach(t -> mBytes -= t.bytes());
-        return late;
+        expired.forEach(t -> mBytes -= t.bytes());
+        return expired;
     }
 
-    private void collectLate(TeamQueue<T> team, long end, List<Ticket<T>> late) {
-        Iterator<Ticket<T>> it = team.tickets().iterator();
+    private void collectExpired(TeamQueue<T> team, long completion, List<Ticket<T>> expired) {
+        Iterator<Ticket<T>> it = team.requests().iterator();
         while (it.hasNext()) {
             Ticket<T> t = it.next();
-            if (t.deadline() - end < 0) {
+            if (t.deadline() - completion < 0) {
                 it.remove();
-                late.add(t);
+                expired.add(t);
             }
         }
     }
 
-    private double ahead(Ticket<T> ticket) {
+    private double requestsAhead(Ticket<T> request) {
         double ahead = 0;
         for (RequestClass c : RequestClass.values()) {
-            if (c == ticket.requestClass()) {
-                return ahead + mClasses.get(c).ahead(ticket.team());
+            if (c == request.requestClass()) {
+                return ahead + mClasses.get(c).requestsAhead(request.team());
             }
             ahead += mClasses.get(c).size();
         }
         return ahead;
     }
 
-    private void measurePace(long now) {
+    private void recordInterval(long now) {
         if (!mBacklog) {
             return;
         }
-        double gap = now - mLastTake;
-        mPace += (gap - mPace) * (mPace == 0 ? 1 : PACE_WEIGHT);
-        mLastTake = now;
+        double interval = now - mLastTakenAt;
+        mMeanInterval += (interval - mMeanInterval) * (mMeanInterval == 0 ? 1 : INTERVAL_WEIGHT);
+        mLastTakenAt = now;
         mBacklog = size() > 0;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/ClassQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/ClassQueue.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** Waiting requests of one class, shared between teams by their quotas. */
+/** Queued requests of one class, scheduled by weighted fair queueing between teams. */
 final class ClassQueue<T> {
 
     private final ToDoubleFunction<String> mQuotas;
     private final Map<String, TeamQueue<T>> mTeams = new HashMap<>();
-    private double mServed;
+    private double mVirtualTime;
     private int mSize;
 
     ClassQueue(ToDoubleFunction<String> quotas) {
@@ -25,66 +25,66 @@
         return mTeams.values();
     }
 
-    void add(Ticket<T> ticket) {
+    void add(Ticket<T> request) {
         TeamQueue<T> team =
                 mTeams.computeIfAbsent(
-                        ticket.team(), t -> new TeamQueue<>(mQuotas.applyAsDouble(t)));
-        if (team.tickets().isEmpty()) {
-            team.catchUp(mServed);
+                        request.team(), t -> new TeamQueue<>(mQuotas.applyAsDouble(t)));
+        if (team.requests().isEmpty()) {
+            team.advanceTo(mVirtualTime);
         }
-        team.tickets().addLast(ticket);
+        team.requests().addLast(request);
         mSize++;
     }
 
-    /** Takes the next request; null when there is none. */
+    /** Removes and returns the next request, or null if there is none. */
     Ticket<T> take() {
         TeamQueue<T> next = null;
         for (TeamQueue<T> t : mTeams.values()) {
-            if (!t.tickets().isEmpty() && (next == null || t.served() < next.served())) {
+            if (!t.requests().isEmpty() && (next == null || t.virtualTime() < next.virtualTime())) {
                 next = t;
             }
         }
         if (next == null) {
             return null;
         }
-        mServed = next.served();
-        next.serve();
+        mVirtualTime = next.virtualTime();
+        next.advance();
         mSize--;
-        return next.tickets().removeFirst();
+        return next.requests().removeFirst();
     }
 
-    /** Requests that would be served before one more request of a team. */
-    double ahead(String team) {
+    /** Estimates the number of requests served before a new request of a team. */
+    double requestsAhead(String team) {
         TeamQueue<T> own = mTeams.get(team);
-        if (own == null || own.tickets().isEmpty()) {
-            return Math.min(mSize, busyTeams());
+        if (own == null || own.requests().isEmpty()) {
+            return Math.min(mSize, activeTeams());
         }
-        return Math.min(mSize, own.tickets().size() / share(own));
+        return Math.min(mSize, own.requests().size() / share(own));
     }
 
-    /** Whether a team has more waiting than its quota of all that waits. */
+    /** Returns whether a team's part of the queue exceeds its quota. */
     boolean overQuota(String team) {
         TeamQueue<T> own = mTeams.get(team);
-        return own != null && busyTeams() > 1 && own.tickets().size() > mSize * share(own);
+        return own != null && activeTeams() > 1 && own.requests().size() > mSize * share(own);
     }
 
-    /** Forgets teams with nothing waiting, so that made-up names don't pile up. */
-    void trim(int removed) {
+    /** Updates the size and drops idle teams, so that arbitrary team names don't accumulate. */
+    void expiredRemoved(int removed) {
         mSize -= removed;
-        mTeams.values().removeIf(t -> t.tickets().isEmpty());
+        mTeams.values().removeIf(t -> t.requests().isEmpty());
     }
 
-    private long busyTeams() {
-        return mTeams.values().stream().filter(t -> !t.tickets().isEmpty()).count();
+    private long activeTeams() {
+        return mTeams.values().stream().filter(t -> !t.requests().isEmpty()).count();
     }
 
     private double share(TeamQueue<T> own) {
-        double all = 0;
+        double total = 0;
         for (TeamQueue<T> t : mTeams.values()) {
-            if (!t.tickets().isEmpty()) {
-                all += t.quota();
+            if (!t.requests().isEmpty()) {
+                total += t.quota();
             }
         }
-        return all == 0 ? 1 : own.quota() / all;
+        return total == 0 ? 1 : own.quota() / total;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/TeamQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/TeamQueue.java
@@ -2,36 +2,36 @@
 
 import java.util.ArrayDeque;
 
-/** Waiting requests of one team in one class, first come first served. */
+/** FIFO queue of the requests of one team in one class. */
 final class TeamQueue<T> {
 
-    private final ArrayDeque<Ticket<T>> mTickets = new ArrayDeque<>();
+    private final ArrayDeque<Ticket<T>> mRequests = new ArrayDeque<>();
     private final double mQuota;
-    private double mServed;
+    private double mVirtualTime;
 
     TeamQueue(double quota) {
         mQuota = quota;
     }
 
-    ArrayDeque<Ticket<T>> tickets() {
-        return mTickets;
+    ArrayDeque<Ticket<T>> requests() {
+        return mRequests;
     }
 
     double quota() {
         return mQuota;
     }
 
-    /** Requests served so far in relation to the quota; the team with the least goes next. */
-    double served() {
-        return mServed;
+    /** Requests served divided by the quota; the team with the lowest value is next. */
+    double virtualTime() {
+        return mVirtualTime;
     }
 
-    void serve() {
-        mServed += 1 / mQuota;
+    void advance() {
+        mVirtualTime += 1 / mQuota;
     }
 
-    /** A team that was away earns no credit for that time. */
-    void catchUp(double served) {
-        mServed = Math.max(mServed, served);
+    /** Advances the virtual time, so that an idle team accumulates no credit. */
+    void advanceTo(double virtualTime) {
+        mVirtualTime = Math.max(mVirtualTime, virtualTime);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/Ticket.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/Ticket.java
@@ -3,14 +3,14 @@
 import org.foxtailplank.request.RequestClass;
 
 /**
- * One request that waits.
+ * A queued request with the attributes that determine its scheduling.
  *
- * @param <T> what stands for the request
- * @param item the request
- * @param requestClass how urgent it is
- * @param team name of the team it is counted for
- * @param deadline when its answer is of no more use, in nanoseconds
- * @param bytes memory that it holds while it waits
+ * @param <T> type that represents the request
+ * @param request the request
+ * @param requestClass priority class
+ * @param team name of the team that the request is accounted to
+ * @param deadline time by which the response is needed, in nanoseconds
+ * @param bytes memory that the request occupies in the queue
  */
 public record Ticket<T>(
-        T item, RequestClass requestClass, String team, long deadline, long bytes) {}
+        T request, RequestClass requestClass, String team, long deadline, long bytes) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which requests wait, which go next and which are refused. */
+/** Admission control and queueing of requests by class, team quota and deadline. */
 package org.foxtailplank.internal.admission;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/Attempt.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/Attempt.java
@@ -3,12 +3,12 @@
 import org.foxtailplank.internal.routing.Target;
 
 /**
- * One attempt at a request that is to be sent now.
+ * An attempt at a request, to be sent immediately.
  *
- * @param <T> what stands for the request
+ * @param <T> type that represents the request
  * @param request the request
- * @param target instance it goes to
- * @param started when it starts, in nanoseconds
- * @param timeout time after which it is given up, in nanoseconds
+ * @param target instance to send the request to
+ * @param started start time, in nanoseconds
+ * @param timeout timeout of the attempt, in nanoseconds
  */
 public record Attempt<T>(PendingRequest<T> request, Target target, long started, long timeout) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/Lane.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/Lane.java
@@ -15,38 +15,38 @@
 import org.foxtailplank.internal.routing.Target;
 
 /**
- * The requests of one service at one entry.
+ * Queues the requests of one service at one entry, routes them to instances and retries them.
  *
- * <p>Not safe for use by several threads. Times are nanoseconds of one clock.
+ * <p>Not thread-safe. Times are nanoseconds of one monotonic clock.
  *
- * @param <T> what stands for a request
+ * @param <T> type that represents a request
  */
 public final class Lane<T> {
 
-    private static final double TIME_WEIGHT = 0.05;
+    private static final double LATENCY_WEIGHT = 0.05;
     private static final double DEVIATIONS = 3;
     private static final long STALE_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long MAX_WAITING_BYTES = 32L << 20;
     private static final int MAX_ATTEMPTS = 3;
 
-    /** An attempt is cut short for a retry only where so many usual times are left. */
-    private static final int TIMES_WORTH_SPLITTING = 4;
+    /** Minimum remaining time, in mean latencies, to reserve time for a retry. */
+    private static final int MIN_LATENCIES_TO_SPLIT = 4;
 
     private final ServiceId mService;
     private final Router mRouter;
     private final AdmissionQueue<PendingRequest<T>> mQueue;
     private final RetryBudget mRetries;
-    private double mUsualTime;
-    private double mDeviation;
-    private long mLearnedAt;
+    private double mMeanLatency;
+    private double mLatencyDeviation;
+    private long mLastSampleAt;
 
     /**
-     * Starts empty.
+     * Creates a dispatcher without requests.
      *
      * @param service the service
-     * @param router chooses its instances
-     * @param quotas quota of each team
-     * @param retryRatio retries that each first attempt earns
+     * @param router router for its instances
+     * @param quotas quota by team
+     * @param retryRatio fraction of a retry that each first attempt adds to the retry budget
      */
     public Lane(
             ServiceId service, Router router, ToDoubleFunction<String> quotas, double retryRatio) {
@@ -56,126 +56,129 @@
         mRetries = new RetryBudget(retryRatio);
     }
 
-    /** Whether any instance is listed and serving. */
+    /** Returns whether any listed instance isn't draining. */
     public boolean serves() {
-        return mRouter.serves(mService);
+        return mRouter.hasServingInstance(mService);
     }
 
-    /** Usual time of a good attempt. */
+    /** Returns the mean latency of successful attempts. */
     public long usualTime() {
-        return (long) mUsualTime;
+        return (long) mMeanLatency;
     }
 
     /**
-     * Time in which nearly all good attempts end. A request that is sent with less time left would
-     * take a slot and be thrown away, which under overload costs the others their turn.
+     * Returns an upper bound for the latency of most successful attempts. A request with less time
+     * remaining would occupy a slot and probably miss its deadline.
      */
-    private long neededTime(long now) {
-        return (long) ((mUsualTime + DEVIATIONS * mDeviation) * trust(now));
+    private long requiredTime(long now) {
+        return (long) ((mMeanLatency + DEVIATIONS * mLatencyDeviation) * confidence(now));
     }
 
     /**
-     * How far what was learned still counts: all of it for a second, then half as much with each
-     * further second without a good attempt.
+     * Returns the weight of past latencies, which halves with each second without a successful
+     * attempt, after the first one.
      *
-     * <p>Guards against a lane that refuses for ever: after a slow start or a pause the usual time
-     * lies above every caller's deadline, each request is refused as too late, and so no attempt
-     * shows that the instances are fast again. Requests are let in once the old time has faded.
+     * <p>Without this decay, latencies above all deadlines would cause every request to be rejected
+     * forever, because no attempt would be made to measure a lower latency.
      */
-    private double trust(long now) {
-        long stale = now - mLearnedAt - STALE_NANOS;
+    private double confidence(long now) {
+        long stale = now - mLastSampleAt - STALE_NANOS;
         return stale <= 0 ? 1 : Math.pow(0.5, (double) stale / STALE_NANOS);
     }
 
-    private void learn(long took, long now) {
-        double trust = trust(now);
-        mUsualTime *= trust;
-        mDeviation *= trust;
-        mLearnedAt = now;
-        boolean first = mUsualTime == 0;
-        mDeviation += (Math.abs(took - mUsualTime) - mDeviation) * (first ? 0 : TIME_WEIGHT);
-        mUsualTime += (took - mUsualTime) * (first ? 1 : TIME_WEIGHT);
+    private void recordLatency(long latency, long now) {
+        double weight = confidence(now);
+        mMeanLatency *= weight;
+        mLatencyDeviation *= weight;
+        mLastSampleAt = now;
+        boolean first = mMeanLatency == 0;
+        mLatencyDeviation +=
+                (Math.abs(latency - mMeanLatency) - mLatencyDeviation)
+                        * (first ? 0 : LATENCY_WEIGHT);
+        mMeanLatency += (latency - mMeanLatency) * (first ? 1 : LATENCY_WEIGHT);
     }
 
-    /** Requests that wait. */
-    public int waiting() {
+    /** Returns the number of queued requests. */
+    public int queueSize() {
         return mQueue.size();
     }
 
-    /** Says whether a request would get its turn in time. */
+    /** Checks whether a request can be served before its deadline. */
     public Admission check(PendingRequest<T> request, long now) {
-        return mQueue.check(queued(request), neededTime(now), now);
+        return mQueue.check(toQueued(request), requiredTime(now), now);
     }
 
-    /** Lets a request wait for its turn. */
+    /** Adds a request to the queue. */
     public void add(PendingRequest<T> request) {
-        mQueue.add(queued(request));
+        mQueue.add(toQueued(request));
     }
 
-    /** The next attempt, where a request waits and an instance has room. */
+    /** Starts the next attempt if a request is queued and an instance is available. */
     public Optional<Attempt<T>> next(long now) {
         if (mQueue.size() == 0) {
             return Optional.empty();
         }
         Optional<Target> target = mRouter.choose(mService, Set.of());
         if (target.isEmpty()) {
-            mQueue.backlog(now);
+            mQueue.backlogStarted(now);
             return Optional.empty();
         }
         return mQueue.take(now)
                 .map(
                         t -> {
-                            mRetries.earn();
-                            return begin(t.item(), target.get(), now);
+                            mRetries.deposit();
+                            return startAttempt(t.request(), target.get(), now);
                         });
     }
 
-    /** Takes in how an attempt ended; gives the one that follows it, where one may. */
-    public Optional<Attempt<T>> ended(Attempt<T> attempt, AttemptEnd end, long now) {
-        long took = now - attempt.started();
-        attempt.target().end(end, took, now);
-        if (end == AttemptEnd.GOOD) {
-            learn(took, now);
+    /** Records the outcome of an attempt, and starts a retry if it is allowed. */
+    public Optional<Attempt<T>> ended(Attempt<T> attempt, AttemptEnd outcome, long now) {
+        long latency = now - attempt.started();
+        attempt.target().attemptEnded(outcome, latency, now);
+        if (outcome == AttemptEnd.GOOD) {
+            recordLatency(latency, now);
         }
         PendingRequest<T> r = attempt.request();
-        boolean worthwhile = r.attempts() < MAX_ATTEMPTS && r.left(now) > neededTime(now);
-        if (!worthwhile || !r.rule().allowsAnother(end)) {
+        boolean canRetry = r.attempts() < MAX_ATTEMPTS && r.remainingTime(now) > requiredTime(now);
+        if (!canRetry || !r.rule().allowsRetryAfter(outcome)) {
             return Optional.empty();
         }
-        Optional<Target> target = mRouter.choose(mService, r.tried());
-        if (target.isEmpty() && end.nothingSent()) {
+        Optional<Target> target = mRouter.choose(mService, r.triedInstances());
+        if (target.isEmpty() && outcome.nothingSent()) {
             target = mRouter.choose(mService, Set.of());
         }
-        // An attempt that reached nobody adds no load anywhere and costs no budget.
-        if (target.isEmpty() || !end.nothingSent() && !mRetries.spend()) {
+        // Unsent attempts add no load, so that their retries don't consume the budget.
+        if (target.isEmpty() || !outcome.nothingSent() && !mRetries.tryWithdraw()) {
             return Optional.empty();
         }
-        return Optional.of(begin(r, target.get(), now));
+        return Optional.of(startAttempt(r, target.get(), now));
     }
 
-    /** Removes the requests that can no longer be answered in time. */
+    /** Removes and returns requests that can no longer meet their deadline. */
     public List<T> giveUp(long now) {
-        return mQueue.giveUp(neededTime(now), now).stream().map(t -> t.item().item()).toList();
+        return mQueue.removeExpired(requiredTime(now), now).stream()
+                .map(t -> t.request().item())
+                .toList();
     }
 
-    private Attempt<T> begin(PendingRequest<T> r, Target target, long now) {
-        r.attempted(target.server().vm());
+    private Attempt<T> startAttempt(PendingRequest<T> r, Target target, long now) {
+        r.recordAttempt(target.server().vm());
         target.begin();
         return new Attempt<>(r, target, now, timeout(r, now));
     }
 
-    /** A repeatable request leaves half of its time for a retry, in case the instance is frozen. */
+    /** Reserves half of the remaining time for a retry of an idempotent request. */
     private long timeout(PendingRequest<T> r, long now) {
-        long left = Math.max(0, r.left(now));
-        boolean splits =
+        long remaining = Math.max(0, r.remainingTime(now));
+        boolean reservesRetry =
                 r.rule() == RunRule.REPEATABLE
                         && r.attempts() < MAX_ATTEMPTS
-                        && left > TIMES_WORTH_SPLITTING * usualTime();
-        return splits ? left / 2 : left;
+                        && remaining > MIN_LATENCIES_TO_SPLIT * usualTime();
+        return reservesRetry ? remaining / 2 : remaining;
     }
 
-    private static <T> Ticket<PendingRequest<T>> queued(PendingRequest<T> r) {
-        Ticket<T> t = r.ticket();
+    private static <T> Ticket<PendingRequest<T>> toQueued(PendingRequest<T> r) {
+        Ticket<T> t = r.queuedRequest();
         return new Ticket<>(r, t.requestClass(), t.team(), t.deadline(), t.bytes());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/PendingRequest.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/PendingRequest.java
@@ -6,57 +6,57 @@
 import org.foxtailplank.internal.admission.Ticket;
 
 /**
- * A request on its way, from its admission until its last attempt has ended.
+ * A request from its admission until the end of its last attempt.
  *
- * @param <T> what stands for the request
+ * @param <T> type that represents the request
  */
 public final class PendingRequest<T> {
 
-    private final Ticket<T> mTicket;
-    private final RunRule mRule;
-    private final Set<VmId> mTried = new HashSet<>();
+    private final Ticket<T> mQueuedRequest;
+    private final RunRule mRetrySafety;
+    private final Set<VmId> mTriedInstances = new HashSet<>();
     private int mAttempts;
 
-    private PendingRequest(Ticket<T> ticket, RunRule rule) {
-        mTicket = ticket;
-        mRule = rule;
+    private PendingRequest(Ticket<T> queuedRequest, RunRule retrySafety) {
+        mQueuedRequest = queuedRequest;
+        mRetrySafety = retrySafety;
     }
 
-    /** A request that waits with a ticket and may run as a rule says. */
-    public static <T> PendingRequest<T> of(Ticket<T> ticket, RunRule rule) {
-        return new PendingRequest<>(ticket, rule);
+    /** Creates a request that hasn't been attempted. */
+    public static <T> PendingRequest<T> of(Ticket<T> queuedRequest, RunRule retrySafety) {
+        return new PendingRequest<>(queuedRequest, retrySafety);
     }
 
-    /** What stands for the request. */
+    /** Returns the caller's representation of the request. */
     public T item() {
-        return mTicket.item();
+        return mQueuedRequest.request();
     }
 
-    /** How often it may run. */
+    /** Returns which failed attempts may be retried. */
     public RunRule rule() {
-        return mRule;
+        return mRetrySafety;
     }
 
-    /** Its place among those that wait. */
-    Ticket<T> ticket() {
-        return mTicket;
+    /** Returns the queue entry of the request. */
+    Ticket<T> queuedRequest() {
+        return mQueuedRequest;
     }
 
-    /** Instances that were tried; another attempt goes to others where there are any. */
-    Set<VmId> tried() {
-        return mTried;
+    /** Returns the attempted instances, which retries avoid if possible. */
+    Set<VmId> triedInstances() {
+        return mTriedInstances;
     }
 
     int attempts() {
         return mAttempts;
     }
 
-    void attempted(VmId vm) {
-        mTried.add(vm);
+    void recordAttempt(VmId vm) {
+        mTriedInstances.add(vm);
         mAttempts++;
     }
 
-    long left(long now) {
-        return mTicket.deadline() - now;
+    long remainingTime(long now) {
+        return mQueuedRequest.deadline() - now;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/RunRule.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/RunRule.java
@@ -2,34 +2,33 @@
 
 import org.foxtailplank.internal.routing.AttemptEnd;
 
-/** How often a request may run, and so when another attempt at it is safe. */
+/** Determines after which outcomes a request can be retried safely. */
 public enum RunRule {
-    /** It may run again; any failed attempt may be repeated. */
+    /** The request is idempotent; any failed attempt may be retried. */
     REPEATABLE {
         @Override
-        boolean allowsAnother(AttemptEnd end) {
-            return end != AttemptEnd.GOOD;
+        boolean allowsRetryAfter(AttemptEnd outcome) {
+            return outcome != AttemptEnd.GOOD;
         }
     },
-    /** It runs at most once, under a key; an attempt that certainly did not run may be repeated. */
+    /** The request has an idempotency key; it is retried only if it certainly didn't run. */
     ONCE_BY_KEY {
         @Override
-        boolean allowsAnother(AttemptEnd end) {
-            return end.nothingSent() || end == AttemptEnd.BUSY;
+        boolean allowsRetryAfter(AttemptEnd outcome) {
+            return outcome.nothingSent() || outcome == AttemptEnd.BUSY;
         }
     },
     /**
-     * It runs at most once, and without a key nobody could tell a second run: it is sent to one
-     * backend server, whose word is not put to the test. Where nothing was sent, another attempt is
-     * the first one.
+     * The request is neither idempotent nor has a key to detect duplicates. It is retried only if
+     * nothing was sent, even if the backend server reports that it didn't run the request.
      */
     ONCE {
         @Override
-        boolean allowsAnother(AttemptEnd end) {
-            return end.nothingSent();
+        boolean allowsRetryAfter(AttemptEnd outcome) {
+            return outcome.nothingSent();
         }
     };
 
-    /** Whether another attempt is safe after one that ended so. */
-    abstract boolean allowsAnother(AttemptEnd end);
+    /** Returns whether a retry is safe after an attempt with the given outcome. */
+    abstract boolean allowsRetryAfter(AttemptEnd outcome);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The way of a request through one entry: its turn, its instance, its attempts. */
+/** Queueing, routing and retries of requests at one entry. */
 package org.foxtailplank.internal.dispatch;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/retry/RetryBudget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/retry/RetryBudget.java
@@ -1,35 +1,37 @@
 package org.foxtailplank.internal.retry;
 
 /**
- * Retries that are earned by first attempts.
+ * Limits retries to a fraction of the first attempts, so that retries don't amplify an overload.
  *
- * <p>When most attempts fail, retrying each would multiply an overload by the number of tries; each
- * first attempt therefore earns a fraction of a retry, and a small reserve lets a quiet entry
- * retry.
+ * <p>A small initial balance allows retries at an entry with little traffic.
  */
 public final class RetryBudget {
 
-    private static final double RESERVE = 10;
+    private static final double MAX_BALANCE = 10;
 
     private final double mRatio;
-    private double mCredit = RESERVE;
+    private double mBalance = MAX_BALANCE;
 
-    /** Starts with the reserve; {@code ratio} is what each first attempt earns. */
+    /**
+     * Creates a budget with the full balance.
+     *
+     * @param ratio number of retries that each first attempt adds
+     */
     public RetryBudget(double ratio) {
         mRatio = ratio;
     }
 
-    /** A first attempt was sent. */
-    public void earn() {
-        mCredit = Math.min(RESERVE, mCredit + mRatio);
+    /** Adds to the budget for a first attempt. */
+    public void deposit() {
+        mBalance = Math.min(MAX_BALANCE, mBalance + mRatio);
     }
 
-    /** Takes one retry where there is one. */
-    public boolean spend() {
-        if (mCredit < 1) {
+    /** Withdraws one retry if the balance allows it. */
+    public boolean tryWithdraw() {
+        if (mBalance < 1) {
             return false;
         }
-        mCredit -= 1;
+        mBalance -= 1;
         return true;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/retry/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Decides whether a failed attempt may be repeated. */
+/** Limits on retries of failed attempts. */
 package org.foxtailplank.internal.retry;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/AttemptEnd.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/AttemptEnd.java
@@ -1,40 +1,40 @@
 package org.foxtailplank.internal.routing;
 
-/** How an attempt at an instance ended, as far as routing cares. */
+/** Outcome of an attempt at an instance, as far as it affects routing. */
 public enum AttemptEnd {
-    /** A whole answer that is no server error. */
+    /** A complete response without a server error. */
     GOOD(true, false),
-    /** A whole answer that is a server error. */
+    /** A complete response with a server error. */
     SERVER_ERROR(false, false),
-    /** The instance said that it has no room. */
+    /** The instance rejected the request because it has no capacity. */
     BUSY(true, false),
-    /** The connection broke, or the answer did not come in time. */
+    /** The connection failed or the response timed out. */
     BROKEN(false, false),
-    /** No connection could be had in time; nothing was sent. */
+    /** No connection became available in time; nothing was sent. */
     NOT_CONNECTED(false, false),
-    /** Nobody listens at the instance's address; nothing was sent. */
+    /** The instance refused the connection; nothing was sent. */
     REFUSED(false, true);
 
-    private final boolean mHealthy;
-    private final boolean mGone;
+    private final boolean mInstanceHealthy;
+    private final boolean mInstanceDown;
 
-    AttemptEnd(boolean healthy, boolean gone) {
-        mHealthy = healthy;
-        mGone = gone;
+    AttemptEnd(boolean instanceHealthy, boolean instanceDown) {
+        mInstanceHealthy = instanceHealthy;
+        mInstanceDown = instanceDown;
     }
 
-    /** Whether it speaks for the instance. */
-    boolean healthy() {
-        return mHealthy;
+    /** Returns whether the outcome counts as a success of the instance. */
+    boolean isInstanceHealthy() {
+        return mInstanceHealthy;
     }
 
-    /** Whether it is certain that nothing was sent. */
+    /** Returns whether the request was certainly not sent. */
     public boolean nothingSent() {
         return this == NOT_CONNECTED || this == REFUSED;
     }
 
-    /** Whether the instance is to get nothing until its health answer says that it serves. */
-    boolean gone() {
-        return mGone;
+    /** Returns whether the instance is unusable until a health check succeeds. */
+    boolean isInstanceDown() {
+        return mInstanceDown;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Candidates.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Candidates.java
@@ -6,63 +6,63 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * The instances of one service in or out of the entry's zone that may get a request now.
+ * Available instances of one service, either inside or outside the entry's zone.
  *
- * <p>Instances enter and leave in constant time, so a choice never searches past those that are
- * full, ejected or gone.
+ * <p>Instances are added and removed in constant time, so that selection never scans instances that
+ * are full, ejected or down.
  */
 final class Candidates {
 
-    static final int NOWHERE = -1;
-    private static final int FIRST_SIZE = 8;
+    static final int NO_INDEX = -1;
+    private static final int INITIAL_CAPACITY = 8;
 
-    private Target[] mOpen = new Target[FIRST_SIZE];
+    private Target[] mAvailable = new Target[INITIAL_CAPACITY];
     private int mSize;
 
-    /** Puts an instance in or takes it out, as its state asks for. */
-    void place(Target t) {
-        if (t.open() == (t.place() != NOWHERE)) {
+    /** Adds or removes an instance according to its availability. */
+    void update(Target t) {
+        if (t.isAvailable() == (t.index() != NO_INDEX)) {
             return;
         }
-        if (t.open()) {
-            if (mSize == mOpen.length) {
-                mOpen = Arrays.copyOf(mOpen, 2 * mSize);
+        if (t.isAvailable()) {
+            if (mSize == mAvailable.length) {
+                mAvailable = Arrays.copyOf(mAvailable, 2 * mSize);
             }
-            t.place(mSize);
-            mOpen[mSize++] = t;
+            t.setIndex(mSize);
+            mAvailable[mSize++] = t;
             return;
         }
-        Target last = mOpen[--mSize];
-        mOpen[mSize] = null;
+        Target last = mAvailable[--mSize];
+        mAvailable[mSize] = null;
         if (last != t) {
-            mOpen[t.place()] = last;
-            last.place(t.place());
+            mAvailable[t.index()] = last;
+            last.setIndex(t.index());
         }
-        t.place(NOWHERE);
+        t.setIndex(NO_INDEX);
     }
 
     boolean isEmpty() {
         return mSize == 0;
     }
 
-    /** The cheaper of two drawn at random among those not tried yet; null when there is none. */
-    Target draw(Set<VmId> tried, RandomGenerator random) {
-        Target a = drawOne(tried, random);
+    /** Returns the cheaper of two random untried instances, or null if there is none. */
+    Target choose(Set<VmId> tried, RandomGenerator random) {
+        Target a = chooseOne(tried, random);
         if (a == null || mSize == 1) {
             return a;
         }
-        Target b = drawOne(tried, random);
+        Target b = chooseOne(tried, random);
         return b.cost() < a.cost() ? b : a;
     }
 
-    private Target drawOne(Set<VmId> tried, RandomGenerator random) {
+    private Target chooseOne(Set<VmId> tried, RandomGenerator random) {
         if (mSize == 0) {
             return null;
         }
         int first = random.nextInt(mSize);
         int steps = Math.min(mSize, tried.size() + 1);
         for (int i = 0; i < steps; i++) {
-            Target t = mOpen[(first + i) % mSize];
+            Target t = mAvailable[(first + i) % mSize];
             if (tried.isEmpty() || !tried.contains(t.server().vm())) {
                 return t;
             }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/ConnectionShare.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/ConnectionShare.java
@@ -1,32 +1,33 @@
 package org.foxtailplank.internal.routing;
 
 /**
- * Connections that one entry may hold to one instance.
+ * Limits on the connections from one entry to one instance.
  *
- * <p>An instance accepts a fixed number of connections from all entries together. While entries are
- * being replaced, each old one and its successor may both hold theirs, so the shares of all entries
- * add up to less than half of that number.
+ * <p>An instance accepts a fixed number of connections in total. The shares of all entries add up
+ * to less than half of it, because an entry and its replacement may hold connections at the same
+ * time.
  *
- * @param near connections to an instance in the entry's own zone
- * @param far connections to an instance in another zone
+ * @param sameZone connections to an instance in the entry's zone
+ * @param otherZone connections to an instance in another zone
  */
-public record ConnectionShare(int near, int far) {
+public record ConnectionShare(int sameZone, int otherZone) {
 
     private static final int OVERLAP = 2;
 
     /**
-     * Shares out the connections of an instance.
+     * Divides the connections of an instance among the entries.
      *
      * @param connections connections that the instance accepts
-     * @param nearEntries entries in the instance's zone
-     * @param farEntries entries in other zones
+     * @param sameZoneEntries entries in the instance's zone
+     * @param otherZoneEntries entries in other zones
      */
-    public static ConnectionShare of(int connections, int nearEntries, int farEntries) {
+    public static ConnectionShare of(int connections, int sameZoneEntries, int otherZoneEntries) {
         int budget = (connections - 1) / OVERLAP;
-        int entries = Math.max(1, nearEntries + farEntries);
-        int equal = budget / entries;
-        int far = Math.max(1, equal * 2 / 3);
-        int near = Math.max(1, (budget - far * farEntries) / Math.max(1, nearEntries));
-        return new ConnectionShare(near, far);
+        int entries = Math.max(1, sameZoneEntries + otherZoneEntries);
+        int equalShare = budget / entries;
+        int otherZone = Math.max(1, equalShare * 2 / 3);
+        int sameZone =
+                Math.max(1, (budget - otherZone * otherZoneEntries) / Math.max(1, sameZoneEntries));
+        return new ConnectionShare(sameZone, otherZone);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Health.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Health.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.internal.routing;
 
-/** What an instance says of itself. */
+/** Health of an instance according to its health checks. */
 public enum Health {
-    /** It takes requests. */
+    /** Accepts requests. */
     SERVING,
-    /** It finishes what it has and takes nothing new. */
+    /** Drains: completes pending requests and accepts no new ones. */
     LEAVING,
-    /** It does not answer. */
+    /** Doesn't respond to health checks. */
     SILENT
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/MeanLatency.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/MeanLatency.java
@@ -1,15 +1,13 @@
 package org.foxtailplank.internal.routing;
 
-/**
- * Mean time of attempts, of one instance or of all instances of a service; newer ones count more.
- */
+/** Exponentially weighted moving average of attempt latencies. */
 final class MeanLatency {
 
     private static final double WEIGHT = 0.1;
 
     private double mNanos;
 
-    boolean known() {
+    boolean hasSamples() {
         return mNanos > 0;
     }
 
@@ -18,6 +16,6 @@
     }
 
     void add(long nanos) {
-        mNanos += (nanos - mNanos) * (known() ? WEIGHT : 1);
+        mNanos += (nanos - mNanos) * (hasSamples() ? WEIGHT : 1);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Router.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Router.java
@@ -16,120 +16,123 @@
 import org.foxtailplank.request.BackendServer;
 
 /**
- * Chooses instances: the cheaper of two drawn at random in the entry's own zone, or one of another
- * zone when that is cheaper by more than the way there costs.
+ * Selects instances by the power of two random choices. Prefers the entry's own zone, unless an
+ * instance in another zone is sufficiently cheaper in spite of the cross-zone latency.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class Router {
 
-    /** A far instance must be this much cheaper, so that noise does not send requests away. */
+    /** Cost ratio required for cross-zone routing, so that noise doesn't trigger it. */
     private static final double SPILL_FACTOR = 1.5;
 
     private final ZoneId mZone;
-    private final double mFarPenalty;
+    private final double mCrossZonePenalty;
     private final RandomGenerator mRandom;
     private final Map<ServiceId, Service> mServices = new HashMap<>();
     private final Map<VmId, Target> mTargets = new HashMap<>();
 
     /**
-     * Starts with no instances.
+     * Creates a router without instances.
      *
      * @param zone the entry's zone
-     * @param farPenalty time to another zone and back, in nanoseconds
-     * @param random source of the draws
+     * @param crossZonePenalty round-trip time to another zone, in nanoseconds
+     * @param random random number generator for the selection
      */
-    public Router(ZoneId zone, long farPenalty, RandomGenerator random) {
+    public Router(ZoneId zone, long crossZonePenalty, RandomGenerator random) {
         mZone = zone;
-        mFarPenalty = farPenalty;
+        mCrossZonePenalty = crossZonePenalty;
         mRandom = random;
     }
 
-    /** Takes over a new list of instances; those that are no longer on it get nothing new. */
+    /** Replaces the list of instances; removed instances receive no new requests. */
     public void list(
             Collection<BackendServer> servers, Function<BackendServer, ConnectionShare> shares) {
         Map<VmId, BackendServer> listed = new HashMap<>();
         servers.forEach(s -> listed.put(s.vm(), s));
-        mTargets.values().removeIf(t -> leaves(t, listed.get(t.server().vm())));
+        mTargets.values().removeIf(t -> removeIfChanged(t, listed.get(t.server().vm())));
         for (BackendServer s : listed.values()) {
-            boolean near = s.zone().equals(mZone);
+            boolean sameZone = s.zone().equals(mZone);
             ConnectionShare share = shares.apply(s);
-            int limit = near ? share.near() : share.far();
-            mTargets.computeIfAbsent(s.vm(), vm -> add(s, near, limit)).list(true, limit);
+            int limit = sameZone ? share.sameZone() : share.otherZone();
+            mTargets.computeIfAbsent(s.vm(), vm -> add(s, sameZone, limit))
+                    .updateListing(true, limit);
         }
     }
 
-    /** Chooses an instance that was not tried yet and has room. */
+    /** Selects an available instance that hasn't been tried. */
     public Optional<Target> choose(ServiceId service, Set<VmId> tried) {
         Service s = mServices.get(service);
         if (s == null) {
             return Optional.empty();
         }
-        Target near = s.mNear.draw(tried, mRandom);
-        Target far = s.mFar.draw(tried, mRandom);
-        if (near == null && far == null) {
-            return lastResort(s, tried);
+        Target sameZone = s.mSameZone.choose(tried, mRandom);
+        Target otherZone = s.mOtherZone.choose(tried, mRandom);
+        if (sameZone == null && otherZone == null) {
+            return chooseFallback(s, tried);
         }
-        if (near == null || far == null) {
-            return Optional.of(near == null ? far : near);
+        if (sameZone == null || otherZone == null) {
+            return Optional.of(sameZone == null ? otherZone : sameZone);
         }
-        boolean spills = near.cost() > SPILL_FACTOR * (far.cost() + mFarPenalty);
-        return Optional.of(spills ? far : near);
+        boolean spills = sameZone.cost() > SPILL_FACTOR * (otherZone.cost() + mCrossZonePenalty);
+        return Optional.of(spills ? otherZone : sameZone);
     }
 
     /**
-     * Where every instance looks silent or ejected, the fault may be this entry's own (it was
-     * paused, or its probes came too late), so requests go on to one that doesn't say it leaves.
+     * Selects any instance that isn't draining if no instance is healthy, because the fault may be
+     * in this entry, such as a pause or delayed health checks.
      */
-    private Optional<Target> lastResort(Service s, Set<VmId> tried) {
-        if (s.mTargets.stream().anyMatch(Target::healthy)) {
+    private Optional<Target> chooseFallback(Service s, Set<VmId> tried) {
+        if (s.mTargets.stream().anyMatch(Target::isHealthy)) {
             return Optional.empty();
         }
-        List<Target> left =
+        List<Target> candidates =
                 s.mTargets.stream()
-                        .filter(t -> t.mayBeAsked() && !tried.contains(t.server().vm()))
+                        .filter(t -> t.isFallbackCandidate() && !tried.contains(t.server().vm()))
                         .toList();
-        return left.isEmpty()
+        return candidates.isEmpty()
                 ? Optional.empty()
-                : Optional.of(left.get(mRandom.nextInt(left.size())));
+                : Optional.of(candidates.get(mRandom.nextInt(candidates.size())));
     }
 
-    /** Whether any instance of a service is listed and doesn't say that it leaves. */
-    public boolean serves(ServiceId service) {
+    /** Returns whether any listed instance of a service isn't draining. */
+    public boolean hasServingInstance(ServiceId service) {
         Service s = mServices.get(service);
-        return s != null && s.mTargets.stream().anyMatch(t -> !t.leaving());
+        return s != null && s.mTargets.stream().anyMatch(t -> !t.isLeaving());
     }
 
-    /** The instances that are listed, with those that still finish something. */
+    /** Returns the listed instances. */
     public Collection<Target> targets() {
         return Collections.unmodifiableCollection(mTargets.values());
     }
 
-    /** Lets ejected instances have a trial when their time has come. */
+    /** Allows a trial request to each instance whose ejection time is over. */
     public void wake(long now) {
-        mTargets.values().forEach(t -> t.wake(now));
+        mTargets.values().forEach(t -> t.endDueEjection(now));
     }
 
-    private Target add(BackendServer server, boolean near, int limit) {
+    private Target add(BackendServer server, boolean sameZone, int limit) {
         Service s = mServices.computeIfAbsent(server.service(), id -> new Service());
-        Target t = new Target(server, near, limit, near ? s.mNear : s.mFar, s.mLatency);
+        Target t =
+                new Target(
+                        server, sameZone, limit, sameZone ? s.mSameZone : s.mOtherZone, s.mLatency);
         s.mTargets.add(t);
         return t;
     }
 
-    private boolean leaves(Target target, BackendServer now) {
-        if (target.server().equals(now)) {
+    private boolean removeIfChanged(Target target, BackendServer updated) {
+        if (target.server().equals(updated)) {
             return false;
         }
-        target.list(false, target.limit());
+        target.updateListing(false, target.limit());
         mServices.get(target.server().service()).mTargets.remove(target);
         return true;
     }
 
     /** The instances of one service. */
     private static final class Service {
-        private final Candidates mNear = new Candidates();
-        private final Candidates mFar = new Candidates();
+        private final Candidates mSameZone = new Candidates();
+        private final Candidates mOtherZone = new Candidates();
         private final MeanLatency mLatency = new MeanLatency();
         private final List<Target> mTargets = new ArrayList<>();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Target.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Target.java
@@ -2,199 +2,201 @@
 
 import org.foxtailplank.request.BackendServer;
 
-/** One instance with what this entry knows of its load and health. */
+/** Load and health of one instance as observed by this entry. */
 public final class Target {
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double FAILURE_WEIGHT = 0.2;
-    private static final double EJECTED_ABOVE = 0.5;
+    private static final double EJECTION_THRESHOLD = 0.5;
 
-    /** In relation to its slots, what an instance may have so that no slot ever waits for us. */
+    /** Ratio of requests to slots that keeps all slots of an instance busy. */
     private static final double BUSY_FACTOR = 1.25;
 
-    private static final double MAX_GROWTH = 2;
-    private static final double MAX_SHRINKING = 0.5;
-    private static final long FIRST_EJECTION = 500_000_000L;
-    private static final long LONGEST_EJECTION = 8_000_000_000L;
+    private static final double MAX_WINDOW_FACTOR = 2;
+    private static final double MIN_WINDOW_FACTOR = 0.5;
+    private static final long INITIAL_EJECTION_NANOS = 500_000_000L;
+    private static final long MAX_EJECTION_NANOS = 8_000_000_000L;
 
     private final BackendServer mServer;
-    private final boolean mNear;
+    private final boolean mSameZone;
     private final Candidates mCandidates;
     private int mLimit;
     private int mInFlight;
     private double mWindow;
     private final MeanLatency mLatency = new MeanLatency();
-    private final MeanLatency mOfService;
-    private double mFailures;
+    private final MeanLatency mServiceLatency;
+    private double mFailureRate;
     private Health mHealth = Health.SERVING;
     private boolean mListed = true;
     private boolean mOnTrial;
-    private boolean mHeld;
+    private boolean mReservedForProbe;
     private long mEjectedUntil;
-    private long mEjection = FIRST_EJECTION;
-    private int mPlace = Candidates.NOWHERE;
+    private long mEjectionNanos = INITIAL_EJECTION_NANOS;
+    private int mIndex = Candidates.NO_INDEX;
 
     Target(
             BackendServer server,
-            boolean near,
+            boolean sameZone,
             int limit,
             Candidates candidates,
-            MeanLatency ofService) {
+            MeanLatency serviceLatency) {
         mServer = server;
-        mNear = near;
+        mSameZone = sameZone;
         mLimit = limit;
         mWindow = limit;
         mCandidates = candidates;
-        mOfService = ofService;
+        mServiceLatency = serviceLatency;
     }
 
-    /** The instance. */
+    /** Returns the instance. */
     public BackendServer server() {
         return mServer;
     }
 
-    /** Whether it stands in the entry's own zone. */
-    public boolean near() {
-        return mNear;
+    /** Returns whether the instance is in the entry's zone. */
+    public boolean isSameZone() {
+        return mSameZone;
     }
 
-    /** Attempts of this entry that it has now. */
+    /** Returns the number of attempts in flight from this entry. */
     public int inFlight() {
         return mInFlight;
     }
 
-    /** Attempts, and so connections, that this entry may have at it. */
+    /** Returns the maximum number of attempts in flight, and therefore of connections. */
     public int limit() {
         return mLimit;
     }
 
-    /** Whether nothing new may be sent to it, whatever happens to the others. */
-    boolean leaving() {
+    /** Returns whether the instance must not receive new requests under any circumstances. */
+    boolean isLeaving() {
         return !mListed || mHealth == Health.LEAVING;
     }
 
-    /** Whether it takes requests as far as this entry knows, though perhaps it is full now. */
-    boolean healthy() {
-        return mListed && mHealth == Health.SERVING && !ejected();
+    /** Returns whether the instance accepts requests, regardless of its current load. */
+    boolean isHealthy() {
+        return mListed && mHealth == Health.SERVING && !isEjected();
     }
 
-    /** Whether it may be asked although it does not look healthy. */
-    boolean mayBeAsked() {
-        return !leaving() && mInFlight < mLimit;
+    /** Returns whether a request may be sent even if the instance doesn't appear healthy. */
+    boolean isFallbackCandidate() {
+        return !isLeaving() && mInFlight < mLimit;
     }
 
-    /** Whether it gets nothing until its next trial because it failed too often. */
-    public boolean ejected() {
+    /** Returns whether the instance is ejected because of its failure rate. */
+    public boolean isEjected() {
         return mEjectedUntil != 0;
     }
 
-    /** An attempt starts. */
+    /** Records the start of an attempt. */
     public void begin() {
         mInFlight++;
-        mCandidates.place(this);
+        mCandidates.update(this);
     }
 
-    /** An attempt ended. */
-    public void end(AttemptEnd end, long nanos, long now) {
+    /** Records the outcome of an attempt. */
+    public void attemptEnded(AttemptEnd outcome, long nanos, long now) {
         mInFlight--;
-        if (end.gone()) {
+        if (outcome.isInstanceDown()) {
             mHealth = Health.SILENT;
         }
-        // An instance that fails fast would look quick; only good answers count as its speed.
-        if (end == AttemptEnd.GOOD || end == AttemptEnd.BROKEN) {
+        // Server errors and rejections are excluded, because failing fast would lower the latency.
+        if (outcome == AttemptEnd.GOOD || outcome == AttemptEnd.BROKEN) {
             mLatency.add(nanos);
-            mOfService.add(nanos);
+            mServiceLatency.add(nanos);
         }
-        judge(end.healthy(), now);
-        mCandidates.place(this);
+        recordResult(outcome.isInstanceHealthy(), now);
+        mCandidates.update(this);
     }
 
-    /** An attempt ended that says nothing about the instance. */
+    /** Ends an attempt without an outcome for the instance. */
     public void release() {
         mInFlight--;
-        mCandidates.place(this);
+        mCandidates.update(this);
     }
 
     /**
-     * Keeps the next connection that becomes free for a probe.
+     * Reserves the next free connection for a health check.
      *
-     * <p>Under steady load each free connection is taken at once; without this the entry would
-     * never ask, and send requests to an instance that left long ago.
+     * <p>Otherwise requests would take each free connection under steady load, and the entry would
+     * never learn that the instance is draining.
      */
-    public void hold(boolean held) {
-        mHeld = held;
-        mCandidates.place(this);
+    public void hold(boolean reserved) {
+        mReservedForProbe = reserved;
+        mCandidates.update(this);
     }
 
-    /** What it says of itself. */
+    /** Updates the health of the instance. */
     public void saw(Health health) {
         mHealth = health;
-        mCandidates.place(this);
+        mCandidates.update(this);
     }
 
     /**
-     * What it says of the requests of all entries together.
+     * Adjusts the concurrency window to the total load that the instance reports.
      *
-     * <p>Where more wait at it than keep its slots busy, each entry sends it less, so that requests
-     * wait at the entries instead: there urgent ones go first, and a refused one has run nowhere.
+     * <p>If the instance has a backlog, each entry sends it fewer requests. They then wait at the
+     * entries, where they are prioritised and can be rejected safely.
      *
-     * @param inFlight requests that run or wait there
-     * @param slots requests that it runs at once
+     * @param inFlight requests from all entries that run or wait at the instance
+     * @param slots number of requests that the instance runs concurrently
      */
     public void heard(int inFlight, int slots) {
         double factor = slots * BUSY_FACTOR / Math.max(1, inFlight);
-        boolean spare = inFlight < slots;
-        double change = spare ? Math.min(MAX_GROWTH, factor) : Math.min(1, factor);
-        mWindow = Math.min(mLimit, Math.max(1, mWindow * Math.max(MAX_SHRINKING, change)));
-        mCandidates.place(this);
+        boolean hasFreeSlots = inFlight < slots;
+        double change = hasFreeSlots ? Math.min(MAX_WINDOW_FACTOR, factor) : Math.min(1, factor);
+        mWindow = Math.min(mLimit, Math.max(1, mWindow * Math.max(MIN_WINDOW_FACTOR, change)));
+        mCandidates.update(this);
     }
 
-    /** Ends the time without requests when it is over; the next request is a trial. */
-    void wake(long now) {
+    /** Ends the ejection if its time is over; the next request is a trial. */
+    void endDueEjection(long now) {
         if (mEjectedUntil != 0 && now - mEjectedUntil >= 0) {
             mEjectedUntil = 0;
             mOnTrial = true;
-            mCandidates.place(this);
+            mCandidates.update(this);
         }
     }
 
-    void list(boolean listed, int limit) {
+    void updateListing(boolean listed, int limit) {
         mListed = listed;
         mLimit = limit;
-        mCandidates.place(this);
+        mCandidates.update(this);
     }
 
-    boolean open() {
-        return healthy() && !mHeld && mInFlight < (mOnTrial ? 1 : Math.min(mLimit, (int) mWindow));
+    boolean isAvailable() {
+        return isHealthy()
+                && !mReservedForProbe
+                && mInFlight < (mOnTrial ? 1 : Math.min(mLimit, (int) mWindow));
     }
 
-    /** Expected time of one more attempt; failures make an instance dear, not cheap. */
+    /** Returns the expected latency of another attempt, weighted by the failure rate. */
     double cost() {
-        double good = 1 - mFailures;
-        // One that was never asked would look free, and draw requests out of the entry's zone.
-        MeanLatency latency = mLatency.known() ? mLatency : mOfService;
-        return (mInFlight + 1) * (latency.nanos() + 1) / (good * good + 1e-3);
+        double successRate = 1 - mFailureRate;
+        // The service's latency is the default, so that an unused instance doesn't appear free.
+        MeanLatency latency = mLatency.hasSamples() ? mLatency : mServiceLatency;
+        return (mInFlight + 1) * (latency.nanos() + 1) / (successRate * successRate + 1e-3);
     }
 
-    int place() {
-        return mPlace;
+    int index() {
+        return mIndex;
     }
 
-    void place(int place) {
-        mPlace = place;
+    void setIndex(int index) {
+        mIndex = index;
     }
 
-    private void judge(boolean healthy, long now) {
-        mFailures += ((healthy ? 0 : 1) - mFailures) * FAILURE_WEIGHT;
+    private void recordResult(boolean healthy, long now) {
+        mFailureRate += ((healthy ? 0 : 1) - mFailureRate) * FAILURE_WEIGHT;
         if (healthy && mOnTrial) {
             mOnTrial = false;
-            mFailures = 0;
-            mEjection = FIRST_EJECTION;
+            mFailureRate = 0;
+            mEjectionNanos = INITIAL_EJECTION_NANOS;
             return;
         }
-        if (!healthy && (mOnTrial || mFailures > EJECTED_ABOVE) && mEjectedUntil == 0) {
-            mEjectedUntil = Math.max(1, now + mEjection);
-            mEjection = Math.min(LONGEST_EJECTION, mEjection * 2);
+        if (!healthy && (mOnTrial || mFailureRate > EJECTION_THRESHOLD) && mEjectedUntil == 0) {
+            mEjectedUntil = Math.max(1, now + mEjectionNanos);
+            mEjectionNanos = Math.min(MAX_EJECTION_NANOS, mEjectionNanos * 2);
         }
     }
 
@@ -206,6 +208,6 @@
                         mInFlight,
                         mLimit,
                         mLatency.nanos() / NANOS_PER_MILLI,
-                        ejected() ? "ejected" : mHealth);
+                        isEjected() ? "ejected" : mHealth);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Chooses the backend server that a request is sent to. */
+/** Load balancing over the instances of a service, with outlier ejection. */
 package org.foxtailplank.internal.routing;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void sharesAmongTeamsByQuotaHoweverManyOneOfThemSends() {
+    public void sharesAmongTeamsByQuota() {
         for (int i = 0; i < 8; i++) {
             mQueue.add(ticket("small", RequestClass.BATCH, "small", FAR));
         }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void givesATeamNoCreditForTheTimeItWasAway() {
+    public void idleTeamAccumulatesNoCredit() {
         for (int i = 0; i < 12; i++) {
             mQueue.add(ticket("small", RequestClass.BATCH, "small", FAR));
         }
@@ -62,32 +62,29 @@
         for (int i = 0; i < 8; i++) {
             small += take().equals("small") ? 1 : 0;
         }
-        assertTrue(small == 1 || small == 2, "of 8: " + small);
+        assertTrue(small == 1 || small == 2, "requests of the small team among 8: " + small);
     }
 
-    /**
-     * A phone agent's quote must come within 500 ms, and 100 requests that take 10 ms each are
-     * ahead. Letting it wait only to refuse it after 500 ms would waste the agent's time.
-     */
+    /** Guards against requests that are queued only to miss their deadline. */
     @Test
-    public void refusesAtOnceARequestWhoseTurnWouldComeTooLate() {
+    public void rejectsRequestsThatWouldMissTheirDeadline() {
         backlog(100, 10 * MS);
         Admission a =
                 mQueue.check(
                         ticket("x", RequestClass.BATCH, "big", 1000 * MS + 500 * MS), 0, 1000 * MS);
         assertEquals(a.reason(), Admission.Reason.TOO_LATE);
-        assertTrue(a.waitNanos() >= 500 * MS, "comes back after " + a.waitNanos());
+        assertTrue(a.waitNanos() >= 500 * MS, "retry after " + a.waitNanos());
     }
 
     @Test
-    public void admitsAnUrgentRequestPastTheSameBacklog() {
+    public void admitsAnUrgentRequestDespiteABatchBacklog() {
         backlog(100, 10 * MS);
         Ticket<String> urgent = ticket("x", RequestClass.URGENT, "big", 1000 * MS + 500 * MS);
         assertTrue(mQueue.check(urgent, 0, 1000 * MS).admitted());
     }
 
     @Test
-    public void namesTheQuotaWhenATeamIsOverIt() {
+    public void reportsThatATeamIsOverItsQuota() {
         backlog(100, 10 * MS);
         mQueue.add(ticket("other", RequestClass.BATCH, "small", FAR));
         Ticket<String> t = ticket("x", RequestClass.BATCH, "big", 1100 * MS);
@@ -95,16 +92,16 @@
     }
 
     @Test
-    public void givesUpARequestThatCanNoLongerBeAnsweredInTime() {
+    public void removesRequestsThatCanNoLongerMeetTheirDeadline() {
         mQueue.add(ticket("soon", RequestClass.BATCH, "big", 100 * MS));
         mQueue.add(ticket("later", RequestClass.BATCH, "big", 300 * MS));
-        List<Ticket<String>> late = mQueue.giveUp(20 * MS, 90 * MS);
-        assertEquals(late.stream().map(Ticket::item).toList(), List.of("soon"));
+        List<Ticket<String>> expired = mQueue.removeExpired(20 * MS, 90 * MS);
+        assertEquals(expired.stream().map(Ticket::request).toList(), List.of("soon"));
         assertEquals(mQueue.size(), 1);
     }
 
     @Test
-    public void holdsNoMoreThanItsMemory() {
+    public void enforcesTheMemoryLimit() {
         Ticket<String> large = new Ticket<>("x", RequestClass.URGENT, "big", FAR, 6000);
         assertTrue(mQueue.check(large, 0, 0).admitted());
         mQueue.add(large);
@@ -114,29 +111,29 @@
     }
 
     @Test
-    public void admitsEverythingWhileNothingWaits() {
+    public void admitsRequestsWhileTheQueueIsEmpty() {
         assertFalse(mQueue.take(0).isPresent());
         assertTrue(
                 mQueue.check(ticket("x", RequestClass.BATCH, "big", 10 * MS), 5 * MS, 0)
                         .admitted());
     }
 
-    /** So many batch requests of one team wait, served at a pace, until 1000 ms. */
-    private void backlog(int size, long pace) {
+    /** Queues batch requests of one team, dispatched at a fixed interval until 1000 ms. */
+    private void backlog(int size, long interval) {
         for (int i = 0; i < size + 10; i++) {
             mQueue.add(ticket("b", RequestClass.BATCH, "big", FAR));
         }
-        long now = 1000 * MS - 10 * pace;
-        mQueue.backlog(now);
+        long now = 1000 * MS - 10 * interval;
+        mQueue.backlogStarted(now);
         for (int i = 0; i < 10; i++) {
-            now += pace;
+            now += interval;
             mQueue.take(now);
-            mQueue.backlog(now);
+            mQueue.backlogStarted(now);
         }
     }
 
     private String take() {
-        return mQueue.take(0).orElseThrow().item();
+        return mQueue.take(0).orElseThrow().request();
     }
 
     private static Ticket<String> ticket(String item, RequestClass c, String team, long deadline) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/LaneTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/LaneTest.java
@@ -29,7 +29,7 @@
     private static final long DEADLINE = 1000 * MS;
     private static final ServiceId SERVICE = ServiceId.of("claims");
 
-    private Lane<String> mLane;
+    private Lane<String> mDispatcher;
     private long mNow;
 
     @BeforeMethod
@@ -47,7 +47,7 @@
                                                 new InetSocketAddress("127.0.0.1", 1 + i)))
                         .toList();
         router.list(servers, s -> new ConnectionShare(2, 1));
-        mLane = new Lane<>(SERVICE, router, t -> 1, 0.1);
+        mDispatcher = new Lane<>(SERVICE, router, t -> 1, 0.1);
         mNow = 1;
     }
 
@@ -70,42 +70,40 @@
     }
 
     @Test(dataProvider = "safeRetries")
-    public void repeatsAnAttemptOnlyWhereThatIsSafe(RunRule rule, AttemptEnd end, boolean again) {
-        Attempt<String> first = send(rule);
-        assertEquals(mLane.ended(first, end, mNow).isPresent(), again);
+    public void retriesOnlyWhenItIsSafe(RunRule safety, AttemptEnd outcome, boolean retried) {
+        Attempt<String> first = send(safety);
+        assertEquals(mDispatcher.ended(first, outcome, mNow).isPresent(), retried);
     }
 
     @Test
     public void retriesOnAnotherInstance() {
         Attempt<String> first = send(RunRule.REPEATABLE);
-        Attempt<String> second = mLane.ended(first, AttemptEnd.BROKEN, mNow).orElseThrow();
+        Attempt<String> second = mDispatcher.ended(first, AttemptEnd.BROKEN, mNow).orElseThrow();
         assertNotEquals(second.target().server(), first.target().server());
     }
 
     @Test
-    public void asksTheSameInstanceAgainWhereNothingWasSentAndThereIsNoOther() {
+    public void retriesUnsentRequestsOnTheSameInstanceIfThereIsNoOther() {
         List<Attempt<String>> others =
                 IntStream.range(0, 6).mapToObj(i -> send(RunRule.ONCE)).toList();
         Attempt<String> first = send(RunRule.ONCE);
         Attempt<String> last = send(RunRule.ONCE);
         assertEquals(others.size(), 6);
-        Attempt<String> again = mLane.ended(first, AttemptEnd.NOT_CONNECTED, mNow).orElseThrow();
+        Attempt<String> again =
+                mDispatcher.ended(first, AttemptEnd.NOT_CONNECTED, mNow).orElseThrow();
         assertEquals(again.target(), first.target());
-        assertFalse(mLane.ended(last, AttemptEnd.BUSY, mNow).isPresent());
+        assertFalse(mDispatcher.ended(last, AttemptEnd.BUSY, mNow).isPresent());
     }
 
-    /**
-     * All instances fail. If each request were tried three times, a service at its limit would get
-     * three times the load just when it can't bear it.
-     */
+    /** Guards against retries that multiply the load while all instances fail. */
     @Test
-    public void spendsNoMoreRetriesThanTheBudgetWhenEverythingFails() {
+    public void retriesStayWithinTheBudgetWhenAllAttemptsFail() {
         int attempts = 0;
         for (int i = 0; i < 1000; i++) {
             Optional<Attempt<String>> a = Optional.of(send(RunRule.REPEATABLE));
             while (a.isPresent()) {
                 attempts++;
-                a = mLane.ended(a.get(), AttemptEnd.BROKEN, mNow);
+                a = mDispatcher.ended(a.get(), AttemptEnd.BROKEN, mNow);
             }
         }
         assertTrue(attempts <= 1000 + 100 + 10, "attempts for 1000 requests: " + attempts);
@@ -115,64 +113,60 @@
     public void retriesNothingAfterTheDeadline() {
         Attempt<String> first = send(RunRule.REPEATABLE);
         mNow += DEADLINE;
-        assertFalse(mLane.ended(first, AttemptEnd.BROKEN, mNow).isPresent());
+        assertFalse(mDispatcher.ended(first, AttemptEnd.BROKEN, mNow).isPresent());
     }
 
     @Test
-    public void leavesTimeForARetryOnlyWhereOneIsAllowed() {
+    public void reservesTimeForARetryOnlyIfOneIsAllowed() {
         assertTrue(send(RunRule.REPEATABLE).timeout() < DEADLINE);
         assertEquals(send(RunRule.ONCE).timeout(), DEADLINE);
     }
 
     @Test
-    public void letsARequestWaitUntilAnInstanceHasRoom() {
+    public void queuesARequestUntilAnInstanceIsAvailable() {
         List<Attempt<String>> running =
                 IntStream.range(0, 8).mapToObj(i -> send(RunRule.ONCE)).toList();
-        mLane.add(request(RunRule.ONCE));
-        assertFalse(mLane.next(mNow).isPresent());
-        mLane.ended(running.get(0), AttemptEnd.GOOD, mNow + MS);
-        assertTrue(mLane.next(mNow + MS).isPresent());
+        mDispatcher.add(request(RunRule.ONCE));
+        assertFalse(mDispatcher.next(mNow).isPresent());
+        mDispatcher.ended(running.get(0), AttemptEnd.GOOD, mNow + MS);
+        assertTrue(mDispatcher.next(mNow + MS).isPresent());
     }
 
     @Test
-    public void sendsNothingThatCouldHardlyBeAnsweredInTime() {
+    public void rejectsRequestsThatWouldMissTheirDeadline() {
         for (int i = 0; i < 50; i++) {
             Attempt<String> a = send(RunRule.REPEATABLE);
             mNow += (i % 2 == 0 ? 10 : 30) * MS;
-            mLane.ended(a, AttemptEnd.GOOD, mNow);
+            mDispatcher.ended(a, AttemptEnd.GOOD, mNow);
         }
-        PendingRequest<String> hasty =
+        PendingRequest<String> urgent =
                 PendingRequest.of(
                         new Ticket<>("r", RequestClass.URGENT, "t", mNow + 25 * MS, 1),
                         RunRule.REPEATABLE);
-        assertFalse(mLane.check(hasty, mNow).admitted());
-        assertTrue(mLane.check(request(RunRule.ONCE), mNow).admitted());
+        assertFalse(mDispatcher.check(urgent, mNow).admitted());
+        assertTrue(mDispatcher.check(request(RunRule.ONCE), mNow).admitted());
     }
 
-    /**
-     * Callers of one entry are refused for ever though all instances are fast. The first answers
-     * after a cold start took longer than any caller's deadline; since then each request is refused
-     * as too late, and no attempt is made that could show anything else.
-     */
+    /** Guards against rejecting all requests forever after a start slower than any deadline. */
     @Test
-    public void letsRequestsInAgainAfterASlowStart() {
+    public void admitsRequestsAgainAfterASlowStart() {
         Attempt<String> slow = send(RunRule.ONCE);
         mNow += 2 * DEADLINE;
-        mLane.ended(slow, AttemptEnd.GOOD, mNow);
-        assertFalse(mLane.check(request(RunRule.ONCE), mNow).admitted());
+        mDispatcher.ended(slow, AttemptEnd.GOOD, mNow);
+        assertFalse(mDispatcher.check(request(RunRule.ONCE), mNow).admitted());
 
         mNow += 3 * DEADLINE;
 
-        assertTrue(mLane.check(request(RunRule.ONCE), mNow).admitted());
+        assertTrue(mDispatcher.check(request(RunRule.ONCE), mNow).admitted());
     }
 
-    private Attempt<String> send(RunRule rule) {
-        mLane.add(request(rule));
-        return mLane.next(mNow).orElseThrow();
+    private Attempt<String> send(RunRule safety) {
+        mDispatcher.add(request(safety));
+        return mDispatcher.next(mNow).orElseThrow();
     }
 
-    private PendingRequest<String> request(RunRule rule) {
+    private PendingRequest<String> request(RunRule safety) {
         return PendingRequest.of(
-                new Ticket<>("r", RequestClass.INTERACTIVE, "t", mNow + DEADLINE, 1), rule);
+                new Ticket<>("r", RequestClass.INTERACTIVE, "t", mNow + DEADLINE, 1), safety);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/RoutingExperiment.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/RoutingExperiment.java
@@ -23,8 +23,8 @@
 import org.foxtailplank.request.RequestClass;
 
 /**
- * Drives the real routing and admission of nine entries with a fake clock, to weigh the ways of
- * sharing out the slots of eight instances. A measurement, not a test: run its main by hand.
+ * Simulates nine entries and eight instances with a fake clock, to compare load balancing
+ * strategies under faults. Run it by its main method.
  */
 public final class RoutingExperiment {
 
@@ -39,7 +39,7 @@
     private static final long WARM_UP = 2000 * MS;
     private static final long END = 12_000 * MS;
 
-    /** Requests that arrive after this are load, but are not counted: they may not have ended. */
+    /** End of the measured interval; later requests may not have completed. */
     private static final long COUNTED_TO = END - 1000 * MS;
 
     private static final long CUT_FROM = 5000 * MS;
@@ -49,7 +49,7 @@
     private static final long CONNECT_TIMEOUT = 500 * MS;
     private static final long PROBE = 500 * MS;
 
-    enum Way {
+    enum Strategy {
         OWN,
         OWN_AND_WINDOW,
         HOME
@@ -64,28 +64,28 @@
 
     private record Event(long time, long seq, Runnable action) {}
 
-    private record Req(long arrived, RequestClass requestClass) {}
+    private record SimulatedRequest(long arrived, RequestClass requestClass) {}
 
-    private final Way mWay;
+    private final Strategy mStrategy;
     private final Fault mFault;
     private final SplittableRandom mRandom;
     private final PriorityQueue<Event> mEvents =
             new PriorityQueue<>(Comparator.comparingLong(Event::time).thenComparing(Event::seq));
     private final List<Instance> mInstances = new ArrayList<>();
     private final List<Entry> mEntries = new ArrayList<>();
-    private final List<Long> mTimes = new ArrayList<>();
-    private final List<Long> mUrgentTimes = new ArrayList<>();
+    private final List<Long> mLatencies = new ArrayList<>();
+    private final List<Long> mUrgentLatencies = new ArrayList<>();
     private long mNow;
     private long mSeq;
     private int mOffered;
     private int mRefused;
     private int mLost;
-    private int mDrawnByFaulty;
+    private int mSentToFaulty;
     private int mPeakAfterHealing;
     private int mLateAfterHealing;
 
-    private RoutingExperiment(Way way, Fault fault, long seed) {
-        mWay = way;
+    private RoutingExperiment(Strategy strategy, Fault fault, long seed) {
+        mStrategy = strategy;
         mFault = fault;
         mRandom = new SplittableRandom(seed);
         for (int i = 0; i < INSTANCES; i++) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Prints a table; the arguments are seeds. */
+    /** Prints a table of results; the arguments are seeds. */
     public static void main(String[] args) {
         long[] seeds =
                 args.length == 0
@@ -107,9 +107,9 @@
                         + " refused% lost faulty% peakAfterHeal lateAfterHeal");
         for (Fault fault : Fault.values()) {
             for (double load : new double[] {0.5, 0.8, 0.95, 1.2, 2.0}) {
-                for (Way way : Way.values()) {
+                for (Strategy strategy : Strategy.values()) {
                     for (long seed : seeds) {
-                        new RoutingExperiment(way, fault, seed).run(load);
+                        new RoutingExperiment(strategy, fault, seed).run(load);
                     }
                 }
             }
@@ -118,7 +118,7 @@
 
     private void run(double load) {
         double rate = load * INSTANCES * SLOTS / SERVICE_TIME;
-        arrive(rate);
+        scheduleArrival(rate);
         mEntries.forEach(Entry::tick);
         while (!mEvents.isEmpty() && mEvents.peek().time() < END) {
             Event e = mEvents.poll();
@@ -131,15 +131,15 @@
                 "%-10s %.2f %-6s %.4f %.4f %.1f %.1f %.1f %.2f %d %.1f %d %d%n",
                 mFault,
                 load,
-                mWay,
-                mTimes.size() / (double) mOffered,
-                mTimes.size() / capacity,
-                percentile(mTimes, 0.5),
-                percentile(mTimes, 0.99),
-                percentile(mUrgentTimes, 0.99),
+                mStrategy,
+                mLatencies.size() / (double) mOffered,
+                mLatencies.size() / capacity,
+                percentile(mLatencies, 0.5),
+                percentile(mLatencies, 0.99),
+                percentile(mUrgentLatencies, 0.99),
                 100.0 * mRefused / mOffered,
                 mLost,
-                100.0 * mDrawnByFaulty / mOffered,
+                100.0 * mSentToFaulty / mOffered,
                 mPeakAfterHealing,
                 mLateAfterHealing);
     }
@@ -152,82 +152,83 @@
         return times.get((int) (p * (times.size() - 1))) / (double) MS;
     }
 
-    private void at(long time, Runnable action) {
+    private void schedule(long time, Runnable action) {
         mEvents.add(new Event(time, mSeq++, action));
     }
 
-    private void arrive(double rate) {
-        at(
+    private void scheduleArrival(double rate) {
+        schedule(
                 mNow + (long) (-Math.log(1 - mRandom.nextDouble()) / rate),
                 () -> {
                     double c = mRandom.nextDouble();
-                    RequestClass k =
+                    RequestClass requestClass =
                             c < 0.2
                                     ? RequestClass.URGENT
                                     : c < 0.7 ? RequestClass.INTERACTIVE : RequestClass.BATCH;
-                    mOffered += counted(mNow) ? 1 : 0;
-                    mEntries.get(mRandom.nextInt(ENTRIES)).take(new Req(mNow, k));
-                    arrive(rate);
+                    mOffered += isCounted(mNow) ? 1 : 0;
+                    mEntries.get(mRandom.nextInt(ENTRIES))
+                            .take(new SimulatedRequest(mNow, requestClass));
+                    scheduleArrival(rate);
                 });
     }
 
-    private boolean cut(int zoneA, int zoneB) {
+    private boolean isCut(int zoneA, int zoneB) {
         boolean crosses = zoneA != zoneB && (zoneA == ZONES - 1 || zoneB == ZONES - 1);
         return mFault == Fault.CUT && crosses && mNow >= CUT_FROM && mNow < CUT_TO;
     }
 
-    private static boolean counted(long time) {
+    private static boolean isCounted(long time) {
         return time >= WARM_UP && time < COUNTED_TO;
     }
 
-    private boolean justHealed(long time) {
+    private boolean isAfterHealing(long time) {
         return mFault == Fault.CUT && time >= CUT_TO + 1000 * MS;
     }
 
-    /** One entry: the real lane and router, with what its broker would do round them. */
+    /** An entry with its router and dispatcher, driven like in production. */
     private final class Entry {
         private final int mZone;
         private final Router mRouter;
-        private final Lane<Req> mLane;
+        private final Lane<SimulatedRequest> mDispatcher;
         private final int[] mMisses = new int[INSTANCES];
 
         Entry(int index) {
             mZone = index % ZONES;
             mRouter = new Router(ZoneId.of("z" + mZone), 2 * FAR_DELAY, mRandom.split());
             ConnectionShare share =
-                    mWay == Way.HOME
+                    mStrategy == Strategy.HOME
                             ? new ConnectionShare(SLOTS, SLOTS)
                             : ConnectionShare.of(64, 3, 6);
             mRouter.list(mInstances.stream().map(i -> i.mServer).toList(), s -> share);
-            mLane = new Lane<>(SERVICE, mRouter, t -> 1, 0.1);
+            mDispatcher = new Lane<>(SERVICE, mRouter, t -> 1, 0.1);
         }
 
-        void take(Req r) {
-            PendingRequest<Req> p =
+        void take(SimulatedRequest r) {
+            PendingRequest<SimulatedRequest> p =
                     PendingRequest.of(
                             new Ticket<>(r, r.requestClass(), "t", mNow + DEADLINE, 100),
                             RunRule.REPEATABLE);
-            if (!mLane.check(p, mNow).admitted()) {
+            if (!mDispatcher.check(p, mNow).admitted()) {
                 refused(r);
                 return;
             }
-            mLane.add(p);
+            mDispatcher.add(p);
             pump();
         }
 
         void tick() {
-            mLane.giveUp(mNow).forEach(RoutingExperiment.this::refused);
+            mDispatcher.giveUp(mNow).forEach(RoutingExperiment.this::refused);
             mRouter.wake(mNow);
             pump();
             if (mNow % PROBE == 0) {
                 mRouter.targets().forEach(this::probe);
             }
-            at(mNow + 10 * MS, this::tick);
+            schedule(mNow + 10 * MS, this::tick);
         }
 
         private void probe(Target t) {
             Instance i = mInstances.get(Integer.parseInt(t.server().vm().value()));
-            if (cut(mZone, i.mZone)) {
+            if (isCut(mZone, i.mZone)) {
                 if (++mMisses[i.mIndex] >= 2) {
                     t.saw(Health.SILENT);
                 }
@@ -235,75 +236,76 @@
             }
             mMisses[i.mIndex] = 0;
             t.saw(Health.SERVING);
-            if (mWay == Way.OWN_AND_WINDOW) {
+            if (mStrategy == Strategy.OWN_AND_WINDOW) {
                 t.heard(i.inFlight(), SLOTS);
             }
         }
 
         void pump() {
-            for (Optional<Attempt<Req>> a = mLane.next(mNow); a.isPresent(); ) {
+            for (Optional<Attempt<SimulatedRequest>> a = mDispatcher.next(mNow); a.isPresent(); ) {
                 send(a.get());
-                a = mLane.next(mNow);
+                a = mDispatcher.next(mNow);
             }
         }
 
-        private void send(Attempt<Req> a) {
+        private void send(Attempt<SimulatedRequest> a) {
             Instance i = mInstances.get(Integer.parseInt(a.target().server().vm().value()));
             boolean[] done = new boolean[1];
-            if (cut(mZone, i.mZone)) {
+            if (isCut(mZone, i.mZone)) {
                 long wait = Math.min(CONNECT_TIMEOUT, a.timeout());
-                at(mNow + wait, () -> ended(a, AttemptEnd.NOT_CONNECTED, done));
+                schedule(mNow + wait, () -> ended(a, AttemptEnd.NOT_CONNECTED, done));
                 return;
             }
-            long hop = mWay == Way.HOME && i.mIndex != mZone ? NEAR_DELAY : 0;
-            long way = hop + (mZone == i.mZone ? NEAR_DELAY : FAR_DELAY);
-            at(mNow + a.timeout(), () -> ended(a, AttemptEnd.BROKEN, done));
-            at(
-                    mNow + way,
+            long forwardDelay = mStrategy == Strategy.HOME && i.mIndex != mZone ? NEAR_DELAY : 0;
+            long delay = forwardDelay + (mZone == i.mZone ? NEAR_DELAY : FAR_DELAY);
+            schedule(mNow + a.timeout(), () -> ended(a, AttemptEnd.BROKEN, done));
+            schedule(
+                    mNow + delay,
                     () ->
                             i.arrive(
-                                    a.request().left(mNow),
-                                    end -> at(mNow + way, () -> ended(a, end, done))));
+                                    a.request().remainingTime(mNow),
+                                    outcome ->
+                                            schedule(mNow + delay, () -> ended(a, outcome, done))));
         }
 
-        private void ended(Attempt<Req> a, AttemptEnd end, boolean[] done) {
+        private void ended(Attempt<SimulatedRequest> a, AttemptEnd outcome, boolean[] done) {
             if (done[0]) {
                 return;
             }
             done[0] = true;
-            Optional<Attempt<Req>> another = mLane.ended(a, end, mNow);
+            Optional<Attempt<SimulatedRequest>> another = mDispatcher.ended(a, outcome, mNow);
             if (another.isPresent()) {
                 send(another.get());
             } else {
-                finished(a.request().item(), end);
+                finished(a.request().item(), outcome);
             }
             pump();
         }
     }
 
-    private void refused(Req r) {
-        mRefused += counted(r.arrived()) ? 1 : 0;
-        mLateAfterHealing += justHealed(r.arrived()) ? 1 : 0;
+    private void refused(SimulatedRequest r) {
+        mRefused += isCounted(r.arrived()) ? 1 : 0;
+        mLateAfterHealing += isAfterHealing(r.arrived()) ? 1 : 0;
     }
 
-    private void finished(Req r, AttemptEnd end) {
-        if (!counted(r.arrived())) {
+    private void finished(SimulatedRequest r, AttemptEnd outcome) {
+        if (!isCounted(r.arrived())) {
             return;
         }
-        long took = mNow - r.arrived();
-        if (end != AttemptEnd.GOOD || took > DEADLINE) {
-            mLost += end == AttemptEnd.BUSY || end.nothingSent() ? 0 : 1;
-            mRefused += end == AttemptEnd.BUSY || end.nothingSent() ? 1 : 0;
-            mLateAfterHealing += justHealed(r.arrived()) ? 1 : 0;
+        long latency = mNow - r.arrived();
+        if (outcome != AttemptEnd.GOOD || latency > DEADLINE) {
+            mLost += outcome == AttemptEnd.BUSY || outcome.nothingSent() ? 0 : 1;
+            mRefused += outcome == AttemptEnd.BUSY || outcome.nothingSent() ? 1 : 0;
+            mLateAfterHealing += isAfterHealing(r.arrived()) ? 1 : 0;
             return;
         }
-        mTimes.add(took);
+        mLatencies.add(latency);
         if (r.requestClass() == RequestClass.URGENT) {
-            mUrgentTimes.add(took);
+            mUrgentLatencies.add(latency);
         }
     }
 
-    /** One backend server: slots, and a queue before them. */
+    /** A simulated backend server with concurrent slots and a FIFO queue. */
     private final class Instance {
         private final int mIndex;
         private final int mZone;
@@ -326,20 +328,20 @@
             return mBusy + mQueue.size();
         }
 
-        void arrive(long left, java.util.function.Consumer<AttemptEnd> answer) {
+        void arrive(long remainingTime, java.util.function.Consumer<AttemptEnd> answer) {
             boolean faulty = mIndex == 0 && mFault != Fault.NONE && mFault != Fault.CUT;
-            mDrawnByFaulty += faulty && counted(mNow) ? 1 : 0;
+            mSentToFaulty += faulty && isCounted(mNow) ? 1 : 0;
             if (faulty && mFault == Fault.FAILS_FAST) {
-                at(mNow + MS / 2, () -> answer.accept(AttemptEnd.SERVER_ERROR));
+                schedule(mNow + MS / 2, () -> answer.accept(AttemptEnd.SERVER_ERROR));
                 return;
             }
             long wait = (long) (mQueue.size() / (double) SLOTS * SERVICE_TIME) + SERVICE_TIME;
-            if (mWay == Way.HOME && wait > left) {
+            if (mStrategy == Strategy.HOME && wait > remainingTime) {
                 answer.accept(AttemptEnd.BUSY);
                 return;
             }
             mQueue.add(() -> serve(faulty, answer));
-            if (justHealed(mNow + 1000 * MS)) {
+            if (isAfterHealing(mNow + 1000 * MS)) {
                 mPeakAfterHealing = Math.max(mPeakAfterHealing, inFlight());
             }
             startNext();
@@ -354,7 +356,7 @@
 
         private void serve(boolean slow, java.util.function.Consumer<AttemptEnd> answer) {
             long time = (long) (SERVICE_TIME * (0.5 + mRandom.nextDouble()) * (slow ? 10 : 1));
-            at(
+            schedule(
                     mNow + time,
                     () -> {
                         mBusy--;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/routing/ConnectionShareTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/routing/ConnectionShareTest.java
@@ -6,24 +6,20 @@
 
 public class ConnectionShareTest {
 
-    /**
-     * An instance that gets its 65th connection refuses it, and a caller sees a failure. All nine
-     * entries may be replaced at once, and the old ones still hold their connections when their
-     * successors open theirs.
-     */
+    /** Guards against refused connections while all nine entries are replaced at once. */
     @Test
-    public void staysUnderTheInstancesConnectionsWhileAllEntriesAreReplaced() {
-        for (int near = 1; near <= 9; near++) {
-            int far = 9 - near;
-            ConnectionShare s = ConnectionShare.of(64, near, far);
-            int all = 2 * (near * s.near() + far * s.far());
-            assertTrue(all < 64, near + " near: " + all);
+    public void sharesStayBelowTheInstancesLimitWhileAllEntriesAreReplaced() {
+        for (int sameZone = 1; sameZone <= 9; sameZone++) {
+            int otherZone = 9 - sameZone;
+            ConnectionShare s = ConnectionShare.of(64, sameZone, otherZone);
+            int all = 2 * (sameZone * s.sameZone() + otherZone * s.otherZone());
+            assertTrue(all < 64, sameZone + " in the same zone: " + all);
         }
     }
 
     @Test
-    public void letsTheEntriesOfOneZoneFillAllSlotsAlone() {
-        assertTrue(3 * ConnectionShare.of(64, 3, 6).near() >= 8);
-        assertTrue(2 * ConnectionShare.of(64, 2, 7).near() >= 8);
+    public void entriesOfOneZoneCanFillAllSlots() {
+        assertTrue(3 * ConnectionShare.of(64, 3, 6).sameZone() >= 8);
+        assertTrue(2 * ConnectionShare.of(64, 2, 7).sameZone() >= 8);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RouterTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RouterTest.java
@@ -33,26 +33,26 @@
     }
 
     @Test
-    public void prefersTheZoneOfTheEntry() {
+    public void prefersTheEntrysZone() {
         list(server("near", "z1"), server("far", "z2"));
         for (int i = 0; i < 5; i++) {
-            assertEquals(serve(AttemptEnd.GOOD, 20 * MS), "near");
+            assertEquals(runAttempt(AttemptEnd.GOOD, 20 * MS), "near");
         }
     }
 
     @Test
     public void spillsOverWhenTheZoneIsFull() {
         list(server("near", "z1"), server("far", "z2"));
-        for (int i = 0; i < SHARE.near(); i++) {
+        for (int i = 0; i < SHARE.sameZone(); i++) {
             choose().begin();
         }
         assertEquals(name(choose()), "far");
     }
 
     @Test
-    public void choosesNoInstanceBeyondItsShare() {
+    public void choosesNoInstanceBeyondItsConnectionShare() {
         list(server("near", "z1"));
-        for (int i = 0; i < SHARE.near(); i++) {
+        for (int i = 0; i < SHARE.sameZone(); i++) {
             choose().begin();
         }
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
@@ -67,12 +67,9 @@
         }
     }
 
-    /**
-     * One instance answers each request with an error within a moment. It always looks idle, so
-     * choosing the least loaded would send it ever more, and most callers would get errors.
-     */
+    /** Guards against an instance that fails fast, appears idle and attracts most requests. */
     @Test
-    public void drawsNoTrafficToAnInstanceThatFailsFast() {
+    public void doesNotPreferAnInstanceThatFailsFast() {
         list(server("bad", "z1"), server("good", "z1"));
         int bad = 0;
         for (int i = 0; i < 1000; i++) {
@@ -81,47 +78,46 @@
             boolean isBad = name(t).equals("bad");
             bad += isBad ? 1 : 0;
             mNow += isBad ? MS / 10 : 20 * MS;
-            t.end(
+            t.attemptEnded(
                     isBad ? AttemptEnd.SERVER_ERROR : AttemptEnd.GOOD,
                     isBad ? MS / 10 : 20 * MS,
                     mNow);
             mRouter.wake(mNow);
         }
-        assertTrue(bad < 50, "requests sent to it: " + bad);
+        assertTrue(bad < 50, "requests sent to the failing instance: " + bad);
     }
 
     @Test
-    public void triesAnEjectedInstanceWithOneRequestBeforeItTrustsItAgain() {
+    public void sendsOneTrialRequestAfterAnEjection() {
         list(server("a", "z1"), server("b", "z1"));
         Target a = target("a");
         fail(a);
-        assertTrue(a.ejected());
+        assertTrue(a.isEjected());
         assertEquals(name(choose()), "b");
         mNow += 1000 * MS;
         mRouter.wake(mNow);
-        assertFalse(a.ejected());
+        assertFalse(a.isEjected());
         a.begin();
-        assertFalse(a.open(), "a second request during the trial");
-        a.end(AttemptEnd.GOOD, 20 * MS, mNow);
+        assertFalse(a.isAvailable(), "a second request during the trial");
+        a.attemptEnded(AttemptEnd.GOOD, 20 * MS, mNow);
         a.begin();
-        assertTrue(a.open());
+        assertTrue(a.isAvailable());
     }
 
     @Test
-    public void sendsNothingToAnInstanceThatSaysItLeavesWhateverTheListSays() {
+    public void sendsNothingToADrainingInstanceAlthoughItIsListed() {
         list(server("a", "z1"));
         target("a").saw(Health.LEAVING);
         list(server("a", "z1"));
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
-        assertFalse(mRouter.serves(SERVICE));
+        assertFalse(mRouter.hasServingInstance(SERVICE));
     }
 
     /**
-     * An entry was paused, or its zone was cut off, and every instance looks silent to it. Refusing
-     * everything would make its own fault the callers' outage.
+     * Guards against an entry that rejects all requests after a pause or network fault of its own.
      */
     @Test
-    public void asksASilentInstanceWhenAllLookSilent() {
+    public void usesUnresponsiveInstancesWhenAllAreUnresponsive() {
         list(server("a", "z1"), server("b", "z1"));
         target("a").saw(Health.SILENT);
         assertEquals(name(choose()), "b");
@@ -130,38 +126,38 @@
     }
 
     @Test
-    public void sendsLessWhereRequestsWaitAndMoreWhereSlotsAreFree() {
+    public void adjustsTheWindowToTheReportedLoad() {
         list(server("a", "z1"));
         Target a = target("a");
         for (int i = 0; i < 6; i++) {
             a.heard(40, 8);
         }
         a.begin();
-        assertFalse(a.open(), "a second request at a time");
+        assertFalse(a.isAvailable(), "a second request at a time");
         a.heard(2, 8);
-        assertTrue(a.open());
+        assertTrue(a.isAvailable());
     }
 
     @Test
-    public void keepsAConnectionThatBecomesFreeForAProbe() {
+    public void reservesTheNextFreeConnectionForAProbe() {
         list(server("a", "z1"));
         Target a = target("a");
-        for (int i = 0; i < SHARE.near(); i++) {
+        for (int i = 0; i < SHARE.sameZone(); i++) {
             choose().begin();
         }
         a.hold(true);
-        a.end(AttemptEnd.GOOD, 20 * MS, mNow);
+        a.attemptEnded(AttemptEnd.GOOD, 20 * MS, mNow);
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
         a.hold(false);
         assertTrue(mRouter.choose(SERVICE, Set.of()).isPresent());
     }
 
     @Test
-    public void treatsAnInstanceOnAnotherAddressAsNew() {
+    public void treatsAnInstanceWithAnotherAddressAsNew() {
         list(server("a", "z1"));
         fail(target("a"));
         list(new BackendServer(VmId.of("a"), SERVICE, ZoneId.of("z1"), address(2)));
-        assertFalse(target("a").ejected());
+        assertFalse(target("a").isEjected());
         assertEquals(name(choose()), "a");
     }
 
@@ -170,15 +166,15 @@
             t.begin();
         }
         for (int i = 0; i < 5; i++) {
-            t.end(AttemptEnd.SERVER_ERROR, MS, mNow);
+            t.attemptEnded(AttemptEnd.SERVER_ERROR, MS, mNow);
         }
     }
 
-    private String serve(AttemptEnd end, long nanos) {
+    private String runAttempt(AttemptEnd outcome, long nanos) {
         Target t = choose();
         t.begin();
         mNow += nanos;
-        t.end(end, nanos, mNow);
+        t.attemptEnded(outcome, nanos, mNow);
         return name(t);
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RoutingDecisionBench.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RoutingDecisionBench.java
@@ -12,8 +12,8 @@
 import org.foxtailplank.request.BackendServer;
 
 /**
- * Times one decision with its bookkeeping, a tenth of the instances full. A measurement, not a
- * test: run its main by hand.
+ * Benchmark of routing decisions with a tenth of the instances at their limit. Run it by its main
+ * method.
  */
 public final class RoutingDecisionBench {
 
@@ -23,13 +23,13 @@
 
     private RoutingDecisionBench() {}
 
-    /** Prints the time of a decision at several sizes, each round on its own. */
+    /** Prints the time per decision of each round, for several numbers of instances. */
     public static void main(String[] args) {
         for (int size : new int[] {12, 120, 1_500, 15_000}) {
             Router router = router(size);
             StringBuilder line = new StringBuilder(size + " instances, ns a decision:");
             for (int i = 0; i < ROUNDS; i++) {
-                line.append(String.format(Locale.ROOT, " %.0f", nanosOfOne(router)));
+                line.append(String.format(Locale.ROOT, " %.0f", nanosPerDecision(router)));
             }
             System.out.println(line);
         }
@@ -58,13 +58,13 @@
         return router;
     }
 
-    private static double nanosOfOne(Router router) {
+    private static double nanosPerDecision(Router router) {
         Target[] running = new Target[4];
         long start = System.nanoTime();
         for (int i = 0; i < DECISIONS; i++) {
             Target old = running[i & 3];
             if (old != null) {
-                old.end(AttemptEnd.GOOD, 20_000_000, start);
+                old.attemptEnded(AttemptEnd.GOOD, 20_000_000, start);
             }
             Target t = router.choose(SERVICE, Set.of()).orElseThrow();
             t.begin();
@@ -72,7 +72,7 @@
         }
         double nanos = (System.nanoTime() - start) / (double) DECISIONS;
         for (Target t : running) {
-            t.end(AttemptEnd.GOOD, 20_000_000, start);
+            t.attemptEnded(AttemptEnd.GOOD, 20_000_000, start);
         }
         return nanos;
     }
