--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendGroup.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendGroup.java
@@ -4,19 +4,19 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * Records that one caller wants appended, all or none.
+ * Records that one caller appends atomically.
  *
- * @param number number by which the caller knows the group
+ * @param number number that the caller assigned to the group
  * @param ids ids of the records, in order
- * @param bytes size of the records
- * @param giveUpAt time at which the caller wants to be told that it was in vain
+ * @param bytes total size of the records
+ * @param deadline time at which an unfinished append is reported as failed
  */
-public record AppendGroup(long number, List<RecordId> ids, long bytes, long giveUpAt) {
+public record AppendGroup(long number, List<RecordId> ids, long bytes, long deadline) {
 
     public AppendGroup {
         ids = List.copyOf(ids);
         if (ids.isEmpty()) {
-            throw new IllegalArgumentException("a group without records can't be appended");
+            throw new IllegalArgumentException("an append group must contain at least one record");
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendLimits.java
@@ -3,10 +3,9 @@
 /**
  * Limits of an append queue.
  *
- * @param groups groups that may wait
- * @param batchRecords records in one call
- * @param batchBytes bytes in one call
- * @param lateNanos time after which a call that got no answer is not expected to take effect any
- *     more
+ * @param groups maximum number of queued groups
+ * @param batchRecords maximum number of records per call
+ * @param batchBytes maximum number of bytes per call
+ * @param lateCallNanos time after which a call without a response can no longer take effect
  */
-public record AppendLimits(int groups, int batchRecords, long batchBytes, long lateNanos) {}
+public record AppendLimits(int groups, int batchRecords, long batchBytes, long lateCallNanos) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendOutcome.java
@@ -1,27 +1,27 @@
 package org.foxtailplank.internal.log;
 
-/** What became of a group. */
+/** Outcome of the append of a group. */
 public sealed interface AppendOutcome {
 
     /**
-     * It stands on the log.
+     * The group was appended.
      *
-     * @param first offset of its first record
-     * @param end offset after the stream's last record, as known then
+     * @param first offset of the first record of the group
+     * @param end known end offset of the stream after the append
      */
     record Appended(long first, long end) implements AppendOutcome {}
 
     /**
-     * It certainly does not stand on the log, and never will.
+     * The group wasn't appended and won't be.
      *
-     * @param why the reason
+     * @param why reason for the failure
      */
     record NotAppended(String why) implements AppendOutcome {}
 
     /**
-     * Nobody can tell: it may stand on the log, or come to stand there.
+     * The outcome is unknown; the group may have been appended, or may still be.
      *
-     * @param why the reason
+     * @param why reason for the failure
      */
     record Unresolved(String why) implements AppendOutcome {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
@@ -11,49 +11,49 @@
 import org.foxtailplank.internal.membership.Backoff;
 
 /**
- * Decides over the appends to one stream: one call at a time, as many groups in it as fit.
+ * State machine for the appends to one stream. Sends one batch of groups at a time.
  *
- * <p>Guards against a record that stands on the log twice, or that is reported as not appended and
- * stands there: an append whose answer was lost is looked up by its records' ids, from where the
- * stream ended before it, and only appended again once it was not there after the time in which a
- * late call can still take effect. Should the call come even later, the fold voids the second copy
- * by its id.
+ * <p>Prevents duplicate records, and appended records that are reported as not appended. If the
+ * response to an append is lost, the queue reads the stream from its previous end and searches for
+ * the batch by record id. It retries the append only if the batch is still missing after the time
+ * in which a delayed call can take effect. If the call is delayed even longer, the fold voids the
+ * duplicate by its id.
  */
 public final class AppendQueue {
 
     private final AppendLimits mLimits;
-    private final AppendShare mShare;
+    private final AppendShare mRateLimiter;
     private final Backoff mBackoff;
     private final Deque<AppendGroup> mWaiting = new ArrayDeque<>();
-    private final Set<Long> mDoubted = new HashSet<>();
+    private final Set<Long> mInDoubt = new HashSet<>();
     private List<AppendGroup> mBatch = List.of();
     private Phase mPhase = Phase.READY;
     private OptionalLong mEnd = OptionalLong.empty();
     private long mReadFrom;
     private long mNotBefore;
-    private long mLateUntil;
+    private long mLateCallUntil;
 
     private enum Phase {
-        /** No call is under way and none is in doubt. */
+        /** No call is pending or in doubt. */
         READY,
-        /** The end of the stream is asked for. */
+        /** The end offset of the stream is being read. */
         FINDING_END,
         /** A batch is being appended. */
         APPENDING,
-        /** The answer of an append was lost, and no read is under way. */
+        /** The response to an append was lost, and no read is pending. */
         IN_DOUBT,
-        /** The stream is read to look for the batch. */
+        /** The stream is being read to find the batch. */
         READING_BACK
     }
 
-    /** An empty queue. */
-    public AppendQueue(AppendLimits limits, AppendShare share, Backoff backoff) {
+    /** Creates an empty queue. */
+    public AppendQueue(AppendLimits limits, AppendShare rateLimiter, Backoff backoff) {
         mLimits = limits;
-        mShare = share;
+        mRateLimiter = rateLimiter;
         mBackoff = backoff;
     }
 
-    /** Takes a group; refuses it when too many wait already. */
+    /** Adds a group; returns false if the queue is full. */
     public boolean offer(AppendGroup group) {
         if (mWaiting.size() >= mLimits.groups()) {
             return false;
@@ -62,7 +62,7 @@
         return true;
     }
 
-    /** What to do now; a step other than waiting must be answered before the next is asked for. */
+    /** Returns the next step; unless it is Wait or Idle, report its result before the next call. */
     public AppendStep next(long now) {
         boolean inDoubt = mPhase == Phase.IN_DOUBT;
         if (mPhase != Phase.READY && !inDoubt || mWaiting.isEmpty() && !inDoubt) {
@@ -79,114 +79,115 @@
             mPhase = Phase.FINDING_END;
             return new AppendStep.FindEnd();
         }
-        if (!mShare.take(now)) {
-            return new AppendStep.Wait(mShare.nextAt(now));
+        if (!mRateLimiter.tryAcquire(now)) {
+            return new AppendStep.Wait(mRateLimiter.nextPermitAt(now));
         }
         mPhase = Phase.APPENDING;
         mBatch = takeBatch();
         return new AppendStep.Append(mBatch);
     }
 
-    /** The end of the stream was found. */
+    /** Reports the end offset of the stream. */
     public void endFound(long end) {
         mPhase = Phase.READY;
         mEnd = OptionalLong.of(end);
         mBackoff.reset();
     }
 
-    /** The batch was appended. */
+    /** Reports that the batch was appended. */
     public List<SettledGroup> appended(long first, long end) {
         mEnd = OptionalLong.of(end);
         return settleAppended(first, end);
     }
 
-    /** The batch was certainly not appended. */
+    /** Reports that the batch was certainly not appended. */
     public void refused(long now) {
         mPhase = Phase.READY;
         returnBatch();
         mNotBefore = now + mBackoff.next();
     }
 
-    /** The call that would have appended the batch got no answer. */
+    /** Reports that the append call of the batch got no response. */
     public void answerLost(long now) {
         mPhase = Phase.IN_DOUBT;
-        mBatch.forEach(g -> mDoubted.add(g.number()));
+        mBatch.forEach(g -> mInDoubt.add(g.number()));
         mReadFrom = mEnd.orElseThrow();
-        mLateUntil = now + mLimits.lateNanos();
+        mLateCallUntil = now + mLimits.lateCallNanos();
         mNotBefore = now + mBackoff.next();
     }
 
-    /** Reading failed, of the end or of what was to be read back. */
+    /** Reports a failure to read the end offset or the stream. */
     public void readFailed(long now) {
         mPhase = mPhase == Phase.FINDING_END ? Phase.READY : Phase.IN_DOUBT;
         mNotBefore = now + mBackoff.next();
     }
 
-    /** A page of what was to be read back. */
+    /** Reports a page of the stream, read to find the batch. */
     public List<SettledGroup> readBack(LogPage page, long now) {
         mPhase = Phase.IN_DOUBT;
         mBackoff.reset();
         if (page.oldest() > mReadFrom) {
             mEnd = OptionalLong.of(page.end());
-            return settleUnresolved("records that may hold it expired meanwhile");
+            return settleUnresolved("records that may include the group have expired");
         }
         if (page.end() < mReadFrom) {
             mEnd = OptionalLong.of(page.end());
             return settleUnresolved("the log came back shorter");
         }
         RecordId wanted = mBatch.get(0).ids().get(0);
-        for (LogItem item : page.items()) {
-            if (item.id().equals(wanted)) {
+        for (LogItem record : page.records()) {
+            if (record.id().equals(wanted)) {
                 mEnd = OptionalLong.of(page.end());
-                return settleAppended(item.offset(), page.end());
+                return settleAppended(record.offset(), page.end());
             }
         }
         mReadFrom = page.nextAfter(mReadFrom);
         if (mReadFrom >= page.end()) {
-            notThere(now);
+            batchNotFound(now);
         }
         return List.of();
     }
 
-    /** Settles the groups whose time is over. */
+    /** Removes groups whose deadline has passed, and returns their outcomes. */
     public List<SettledGroup> giveUp(long now) {
-        List<SettledGroup> over = new ArrayList<>();
+        List<SettledGroup> results = new ArrayList<>();
         mWaiting.removeIf(
                 g -> {
-                    boolean late = g.giveUpAt() <= now;
-                    if (late) {
-                        over.add(new SettledGroup(g, inVain(g)));
+                    boolean expired = g.deadline() <= now;
+                    if (expired) {
+                        results.add(new SettledGroup(g, expiredOutcome(g)));
                     }
-                    return late;
+                    return expired;
                 });
-        boolean idleDoubt = mPhase == Phase.IN_DOUBT;
-        if (idleDoubt && mBatch.stream().allMatch(g -> g.giveUpAt() <= now)) {
-            over.addAll(settleUnresolved("the platform did not answer in time"));
-            // The batch may still come to stand there, so the next one starts from a fresh end.
+        boolean inDoubt = mPhase == Phase.IN_DOUBT;
+        if (inDoubt && mBatch.stream().allMatch(g -> g.deadline() <= now)) {
+            results.addAll(settleUnresolved("the platform did not answer in time"));
+            // The batch may still be appended, so the end offset must be read again.
             mEnd = OptionalLong.empty();
         }
-        return over;
+        return results;
     }
 
-    /** A group that was once in doubt stays so: its call may come later than any call should. */
-    private AppendOutcome inVain(AppendGroup group) {
-        return mDoubted.remove(group.number())
-                ? new AppendOutcome.Unresolved("an earlier call for it got no answer")
-                : new AppendOutcome.NotAppended("the platform took no append in time");
+    /** Returns the outcome of an expired group; one that was ever in doubt remains unresolved. */
+    private AppendOutcome expiredOutcome(AppendGroup group) {
+        return mInDoubt.remove(group.number())
+                ? new AppendOutcome.Unresolved(
+                        "an earlier append call for the group got no response")
+                : new AppendOutcome.NotAppended("the platform accepted no append in time");
     }
 
-    /** Whether nothing waits and nothing is under way. */
+    /** Returns whether no groups are queued or pending. */
     public boolean isEmpty() {
         return mWaiting.isEmpty() && mBatch.isEmpty();
     }
 
-    private void notThere(long now) {
-        if (now >= mLateUntil) {
+    private void batchNotFound(long now) {
+        if (now >= mLateCallUntil) {
             mPhase = Phase.READY;
             mEnd = OptionalLong.of(mReadFrom);
             returnBatch();
         } else {
-            mNotBefore = Math.min(mLateUntil, now + mBackoff.next());
+            mNotBefore = Math.min(mLateCallUntil, now + mBackoff.next());
         }
     }
 
@@ -226,17 +227,17 @@
         return settled;
     }
 
-    private List<SettledGroup> settleUnresolved(String why) {
+    private List<SettledGroup> settleUnresolved(String reason) {
         List<SettledGroup> settled =
                 mBatch.stream()
-                        .map(g -> new SettledGroup(g, new AppendOutcome.Unresolved(why)))
+                        .map(g -> new SettledGroup(g, new AppendOutcome.Unresolved(reason)))
                         .toList();
         endBatch();
         return settled;
     }
 
     private void endBatch() {
-        mBatch.forEach(g -> mDoubted.remove(g.number()));
+        mBatch.forEach(g -> mInDoubt.remove(g.number()));
         mBatch = List.of();
         mPhase = Phase.READY;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendShare.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendShare.java
@@ -5,101 +5,101 @@
 import org.foxtailplank.id.NodeId;
 
 /**
- * This node's share of the appends a second that all nodes may do together.
+ * Token bucket that limits this node to its share of the cluster-wide append rate.
  *
- * <p>Each node has an equal part of the budget. A peer that says, in its heartbeats, that it uses
- * less than its part lends what it leaves over, in equal parts to all others, but for a margin; it
- * takes its own part back at once when it needs it. So the nodes together stay within the budget
- * whenever what they said is still true, and go above it for one heartbeat at most when a lender
- * grows busy; the platform then refuses and the writers back off. A peer that says nothing lends
- * nothing.
+ * <p>Each node has an equal share of the budget. A peer whose heartbeats report a lower append rate
+ * lends most of its unused share to the other nodes in equal parts, and reclaims it at once when
+ * needed. The cluster exceeds the budget for at most one heartbeat interval, when lenders become
+ * busy; the platform then rejects appends and the writers back off. A peer without a recent report
+ * lends nothing.
  */
 public final class AppendShare {
 
     private static final double NANOS = 1e9;
-    private static final double LENT_AT_MOST = 0.875;
+    private static final double MAX_LENT_FRACTION = 0.875;
 
     private final double mBudget;
     private final int mNodes;
     private final double mBurstSeconds;
-    private final long mFreshNanos;
-    private final Map<NodeId, Use> mPeers = new HashMap<>();
+    private final long mReportTtlNanos;
+    private final Map<NodeId, PeerRate> mPeers = new HashMap<>();
     private double mTokens;
-    private long mAt;
-    private double mUsed;
-    private long mUsedAt;
+    private long mRefilledAt;
+    private double mMeasuredRate;
+    private long mMeasuredAt;
 
-    private record Use(double perSecond, long at) {}
+    private record PeerRate(double perSecond, long reportedAt) {}
 
     /**
-     * A share with a full burst.
+     * Creates a limiter with a full bucket.
      *
-     * @param budget appends a second for all nodes together
-     * @param nodes number of nodes, this one included
-     * @param burstSeconds seconds for which an unused share is kept
-     * @param freshNanos time for which a peer's word on its use holds
-     * @param now the time
+     * @param budget appends per second of all nodes
+     * @param nodes number of nodes, including this one
+     * @param burstSeconds seconds for which an unused share accumulates
+     * @param reportTtlNanos time for which the reported rate of a peer is valid
+     * @param now current time
      */
-    public AppendShare(double budget, int nodes, double burstSeconds, long freshNanos, long now) {
+    public AppendShare(
+            double budget, int nodes, double burstSeconds, long reportTtlNanos, long now) {
         mBudget = budget;
         mNodes = Math.max(1, nodes);
         mBurstSeconds = burstSeconds;
-        mFreshNanos = freshNanos;
+        mReportTtlNanos = reportTtlNanos;
         mTokens = burst();
-        mAt = now;
-        mUsedAt = now;
+        mRefilledAt = now;
+        mMeasuredAt = now;
     }
 
-    /** A peer says how many appends a second it does at the moment. */
+    /** Updates the append rate that a peer reports. */
     public void peerUses(NodeId peer, double perSecond, long now) {
-        mPeers.put(peer, new Use(perSecond, now));
+        mPeers.put(peer, new PeerRate(perSecond, now));
     }
 
-    /** Appends a second that this node may do now. */
-    public double rate(long now) {
+    /** Returns the append rate currently permitted to this node, per second. */
+    public double permittedRate(long now) {
         double own = mBudget / mNodes;
-        double lent = 0;
-        for (Use use : mPeers.values()) {
-            if (now - use.at() <= mFreshNanos) {
-                lent += Math.max(0, own * LENT_AT_MOST - use.perSecond());
+        double borrowed = 0;
+        for (PeerRate peer : mPeers.values()) {
+            if (now - peer.reportedAt() <= mReportTtlNanos) {
+                borrowed += Math.max(0, own * MAX_LENT_FRACTION - peer.perSecond());
             }
         }
-        return mNodes == 1 ? own : own + lent / (mNodes - 1);
+        return mNodes == 1 ? own : own + borrowed / (mNodes - 1);
     }
 
-    /** Takes one append if there is one. */
-    public boolean take(long now) {
+    /** Takes a token if one is available. */
+    public boolean tryAcquire(long now) {
         refill(now);
         if (mTokens < 1) {
             return false;
         }
         mTokens--;
-        mUsed++;
+        mMeasuredRate++;
         return true;
     }
 
-    /** The time at which there is an append to take. */
-    public long nextAt(long now) {
+    /** Returns the time at which the next token is available. */
+    public long nextPermitAt(long now) {
         refill(now);
         double missing = Math.max(0, 1 - mTokens);
-        return now + Math.max(1, (long) Math.ceil(missing / rate(now) * NANOS));
+        return now + Math.max(1, (long) Math.ceil(missing / permittedRate(now) * NANOS));
     }
 
-    /** Appends a second that this node does, smoothed over about a second; for its heartbeats. */
+    /** Returns this node's append rate per second, averaged over about a second. */
     public double use(long now) {
         decay(now);
-        return mUsed;
+        return mMeasuredRate;
     }
 
     private void refill(long now) {
-        mTokens = Math.min(burst(), mTokens + (now - mAt) * rate(now) / NANOS);
-        mAt = now;
+        mTokens = Math.min(burst(), mTokens + (now - mRefilledAt) * permittedRate(now) / NANOS);
+        mRefilledAt = now;
         decay(now);
     }
 
     private void decay(long now) {
-        mUsed *= Math.exp(-(now - mUsedAt) / NANOS);
-        mUsedAt = now;
+        mMeasuredRate *= Math.exp(-(now - mMeasuredAt) / NANOS);
+        mMeasuredAt = now;
     }
 
     private double burst() {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendStep.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What an append queue wants done next. */
+/** Next action that an append queue requires. */
 public sealed interface AppendStep {
 
     /**
-     * Append these groups in one call.
+     * Append groups in one call.
      *
-     * @param groups the groups, in order
+     * @param groups groups, in order
      */
     record Append(List<AppendGroup> groups) implements AppendStep {
 
@@ -17,23 +17,23 @@
         }
     }
 
-    /** Find out where the stream ends. */
+    /** Read the end offset of the stream. */
     record FindEnd() implements AppendStep {}
 
     /**
-     * Read the stream from an offset, to look for a batch whose answer was lost.
+     * Read the stream to find a batch whose append got no response.
      *
-     * @param from the offset
+     * @param from offset to read from
      */
     record ReadBack(long from) implements AppendStep {}
 
     /**
-     * Ask again at this time.
+     * Request the next step later.
      *
-     * @param until the time
+     * @param until time at which to request it
      */
     record Wait(long until) implements AppendStep {}
 
-    /** Nothing to do until something else happens. */
+    /** Do nothing until another event. */
     record Idle() implements AppendStep {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogItem.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogItem.java
@@ -3,9 +3,9 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * A record as it stands on the log.
+ * Offset and id of a record on the log.
  *
- * @param offset its place
- * @param id its id
+ * @param offset offset of the record
+ * @param id id of the record
  */
 public record LogItem(long offset, RecordId id) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogPage.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogPage.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Part of a stream, as read.
+ * Page of records read from a stream.
  *
- * @param oldest oldest offset that is kept
- * @param end offset after the last record of the stream
- * @param items records from the asked offset on
+ * @param oldest oldest retained offset
+ * @param end end offset of the stream
+ * @param records records from the requested offset on
  */
-public record LogPage(long oldest, long end, List<LogItem> items) {
+public record LogPage(long oldest, long end, List<LogItem> records) {
 
     public LogPage {
-        items = List.copyOf(items);
+        records = List.copyOf(records);
     }
 
-    /** The offset after the last record of the page, or where the reader stood if it has none. */
+    /** Returns the offset after the last record of the page, or {@code from} if it is empty. */
     long nextAfter(long from) {
-        return items.isEmpty() ? from : items.get(items.size() - 1).offset() + 1;
+        return records.isEmpty() ? from : records.get(records.size() - 1).offset() + 1;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/SettledGroup.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/SettledGroup.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.internal.log;
 
 /**
- * A group of which it is known what became of it.
+ * Outcome of an append group.
  *
  * @param group the group
- * @param outcome what became of it
+ * @param outcome final outcome
  */
 public record SettledGroup(AppendGroup group, AppendOutcome outcome) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions of the log client: when to append, what became of an append, where a reader stands. */
+/** Append queueing, rate limiting and resolution of in-doubt appends for the log client. */
 package org.foxtailplank.internal.log;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Appends through outages, with a clock of the test's own. */
+/** Tests appends through failures and outages with a fake clock. */
 public final class AppendQueueTest {
 
     private static final long MILLI = 1_000_000;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void groupsThatWaitGoOutInOneCall() {
+    public void queuedGroupsAreSentInOneBatch() {
         offer(1, HOUR);
         offer(2, HOUR);
         findEnd(5);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void refusedBatchGoesOutAgainLater() {
+    public void rejectedBatchIsRetriedAfterABackoff() {
         offer(1, HOUR);
         findEnd(1);
         appendStep();
@@ -75,13 +75,9 @@
         assertEquals(appendStep(), List.of(1L));
     }
 
-    /**
-     * An operator publishes, the platform takes the record, and its answer is lost. The writer
-     * finds the record behind where the stream ended before, and the operator is told that it was
-     * accepted. An append sent again blindly would stand there twice.
-     */
+    /** Guards against duplicate records when the response to a successful append is lost. */
     @Test
-    public void lostAnswerIsResolvedByReadingBack() {
+    public void lostResponseIsResolvedByReadingBack() {
         offer(1, HOUR);
         findEnd(5);
         appendStep();
@@ -92,13 +88,9 @@
         assertTrue(mQueue.isEmpty());
     }
 
-    /**
-     * The answer is lost, and the first look finds nothing since the call is still on its way. The
-     * writer must not append again before a late call can't come any more: it looks again, and
-     * finds it.
-     */
+    /** Guards against duplicate records when a delayed append takes effect after the first read. */
     @Test
-    public void appendThatComesLateIsNotRepeated() {
+    public void delayedAppendIsNotRetried() {
         offer(1, HOUR);
         findEnd(5);
         appendStep();
@@ -111,7 +103,7 @@
     }
 
     @Test
-    public void batchThatIsNotThereGoesOutAgainOnceItCannotComeLate() {
+    public void missingBatchIsRetriedOnceADelayedCallCannotTakeEffect() {
         offer(1, HOUR);
         findEnd(5);
         appendStep();
@@ -124,31 +116,27 @@
         assertEquals(appendStep(), List.of(1L));
     }
 
-    /**
-     * The platform is down for five hours right after it took an append. Nobody is told anything
-     * false: whoever gives up meanwhile is told that it is not known, and the others when it is
-     * back. Tries stay rare, so that the platform is not stormed when it returns.
-     */
+    /** Guards against false outcomes and excessive retries during a five-hour platform outage. */
     @Test
-    public void outageOfHoursIsWaitedOut() {
+    public void appendIsResolvedAfterALongOutage() {
         offer(1, 10 * HOUR);
         findEnd(5);
         appendStep();
         mQueue.answerLost(mNow);
-        int tries = 0;
+        int attempts = 0;
         while (mNow < 5 * HOUR) {
             readBackStep();
             mQueue.readFailed(mNow);
-            tries++;
+            attempts++;
         }
-        assertTrue(tries < 5 * 3600, "tries: " + tries);
+        assertTrue(attempts < 5 * 3600, "attempts: " + attempts);
         readBackStep();
         List<SettledGroup> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
         assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 6));
     }
 
     @Test
-    public void whoeverGivesUpIsToldWhatIsKnown() {
+    public void expiredGroupsGetTheKnownOutcome() {
         offer(1, 100 * MILLI);
         findEnd(5);
         appendStep();
@@ -161,9 +149,9 @@
         assertTrue(mQueue.isEmpty());
     }
 
-    /** An outage longer than the retention: the record may have come and gone meanwhile. */
+    /** The record may have been appended and have expired during an outage. */
     @Test
-    public void recordsThatExpiredMeanwhileLeaveItUnresolved() {
+    public void expiredRecordsLeaveTheAppendUnresolved() {
         offer(1, HOUR);
         findEnd(5);
         appendStep();
@@ -174,7 +162,7 @@
     }
 
     @Test
-    public void logThatCameBackShorterLeavesItUnresolved() {
+    public void truncatedLogLeavesTheAppendUnresolved() {
         offer(1, HOUR);
         findEnd(5);
         appendStep();
@@ -196,38 +184,37 @@
     }
 
     /**
-     * Calls are refused, lost before or after they take effect, or take effect late, in random
-     * order. Whatever a caller was told must be what the log says: once where it was appended, not
-     * at all where it was not.
+     * Guards against reported outcomes that contradict the log, with random rejections, lost
+     * responses and delayed calls.
      */
     @Test(dataProvider = "seeds")
     public void callersAreToldWhatTheLogSays(long seed) {
         Random random = new Random(seed);
         mQueue = queue(seed);
         List<Long> log = new ArrayList<>();
-        List<Late> late = new ArrayList<>();
-        Map<Long, AppendOutcome> told = new HashMap<>();
+        List<LateCall> lateCalls = new ArrayList<>();
+        Map<Long, AppendOutcome> outcomes = new HashMap<>();
         long offered = 0;
         for (int round = 0; round < 2000 || !mQueue.isEmpty(); round++) {
             if (round < 1000 && random.nextInt(3) == 0) {
                 AppendGroup group = group(offered + 1, mNow + random.nextInt(3000) * MILLI);
                 offered += mQueue.offer(group) ? 1 : 0;
             }
-            land(late, log);
-            told.putAll(byNumber(step(random, log, late)));
-            told.putAll(byNumber(mQueue.giveUp(mNow)));
+            applyLateCalls(lateCalls, log);
+            outcomes.putAll(byNumber(step(random, log, lateCalls)));
+            outcomes.putAll(byNumber(mQueue.giveUp(mNow)));
         }
         mNow += HOUR;
-        land(late, log);
-        assertEquals(told.size(), offered);
-        check(told, log);
+        applyLateCalls(lateCalls, log);
+        assertEquals(outcomes.size(), offered);
+        assertConsistent(outcomes, log);
     }
 
-    /** A call that takes effect later than its answer was given up. */
-    private record Late(long at, List<Long> numbers) {}
+    /** A call that takes effect after its response was given up. */
+    private record LateCall(long at, List<Long> numbers) {}
 
-    private void land(List<Late> late, List<Long> log) {
-        late.removeIf(
+    private void applyLateCalls(List<LateCall> lateCalls, List<Long> log) {
+        lateCalls.removeIf(
                 l -> {
                     boolean due = l.at() <= mNow;
                     if (due) {
@@ -237,7 +224,7 @@
                 });
     }
 
-    private List<SettledGroup> step(Random random, List<Long> log, List<Late> late) {
+    private List<SettledGroup> step(Random random, List<Long> log, List<LateCall> lateCalls) {
         AppendStep step = mQueue.next(mNow);
         boolean answered = random.nextInt(3) > 0;
         if (step instanceof AppendStep.Wait wait) {
@@ -251,13 +238,13 @@
         } else if (step instanceof AppendStep.ReadBack back) {
             return mQueue.readBack(pageOf(log, back.from(), random.nextInt(3) + 1), mNow);
         } else if (step instanceof AppendStep.Append append) {
-            return append(random, append, log, late);
+            return append(random, append, log, lateCalls);
         }
         return List.of();
     }
 
     private List<SettledGroup> append(
-            Random random, AppendStep.Append append, List<Long> log, List<Late> late) {
+            Random random, AppendStep.Append append, List<Long> log, List<LateCall> lateCalls) {
         List<Long> numbers = append.groups().stream().map(AppendGroup::number).toList();
         long first = log.size() + 1;
         switch (random.nextInt(5)) {
@@ -268,7 +255,7 @@
                 mQueue.answerLost(mNow);
             }
             case 3 -> {
-                late.add(new Late(mNow + random.nextInt((int) LATE), numbers));
+                lateCalls.add(new LateCall(mNow + random.nextInt((int) LATE), numbers));
                 mQueue.answerLost(mNow);
             }
             default -> {
@@ -279,15 +266,15 @@
         return List.of();
     }
 
-    private static void check(Map<Long, AppendOutcome> told, List<Long> log) {
-        Set<Long> once = new HashSet<>(log);
-        assertEquals(log.size(), once.size(), "a record stands on the log twice");
-        told.forEach(
+    private static void assertConsistent(Map<Long, AppendOutcome> outcomes, List<Long> log) {
+        Set<Long> distinct = new HashSet<>(log);
+        assertEquals(log.size(), distinct.size(), "duplicate record on the log");
+        outcomes.forEach(
                 (number, outcome) -> {
                     if (outcome instanceof AppendOutcome.Appended a) {
                         assertEquals(log.indexOf(number) + 1, a.first());
                     } else if (outcome instanceof AppendOutcome.NotAppended) {
-                        assertFalse(once.contains(number), number + " stands on the log");
+                        assertFalse(distinct.contains(number), number + " is on the log");
                     }
                 });
     }
@@ -299,12 +286,12 @@
                 limits, share, new Backoff(10 * MILLI, 2000 * MILLI, new Random(seed)));
     }
 
-    private void offer(long number, long giveUpAt) {
-        assertTrue(mQueue.offer(group(number, giveUpAt)));
+    private void offer(long number, long deadline) {
+        assertTrue(mQueue.offer(group(number, deadline)));
     }
 
-    private static AppendGroup group(long number, long giveUpAt) {
-        return new AppendGroup(number, List.of(id(number)), 10, giveUpAt);
+    private static AppendGroup group(long number, long deadline) {
+        return new AppendGroup(number, List.of(id(number)), 10, deadline);
     }
 
     private void findEnd(long end) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendShareTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendShareTest.java
@@ -9,7 +9,7 @@
 import org.foxtailplank.id.NodeId;
 import org.testng.annotations.Test;
 
-/** Shares of the append budget, with a clock of the test's own. */
+/** Tests the shared append budget with a fake clock. */
 public final class AppendShareTest {
 
     private static final long MILLI = 1_000_000;
@@ -20,33 +20,33 @@
 
     @Test
     public void shareIsTheBudgetDividedByTheNodes() {
-        AppendShare share = share();
-        assertEquals(share.rate(0), BUDGET / NODES);
+        AppendShare limiter = limiter();
+        assertEquals(limiter.permittedRate(0), BUDGET / NODES);
     }
 
     @Test
-    public void nextAppendIsThereWhenItWasSaidToBe() {
-        AppendShare share = share();
+    public void nextPermitIsAvailableAtTheAnnouncedTime() {
+        AppendShare limiter = limiter();
         long now = 0;
-        while (share.take(now)) {
+        while (limiter.tryAcquire(now)) {
             continue;
         }
-        long next = share.nextAt(now);
+        long next = limiter.nextPermitAt(now);
         assertTrue(next > now);
-        assertFalse(share.take(next - MILLI));
-        assertTrue(share.take(next + 1));
+        assertFalse(limiter.tryAcquire(next - MILLI));
+        assertTrue(limiter.tryAcquire(next + 1));
     }
 
     @Test
-    public void peerThatFellSilentLendsNothing() {
-        AppendShare share = share();
-        share.peerUses(NodeId.of("n1"), 0, 0);
-        assertTrue(share.rate(HEARTBEAT) > BUDGET / NODES);
-        assertEquals(share.rate(10 * SECOND), BUDGET / NODES);
+    public void peerWithoutARecentReportLendsNothing() {
+        AppendShare limiter = limiter();
+        limiter.peerUses(NodeId.of("n1"), 0, 0);
+        assertTrue(limiter.permittedRate(HEARTBEAT) > BUDGET / NODES);
+        assertEquals(limiter.permittedRate(10 * SECOND), BUDGET / NODES);
     }
 
     @Test
-    public void busyNodesGetEqualPartsWithinTheBudget() {
+    public void busyNodesShareTheBudgetEqually() {
         long[] started = run(NODES, 2);
         long[] taken = run(NODES, 22);
         long all = 0;
@@ -58,12 +58,9 @@
         assertTrue(all <= BUDGET * 20 * 1.01, "appends: " + all);
     }
 
-    /**
-     * All nodes grow busy at once. Until the next heartbeat each believes that the others lend, so
-     * together they go above the budget by no more than what is lent in that time.
-     */
+    /** Guards against exceeding the budget by more than the shares lent for one heartbeat. */
     @Test
-    public void nodesThatGrowBusyTogetherExceedTheBudgetForOneHeartbeat() {
+    public void nodesThatBecomeBusyTogetherExceedTheBudgetForOneHeartbeat() {
         long all = 0;
         for (long t : run(NODES, 2)) {
             all += t;
@@ -74,42 +71,42 @@
     }
 
     @Test
-    public void singleBusyNodeBorrowsWhatOthersLeave() {
+    public void singleBusyNodeBorrowsUnusedShares() {
         long started = run(1, 2)[0];
         long taken = run(1, 22)[0];
         assertEquals(taken - started, 1.875 * BUDGET / NODES * 20, 10.0);
     }
 
-    /** Runs nodes that exchange heartbeats; the first ones append whenever they may. */
+    /** Simulates nodes that exchange heartbeats; the first {@code busy} append at full rate. */
     private static long[] run(int busy, int seconds) {
-        List<AppendShare> shares = new ArrayList<>();
+        List<AppendShare> limiters = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            shares.add(share());
+            limiters.add(limiter());
         }
         long[] taken = new long[NODES];
         for (long now = 0; now < seconds * SECOND; now += MILLI) {
             for (int i = 0; i < busy; i++) {
-                taken[i] += shares.get(i).take(now) ? 1 : 0;
+                taken[i] += limiters.get(i).tryAcquire(now) ? 1 : 0;
             }
             if (now % HEARTBEAT == 0) {
-                exchange(shares, now);
+                exchange(limiters, now);
             }
         }
         return taken;
     }
 
-    private static void exchange(List<AppendShare> shares, long now) {
-        for (int from = 0; from < shares.size(); from++) {
-            double use = shares.get(from).use(now);
-            for (int to = 0; to < shares.size(); to++) {
+    private static void exchange(List<AppendShare> limiters, long now) {
+        for (int from = 0; from < limiters.size(); from++) {
+            double use = limiters.get(from).use(now);
+            for (int to = 0; to < limiters.size(); to++) {
                 if (to != from) {
-                    shares.get(to).peerUses(NodeId.of("n" + from), use, now);
+                    limiters.get(to).peerUses(NodeId.of("n" + from), use, now);
                 }
             }
         }
     }
 
-    private static AppendShare share() {
+    private static AppendShare limiter() {
         return new AppendShare(BUDGET, NODES, 1, 2 * HEARTBEAT, 0);
     }
 }
