--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Action.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Action.java
@@ -2,37 +2,37 @@
 
 import org.foxtailplank.id.RecordId;
 
-/** What an entry has to do next; carried out outside the core. */
+/** An action that the coordinator requests and its caller performs. */
 public sealed interface Action {
 
     /**
-     * Append a record to the claims stream, once.
+     * Appends a record to the claims stream, at most once.
      *
      * @param id id of the record
-     * @param batch what it says
+     * @param batch content of the record
      */
     record Append(RecordId id, ClaimBatch batch) implements Action {}
 
     /**
-     * Send a request to a backend server, once.
+     * Sends a request to a backend server, at most once.
      *
-     * @param token the request
+     * @param token token of the request
      */
     record Run(long token) implements Action {}
 
     /**
-     * Hand a request to the owner of its key.
+     * Hands a request over to the owner of its key.
      *
-     * @param token the request
+     * @param token token of the request
      * @param owner owner of its key
      */
     record HandOver(long token, Claimant owner) implements Action {}
 
     /**
-     * Answer a request.
+     * Answers a request.
      *
-     * @param token the request
-     * @param answer its answer
+     * @param token token of the request
+     * @param answer answer to return
      */
     record Reply(long token, KeyedAnswer answer) implements Action {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/AnswerMemory.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/AnswerCache.java
@@ -4,21 +4,21 @@
 import java.util.LinkedHashMap;
 import java.util.Optional;
 
-/** Remembers the newest answers within a bound on their number and bytes. */
-final class AnswerMemory {
+/** A cache of answers, bounded in number and bytes, that evicts the oldest answers first. */
+final class AnswerCache {
 
     private final LinkedHashMap<RequestKey, KeyedAnswer> mAnswers = new LinkedHashMap<>();
     private final int mMaxAnswers;
     private final long mMaxBytes;
     private long mBytes;
 
-    AnswerMemory(int maxAnswers, long maxBytes) {
+    AnswerCache(int maxAnswers, long maxBytes) {
         mMaxAnswers = maxAnswers;
         mMaxBytes = maxBytes;
     }
 
-    void remember(RequestKey key, KeyedAnswer answer) {
-        forget(key);
+    void put(RequestKey key, KeyedAnswer answer) {
+        remove(key);
         mAnswers.put(key, answer);
         mBytes += answer.size();
         Iterator<KeyedAnswer> oldest = mAnswers.values().iterator();
@@ -28,14 +28,14 @@
         }
     }
 
-    Optional<KeyedAnswer> recall(RequestKey key) {
+    Optional<KeyedAnswer> get(RequestKey key) {
         return Optional.ofNullable(mAnswers.get(key));
     }
 
-    void forget(RequestKey key) {
-        KeyedAnswer known = mAnswers.remove(key);
-        if (known != null) {
-            mBytes -= known.size();
+    void remove(RequestKey key) {
+        KeyedAnswer removed = mAnswers.remove(key);
+        if (removed != null) {
+            mBytes -= removed.size();
         }
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Claim.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Claim.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.internal.idempotency;
 
 /**
- * An entry asks to own a key.
+ * An entry's claim to own a key; the first claim on the stream wins.
  *
- * @param key the key
- * @param fingerprint request that it came with
+ * @param key claimed key
+ * @param fingerprint fingerprint of the request that carried the key
  */
 public record Claim(RequestKey key, Fingerprint fingerprint) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimBatch.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimBatch.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * One record of the claims stream.
+ * The content of one record of the claims stream.
  *
- * @param writer entry that wrote it
- * @param era era under which it was written
- * @param opening whether it opens that era, and how
- * @param time its writer's clock
+ * @param writer entry that wrote the record
+ * @param era era in which it was written
+ * @param opening whether and why it opens that era
+ * @param time time of writing, by the writer's clock
  * @param claims claims in order; may be empty
  */
 public record ClaimBatch(
@@ -21,11 +21,11 @@
 
     /** Whether a record opens an era. */
     public enum Opening {
-        /** It belongs to an era that is open. */
+        /** The record belongs to an open era. */
         NONE,
-        /** It opens the first era of a new deployment; nothing can have run before. */
+        /** Opens the first era of a new deployment; no key can have run before. */
         FIRST,
-        /** It opens an era after records were lost; keys may have run that nobody can see. */
+        /** Opens an era after records were lost; keys without a visible claim may have run. */
         AFTER_LOSS
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimTable.java
@@ -9,148 +9,152 @@
 import java.util.function.Consumer;
 
 /**
- * Who owns which key, folded from the claims stream in offset order.
+ * The owners of keys, built by applying the claims stream in offset order.
  *
- * <p>A claim is the first of its key when this reader knows no other. A reader forgets a key one
- * window after it <em>read</em> the last claim of it, whoever made that claim and whether or not it
- * was the first. So two readers whose windows end at different moments still can't both take
- * neighbouring claims for first ones: each must read the earlier before the later. Writers' clocks
- * only let a starting reader skip what is older than two windows, so they may be wrong by one.
+ * <p>A claim is the first of its key if this reader holds no other. A key expires one window after
+ * this reader <em>read</em> its last claim, first or not. Two readers whose windows end at
+ * different times therefore never treat two consecutive claims both as first, because each reads
+ * the earlier claim before the later one. Writers' clocks only let a starting reader skip claims
+ * older than two windows, so a clock error of one window is harmless.
  */
 public final class ClaimTable {
 
     private final Duration mWindow;
-    private final Consumer<RequestKey> mOnForgotten;
-    private final LinkedHashMap<RequestKey, Owned> mOwned = new LinkedHashMap<>();
+    private final Consumer<RequestKey> mOnExpired;
+    private final LinkedHashMap<RequestKey, Ownership> mOwnerships = new LinkedHashMap<>();
     private Era mEra = Era.NONE;
     private Instant mQuarantinedUntil = Instant.MIN;
 
-    /** A table that protects each key for a window and tells which keys it forgets. */
-    public ClaimTable(Duration window, Consumer<RequestKey> onForgotten) {
+    /** Creates a table that protects keys for a window and reports the keys that expire. */
+    public ClaimTable(Duration window, Consumer<RequestKey> onExpired) {
         mWindow = window;
-        mOnForgotten = onForgotten;
+        mOnExpired = onExpired;
     }
 
-    /** Whether a record counts. */
-    public enum Verdict {
-        /** Its claims were folded. */
+    /** Whether a record was applied. */
+    public enum ApplyResult {
+        /** The claims of the record were applied. */
         APPLIED,
-        /** It was written under another era, and changes nothing. */
+        /** The record belongs to another era and was ignored. */
         OTHER_ERA
     }
 
     /**
-     * The first claim of a key.
+     * The ownership of a key, established by its first claim.
      *
-     * @param claimant its owner
-     * @param fingerprint request that the key came with first
-     * @param until when this reader forgets it
+     * @param claimant owner of the key
+     * @param fingerprint fingerprint of the request in the first claim
+     * @param expiresAt time at which this reader removes the key
      */
-    public record Owned(Claimant claimant, Fingerprint fingerprint, Instant until) {}
+    public record Ownership(Claimant claimant, Fingerprint fingerprint, Instant expiresAt) {}
 
-    /** Folds the next record. */
-    public Verdict apply(ClaimBatch batch, Instant now) {
-        forget(now);
-        if (!enter(batch, now)) {
-            return Verdict.OTHER_ERA;
+    /** Applies the next record of the stream. */
+    public ApplyResult apply(ClaimBatch batch, Instant now) {
+        removeExpired(now);
+        if (!enterEra(batch, now)) {
+            return ApplyResult.OTHER_ERA;
         }
-        Instant until = protectedUntil(batch.time(), now);
-        if (until.isAfter(now)) {
-            batch.claims().forEach(c -> claim(c, batch.writer(), until));
+        Instant expiresAt = expiry(batch.time(), now);
+        if (expiresAt.isAfter(now)) {
+            batch.claims().forEach(c -> applyClaim(c, batch.writer(), expiresAt));
         }
-        return Verdict.APPLIED;
+        return ApplyResult.APPLIED;
     }
 
-    /** Forgets the keys whose windows have passed. */
-    public void forget(Instant now) {
-        Iterator<Map.Entry<RequestKey, Owned>> it = mOwned.entrySet().iterator();
+    /** Removes the keys whose windows have ended. */
+    public void removeExpired(Instant now) {
+        Iterator<Map.Entry<RequestKey, Ownership>> it = mOwnerships.entrySet().iterator();
         while (it.hasNext()) {
-            Map.Entry<RequestKey, Owned> oldest = it.next();
-            if (oldest.getValue().until().isAfter(now)) {
+            Map.Entry<RequestKey, Ownership> oldest = it.next();
+            if (oldest.getValue().expiresAt().isAfter(now)) {
                 return;
             }
             it.remove();
-            mOnForgotten.accept(oldest.getKey());
+            mOnExpired.accept(oldest.getKey());
         }
     }
 
-    /** The owner of a key, if this reader knows one. */
-    public Optional<Owned> owner(RequestKey key, Instant now) {
-        return Optional.ofNullable(mOwned.get(key)).filter(o -> o.until().isAfter(now));
+    /** Returns the ownership of a key, unless it has none or has expired. */
+    public Optional<Ownership> owner(RequestKey key, Instant now) {
+        return Optional.ofNullable(mOwnerships.get(key)).filter(o -> o.expiresAt().isAfter(now));
     }
 
-    /** The era in force. */
+    /** Returns the current era. */
     public Era era() {
         return mEra;
     }
 
     /**
-     * Whether a key that looks new may have run in an earlier era.
+     * Whether a key without a claim may have run in an earlier era.
      *
-     * <p>Against a stream that lost records: a key claimed and run before the loss would look
-     * unclaimed and run again. After one window no such key is protected any longer.
+     * <p>If the stream lost records, a key that ran before the loss looks unclaimed and would run
+     * again. The quarantine lasts one window, until the protection of all such keys has ended.
      */
     public boolean isQuarantined(Instant now) {
         return now.isBefore(mQuarantinedUntil);
     }
 
-    /** When keys may be claimed again. */
+    /** Returns the end of the quarantine. */
     public Instant quarantinedUntil() {
         return mQuarantinedUntil;
     }
 
-    /** Keys held. */
+    /** Returns the number of keys. */
     public int size() {
-        return mOwned.size();
+        return mOwnerships.size();
     }
 
-    private boolean enter(ClaimBatch batch, Instant now) {
+    private boolean enterEra(ClaimBatch batch, Instant now) {
         Era era = batch.era();
         if (era.equals(mEra)) {
             return true;
         }
         boolean first = mEra.equals(Era.NONE);
-        boolean taken =
+        boolean accepted =
                 switch (batch.opening()) {
                     case FIRST -> first;
                     case AFTER_LOSS, NONE -> era.number() > mEra.number();
                 };
-        if (!taken) {
+        if (!accepted) {
             return false;
         }
-        // A record of an unknown era that doesn't open it shows that the opening has expired, which
-        // is harmless to a reader that starts, and a loss to one that knew an earlier era.
+        // If the record doesn't open its era, the opening record has expired. That is normal for a
+        // reader that has just started, but a loss for one that knew an earlier era.
         boolean loss = batch.opening() == ClaimBatch.Opening.AFTER_LOSS || !first;
         if (loss) {
-            mQuarantinedUntil = protectedUntil(batch.time(), now);
+            mQuarantinedUntil = expiry(batch.time(), now);
         }
         mEra = era;
         return true;
     }
 
-    private void claim(Claim claim, Claimant writer, Instant until) {
-        Owned known = mOwned.remove(claim.key());
-        Owned owned =
+    private void applyClaim(Claim claim, Claimant writer, Instant expiresAt) {
+        Ownership known = mOwnerships.remove(claim.key());
+        Ownership ownership =
                 known == null
-                        ? new Owned(writer, claim.fingerprint(), until)
-                        : new Owned(known.claimant(), known.fingerprint(), later(known, until));
-        mOwned.put(claim.key(), owned);
+                        ? new Ownership(writer, claim.fingerprint(), expiresAt)
+                        : new Ownership(
+                                known.claimant(),
+                                known.fingerprint(),
+                                laterExpiry(known, expiresAt));
+        mOwnerships.put(claim.key(), ownership);
     }
 
-    private Instant protectedUntil(Instant written, Instant now) {
-        Instant byWriter = written.plus(mWindow.multipliedBy(2));
-        Instant byReader = now.plus(mWindow);
-        return byWriter.isBefore(byReader) ? byWriter : byReader;
+    private Instant expiry(Instant written, Instant now) {
+        Instant limitByWriter = written.plus(mWindow.multipliedBy(2));
+        Instant limitByReader = now.plus(mWindow);
+        return limitByWriter.isBefore(limitByReader) ? limitByWriter : limitByReader;
     }
 
-    private static Instant later(Owned known, Instant until) {
-        return known.until().isAfter(until) ? known.until() : until;
+    private static Instant laterExpiry(Ownership known, Instant expiresAt) {
+        return known.expiresAt().isAfter(expiresAt) ? known.expiresAt() : expiresAt;
     }
 
-    /** The state in words, for an exploration of all states. */
+    /** Returns the state as text, to compare states in the exploration tests. */
     String describe() {
         StringBuilder out = new StringBuilder().append(mEra).append(mQuarantinedUntil);
-        mOwned.forEach((k, o) -> out.append(k.digest()).append(o.claimant()).append(o.until()));
+        mOwnerships.forEach(
+                (k, o) -> out.append(k.digest()).append(o.claimant()).append(o.expiresAt()));
         return out.toString();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Claimant.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Claimant.java
@@ -3,9 +3,9 @@
 import org.foxtailplank.id.NodeId;
 
 /**
- * One life of an entry process.
+ * An entry process that claims keys.
  *
- * @param node node name, which a replacement takes over
- * @param incarnation number drawn when the process started, which it does not
+ * @param node node name, shared with a process that replaces this one
+ * @param incarnation random number drawn at process start, unique to this process
  */
 public record Claimant(NodeId node, long incarnation) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimsPage.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/ClaimsPage.java
@@ -5,25 +5,26 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * What one read of the claims stream returned.
+ * The result of one read of the claims stream.
  *
- * @param from offset that was asked for
- * @param oldest oldest offset that the platform still keeps
- * @param end offset after the last record
- * @param records records from the asked offset on
+ * @param fromOffset requested offset
+ * @param oldestOffset oldest offset that the platform still keeps
+ * @param endOffset offset after the last record of the stream
+ * @param records records from the requested offset on
  */
-public record ClaimsPage(long from, long oldest, long end, List<Stored> records) {
+public record ClaimsPage(
+        long fromOffset, long oldestOffset, long endOffset, List<StoredRecord> records) {
 
     public ClaimsPage {
         records = List.copyOf(records);
     }
 
     /**
-     * A stored record.
+     * A record with its offset.
      *
-     * @param offset its place in the stream
-     * @param id its id
-     * @param batch what it says; empty when this version does not understand it
+     * @param offset offset in the stream
+     * @param id id of the record
+     * @param batch decoded content; empty when this version can't decode it
      */
-    public record Stored(long offset, RecordId id, Optional<ClaimBatch> batch) {}
+    public record StoredRecord(long offset, RecordId id, Optional<ClaimBatch> batch) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Digest.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Digest.java
@@ -13,7 +13,9 @@
  */
 public record Digest(long high, long low) {
 
-    /** Digests parts; each counts with its length, so that no two lists of parts are alike. */
+    /**
+     * Digests parts, each prefixed with its length so that different lists give different input.
+     */
     public static Digest of(byte[]... parts) {
         MessageDigest sha = sha256();
         for (byte[] part : parts) {
@@ -24,7 +26,7 @@
         return new Digest(bytes.getLong(), bytes.getLong());
     }
 
-    /** Digests texts. */
+    /** Digests the UTF-8 bytes of texts. */
     public static Digest ofTexts(String... parts) {
         byte[][] bytes = new byte[parts.length][];
         for (int i = 0; i < parts.length; i++) {
@@ -37,7 +39,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Era.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Era.java
@@ -1,16 +1,15 @@
 package org.foxtailplank.internal.idempotency;
 
 /**
- * An uninterrupted history of the claims stream.
+ * Identifies a period in which the claims stream lost no records.
  *
- * <p>A stream that came back without records it once held is continued under a new era. Claims made
- * under another era are void.
+ * <p>When the stream has lost records, a new era is opened. Claims of any other era are ignored.
  *
- * @param number later eras have higher numbers; 0 for none yet
- * @param id tells eras of the same number apart
+ * @param number number of the era, higher for later eras; 0 before the first era
+ * @param id distinguishes eras with the same number
  */
 public record Era(long number, long id) {
 
-    /** No era was ever opened. */
+    /** The state before the first era. */
     public static final Era NONE = new Era(0, 0);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Fingerprint.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Fingerprint.java
@@ -5,13 +5,13 @@
 import org.foxtailplank.id.TeamId;
 
 /**
- * What makes two requests the same request.
+ * Identifies the content of a request, to detect a key reused for a different request.
  *
  * @param digest digest of team, service, method, path and body
  */
 public record Fingerprint(Digest digest) {
 
-    /** The fingerprint of a request. */
+    /** Computes the fingerprint of a request. */
     public static Fingerprint of(
             TeamId team, ServiceId service, String method, String path, byte[] body) {
         return new Fingerprint(
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyCoordinator.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyCoordinator.java
@@ -9,226 +9,230 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * Decides for one entry what happens to requests that must not be repeated.
+ * Decides how one entry handles requests with idempotency keys.
  *
- * <p>It has no clock, socket or thread: each call takes the time and returns what to do. Times come
- * from one clock that is never set back while the process runs.
+ * <p>It uses no clock, socket or thread: callers pass in the time and perform the returned actions.
+ * All times must come from one clock that does not go back while the process runs.
  */
 public final class KeyCoordinator {
 
-    /** Claims that one record may hold. */
+    /** Maximum number of claims in one record. */
     public static final int MAX_BATCH = 500;
 
-    private static final int AWAY_AFTER_FAILURES = 2;
+    private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
     private final Claimant mSelf;
     private final KeyLimits mLimits;
     private final boolean mNewDeployment;
-    private final OwnedKeys mOwned;
-    private final ClaimTable mTable;
+    private final OwnedKeys mOwnedKeys;
+    private final ClaimTable mClaimTable;
     private final PendingClaims mPending = new PendingClaims();
-    private final StreamContinuity mStream = new StreamContinuity();
-    private final Map<RequestKey, ClaimTable.Owned> mUnverified = new LinkedHashMap<>();
-    private final List<Action> mOut = new ArrayList<>();
-    private Optional<RecordId> mOpening = Optional.empty();
-    private Instant mLastRecord = Instant.MIN;
+    private final StreamContinuity mContinuity = new StreamContinuity();
+    private final Map<RequestKey, ClaimTable.Ownership> mUnverified = new LinkedHashMap<>();
+    private final List<Action> mActions = new ArrayList<>();
+    private Optional<RecordId> mOpeningId = Optional.empty();
+    private Instant mLastRecordAt = Instant.MIN;
     private long mLostEra;
-    private long mRecords;
+    private long mNextRecordNumber;
     private int mFailures;
-    private boolean mNewerRecords;
-    private boolean mOnceReady;
+    private boolean mUnsupportedRecords;
+    private boolean mWasReady;
 
     /**
-     * Starts without any knowledge.
+     * Creates a coordinator that has not read the stream.
      *
-     * @param newDeployment whether an empty stream was never written, rather than lost
+     * @param newDeployment whether an empty stream is that of a new deployment rather than a loss
      */
     public KeyCoordinator(Claimant self, KeyLimits limits, boolean newDeployment) {
         mSelf = self;
         mLimits = limits;
         mNewDeployment = newDeployment;
-        mOwned = new OwnedKeys(limits);
-        mTable = new ClaimTable(limits.window(), mOwned::forget);
+        mOwnedKeys = new OwnedKeys(limits);
+        mClaimTable = new ClaimTable(limits.window(), mOwnedKeys::expireKey);
     }
 
-    /** A caller's request arrives at this entry. */
+    /** Submits a request received from a caller. */
     public List<Action> submit(KeyedRequest request, Instant now) {
-        arrive(new PendingClaims.Waiter(request, false), now);
-        return drain();
+        admit(new PendingClaims.Waiter(request, false), now);
+        return takeActions();
     }
 
-    /** A peer hands over a request of a key that it takes this process to own. */
-    public List<Action> handedOver(KeyedRequest request, Claimant owner, Instant now) {
+    /** Submits a request handed over by a peer that considers this process the owner of its key. */
+    public List<Action> submitHandedOver(KeyedRequest request, Claimant owner, Instant now) {
         PendingClaims.Waiter waiter = new PendingClaims.Waiter(request, true);
         boolean issuedElsewhere =
                 request.issued().filter(k -> !k.issuer().equals(mSelf)).isPresent();
         if (!owner.equals(mSelf) || issuedElsewhere) {
-            // Against a replacement under the same name: what its predecessor ran is not known.
+            // A replacement under the same node name does not know what its predecessor ran.
             refuse(waiter, Refusal.OWNER_GONE);
         } else if (request.issued().isPresent()) {
             useIssued(waiter, now);
         } else if (waitsForClaim(request.key())) {
-            // The peer has read this entry's claim before this entry has.
-            mPending.add(waiter, mOut);
+            // The peer has read this entry's claim earlier than this entry.
+            mPending.add(waiter, mActions);
         } else {
-            mOwned.ask(request, now, mOut);
+            mOwnedKeys.process(request, now, mActions);
         }
-        return drain();
+        return takeActions();
     }
 
-    /** Batches the queued claims into one append, unless one is under way. */
+    /** Batches the queued claims into one append, unless an append is in flight. */
     public List<Action> flush(Instant now) {
-        // A full memory refuses new keys, but not those that it has taken already.
-        if (notReady(now).filter(r -> r != Refusal.FULL).isEmpty()) {
+        // At the key limit new keys are refused, but keys already pending are still claimed.
+        if (claimRefusal(now).filter(r -> r != Refusal.FULL).isEmpty()) {
             RecordId id = nextId();
-            List<Claim> claims = mPending.send(id, MAX_BATCH);
+            List<Claim> claims = mPending.startAppend(id, MAX_BATCH);
             if (!claims.isEmpty()) {
-                append(id, mTable.era(), ClaimBatch.Opening.NONE, claims, now);
+                append(id, mClaimTable.era(), ClaimBatch.Opening.NONE, claims, now);
             }
         }
-        return drain();
+        return takeActions();
     }
 
-    /** An append has taken effect; its claims count once they are read back. */
-    public void appended(RecordId id) {
-        mPending.arrived(id);
+    /** Handles an append that was stored; its claims take effect when they are read back. */
+    public void appendSucceeded(RecordId id) {
+        mPending.appendConfirmed(id);
     }
 
-    /** An append has certainly had no effect. */
-    public List<Action> appendRefused(RecordId id) {
-        mOpening = mOpening.filter(o -> !o.equals(id));
-        mPending.tryAgain(id).forEach(w -> refuse(w, Refusal.PLATFORM_AWAY));
-        return drain();
+    /** Handles an append that was certainly not stored. */
+    public List<Action> appendFailed(RecordId id) {
+        mOpeningId = mOpeningId.filter(o -> !o.equals(id));
+        mPending.requeueFailedAppend(id).forEach(w -> refuse(w, Refusal.PLATFORM_AWAY));
+        return takeActions();
     }
 
-    /** An append may have taken effect; the stream will tell. */
-    public void appendLost(RecordId id) {
+    /** Handles an append that may have been stored, which later reads will show. */
+    public void appendUncertain(RecordId id) {
         mFailures++;
-        mOpening = mOpening.filter(o -> !o.equals(id));
-        mPending.lost(id);
-        mStream.failed();
+        mOpeningId = mOpeningId.filter(o -> !o.equals(id));
+        mPending.appendUncertain(id);
+        mContinuity.callFailed();
     }
 
-    /** Offset from which to read next. */
-    public long readFrom() {
-        return mStream.from();
+    /** Returns the offset of the next read. */
+    public long nextReadOffset() {
+        return mContinuity.nextReadOffset();
     }
 
     /** Whether peers must be asked for their positions before the next read. */
     public boolean positionsNeeded() {
-        return mStream.positionsNeeded();
+        return mContinuity.positionsNeeded();
     }
 
-    /** The positions of those peers that answered. */
-    public void positions(List<Position> peers) {
-        mStream.positions(peers);
+    /** Updates the positions of the peers that answered. */
+    public void updatePeerPositions(List<Position> peers) {
+        mContinuity.updatePeerPositions(peers);
     }
 
-    /** How far this entry has read. */
+    /** Returns the read position of this entry. */
     public Position position() {
-        return mStream.position(mTable.era(), mLostEra);
+        return mContinuity.position(mClaimTable.era(), mLostEra);
     }
 
-    /** A read failed. */
+    /** Handles a failed read. */
     public List<Action> readFailed(Instant now) {
-        mStream.failed();
+        mContinuity.callFailed();
         mFailures++;
-        if (mFailures >= AWAY_AFTER_FAILURES) {
-            giveUp(Refusal.PLATFORM_AWAY);
+        if (mFailures >= MAX_CONSECUTIVE_FAILURES) {
+            refuseAllPending(Refusal.PLATFORM_AWAY);
         }
-        return drain();
+        return takeActions();
     }
 
-    /** Folds what was read. */
-    public List<Action> read(ClaimsPage page, Instant now) {
+    /** Handles a page read from the stream. */
+    public List<Action> pageRead(ClaimsPage page, Instant now) {
         mFailures = 0;
-        switch (mStream.judge(page)) {
-            case CUT -> cut(Math.max(mLostEra, mTable.era().number()), page.oldest());
-            case GAP -> restart(page.oldest());
-            case CONTINUES -> fold(page, now);
-            default -> throw new IllegalStateException("no such verdict");
+        switch (mContinuity.check(page)) {
+            case TRUNCATED ->
+                    recordsLost(
+                            Math.max(mLostEra, mClaimTable.era().number()), page.oldestOffset());
+            case GAP -> restartReading(page.oldestOffset());
+            case CONTIGUOUS -> applyPage(page, now);
+            default -> throw new IllegalStateException("unexpected continuity");
         }
-        return drain();
+        return takeActions();
     }
 
-    /** A request that was run has ended. */
-    public List<Action> ran(long token, KeyedAnswer answer) {
-        mOwned.ran(token, answer, mOut);
-        return drain();
+    /** Handles the answer of a request that was run. */
+    public List<Action> runCompleted(long token, KeyedAnswer answer) {
+        mOwnedKeys.runCompleted(token, answer, mActions);
+        return takeActions();
     }
 
-    /** Lets deadlines and windows pass. */
+    /** Expires requests and keys whose deadlines or windows have passed. */
     public List<Action> tick(Instant now) {
-        mPending.expire(now).forEach(w -> refuse(w, Refusal.CLAIM_TOO_LATE));
-        mOwned.expire(now, mOut);
-        mTable.forget(now);
-        // An entry that starts learns the era from any record, so one must stand in each window.
-        boolean quiet = mLastRecord.plus(mLimits.window()).isBefore(now);
-        if (quiet && mStream.isCaughtUp() && mTable.era().number() > mLostEra) {
-            mLastRecord = now;
-            append(nextId(), mTable.era(), ClaimBatch.Opening.NONE, List.of(), now);
+        mPending.removeExpired(now).forEach(w -> refuse(w, Refusal.CLAIM_TOO_LATE));
+        mOwnedKeys.expireDue(now, mActions);
+        mClaimTable.removeExpired(now);
+        // A starting entry learns the era from any record, so each window needs at least one.
+        boolean windowWithoutRecord = mLastRecordAt.plus(mLimits.window()).isBefore(now);
+        if (windowWithoutRecord
+                && mContinuity.isCaughtUp()
+                && mClaimTable.era().number() > mLostEra) {
+            mLastRecordAt = now;
+            append(nextId(), mClaimTable.era(), ClaimBatch.Opening.NONE, List.of(), now);
         }
-        return drain();
+        return takeActions();
     }
 
-    /** Why keys that callers choose can't be claimed now; empty when they can. */
-    public Optional<Refusal> notReady(Instant now) {
-        if (mNewerRecords) {
+    /** Returns why keys chosen by callers can't be claimed now; empty when they can. */
+    public Optional<Refusal> claimRefusal(Instant now) {
+        if (mUnsupportedRecords) {
             return Optional.of(Refusal.NEWER_RECORDS);
         }
-        if (mFailures >= AWAY_AFTER_FAILURES) {
+        if (mFailures >= MAX_CONSECUTIVE_FAILURES) {
             return Optional.of(Refusal.PLATFORM_AWAY);
         }
-        if (mTable.isQuarantined(now)) {
+        if (mClaimTable.isQuarantined(now)) {
             return Optional.of(Refusal.QUARANTINED);
         }
-        if (!mStream.isCaughtUp() || mTable.era().number() <= mLostEra) {
+        if (!mContinuity.isCaughtUp() || mClaimTable.era().number() <= mLostEra) {
             return Optional.of(Refusal.STARTING);
         }
         return isFull() ? Optional.of(Refusal.FULL) : Optional.empty();
     }
 
-    /** Keys that are protected here. */
+    /** Returns the number of protected keys. */
     public int protectedKeys() {
-        return mTable.size() + mOwned.issuedKeys();
+        return mClaimTable.size() + mOwnedKeys.issuedKeys();
     }
 
-    /** Answers that are remembered. */
-    public int rememberedAnswers() {
-        return mOwned.rememberedAnswers();
+    /** Returns the number of cached answers. */
+    public int cachedAnswers() {
+        return mOwnedKeys.cachedAnswers();
     }
 
-    /** Bytes of the answers that are remembered. */
-    public long rememberedBytes() {
-        return mOwned.rememberedBytes();
+    /** Returns the size of the cached answers in bytes. */
+    public long cachedBytes() {
+        return mOwnedKeys.cachedBytes();
     }
 
-    /** Requests that wait for the claim of their key. */
+    /** Returns the number of keys with pending claims. */
     public int pendingClaims() {
         return mPending.size();
     }
 
-    private void arrive(PendingClaims.Waiter waiter, Instant now) {
+    private void admit(PendingClaims.Waiter waiter, Instant now) {
         KeyedRequest request = waiter.request();
         if (request.issued().isPresent()) {
             useIssued(waiter, now);
             return;
         }
         if (waitsForClaim(request.key())) {
-            mPending.add(waiter, mOut);
+            mPending.add(waiter, mActions);
             return;
         }
-        Optional<ClaimTable.Owned> owned = mTable.owner(request.key(), now);
-        if (owned.isPresent()) {
-            settle(waiter, owned.get(), now);
+        Optional<ClaimTable.Ownership> ownership = mClaimTable.owner(request.key(), now);
+        if (ownership.isPresent()) {
+            routeToOwner(waiter, ownership.get(), now);
         } else {
-            // A reader that was ready waits for one failed call to be made good.
+            // After a single failed call, keys are queued until the reader has caught up again.
             Optional<Refusal> refusal =
-                    notReady(now).filter(r -> r != Refusal.STARTING || !mOnceReady);
+                    claimRefusal(now).filter(r -> r != Refusal.STARTING || !mWasReady);
             if (refusal.isPresent()) {
                 refuse(waiter, refusal.get());
             } else {
-                mPending.add(waiter, mOut);
+                mPending.add(waiter, mActions);
             }
         }
     }
@@ -237,10 +241,10 @@
         KeyedRequest request = waiter.request();
         IssuedKey key = request.issued().orElseThrow();
         if (!key.issuer().equals(mSelf)) {
-            mOut.add(new Action.HandOver(request.token(), key.issuer()));
+            mActions.add(new Action.HandOver(request.token(), key.issuer()));
             return;
         }
-        if (!mOwned.holds(request.key())) {
+        if (!mOwnedKeys.contains(request.key())) {
             if (!key.expires().isAfter(now)) {
                 refuse(waiter, Refusal.KEY_EXPIRED);
                 return;
@@ -249,159 +253,165 @@
                 refuse(waiter, Refusal.FULL);
                 return;
             }
-            Instant until = key.expires().plus(mLimits.window());
-            mOwned.takeIssued(request.key(), request.fingerprint(), until);
+            Instant expiresAt = key.expires().plus(mLimits.window());
+            mOwnedKeys.addIssued(request.key(), request.fingerprint(), expiresAt);
         }
-        mOwned.ask(request, now, mOut);
+        mOwnedKeys.process(request, now, mActions);
     }
 
-    private void settle(PendingClaims.Waiter waiter, ClaimTable.Owned owned, Instant now) {
+    private void routeToOwner(
+            PendingClaims.Waiter waiter, ClaimTable.Ownership ownership, Instant now) {
         KeyedRequest request = waiter.request();
-        if (!owned.fingerprint().equals(request.fingerprint())) {
+        if (!ownership.fingerprint().equals(request.fingerprint())) {
             refuse(waiter, Refusal.KEY_REUSED);
-        } else if (owned.claimant().equals(mSelf)) {
-            mOwned.ask(request, now, mOut);
+        } else if (ownership.claimant().equals(mSelf)) {
+            mOwnedKeys.process(request, now, mActions);
         } else if (waiter.handedOver()) {
             refuse(waiter, Refusal.OWNER_GONE);
         } else {
-            mOut.add(new Action.HandOver(request.token(), owned.claimant()));
+            mActions.add(new Action.HandOver(request.token(), ownership.claimant()));
         }
     }
 
-    private void fold(ClaimsPage page, Instant now) {
-        Era before = mTable.era();
-        for (ClaimsPage.Stored stored : page.records()) {
-            if (mStream.isNew(stored)) {
-                mStream.passed(stored);
-                mLastRecord = now;
-                mNewerRecords |= stored.batch().isEmpty();
-                stored.batch().ifPresent(b -> fold(stored.id(), b, now));
+    private void applyPage(ClaimsPage page, Instant now) {
+        Era before = mClaimTable.era();
+        for (ClaimsPage.StoredRecord stored : page.records()) {
+            if (mContinuity.isNew(stored)) {
+                mContinuity.advance(stored);
+                mLastRecordAt = now;
+                mUnsupportedRecords |= stored.batch().isEmpty();
+                stored.batch().ifPresent(b -> applyBatch(stored.id(), b, now));
             }
         }
-        mStream.finish(page);
-        if (!before.equals(mTable.era()) && mTable.isQuarantined(now)) {
-            giveUp(Refusal.QUARANTINED);
+        mContinuity.pageApplied(page);
+        if (!before.equals(mClaimTable.era()) && mClaimTable.isQuarantined(now)) {
+            refuseAllPending(Refusal.QUARANTINED);
         }
-        if (mStream.isCaughtUp()) {
-            caughtUp(page, now);
+        if (mContinuity.isCaughtUp()) {
+            onCaughtUp(page, now);
         }
     }
 
-    private void fold(RecordId id, ClaimBatch batch, Instant now) {
-        ClaimTable.Verdict verdict = mTable.apply(batch, now);
+    private void applyBatch(RecordId id, ClaimBatch batch, Instant now) {
+        ClaimTable.ApplyResult result = mClaimTable.apply(batch, now);
         if (batch.writer().equals(mSelf)) {
-            mPending.arrived(id);
+            mPending.appendConfirmed(id);
         }
         for (Claim claim : batch.claims()) {
-            if (verdict == ClaimTable.Verdict.APPLIED) {
-                mTable.owner(claim.key(), now).ifPresent(o -> owned(claim.key(), o, now));
+            if (result == ClaimTable.ApplyResult.APPLIED) {
+                mClaimTable.owner(claim.key(), now).ifPresent(o -> ownerFound(claim.key(), o, now));
             } else if (batch.writer().equals(mSelf)) {
                 mPending.resolve(claim.key()).forEach(w -> refuse(w, Refusal.QUARANTINED));
             }
         }
     }
 
-    private void owned(RequestKey key, ClaimTable.Owned owned, Instant now) {
-        if (owned.claimant().equals(mSelf)) {
-            mUnverified.put(key, owned);
+    private void ownerFound(RequestKey key, ClaimTable.Ownership ownership, Instant now) {
+        if (ownership.claimant().equals(mSelf)) {
+            mUnverified.put(key, ownership);
         } else {
-            mPending.resolve(key).forEach(w -> settle(w, owned, now));
+            mPending.resolve(key).forEach(w -> routeToOwner(w, ownership, now));
         }
     }
 
     /**
-     * Takes the keys that this entry has claimed first.
+     * Acquires the keys whose first claim is by this entry.
      *
-     * <p>Against an append that was under way when the stream lost records: it lands where a lost
-     * claim of the same key stood, and looks like the first. So a claim counts only when all that
-     * peers have read was found in the stream as well.
+     * <p>An append in flight while the stream lost records may be stored after the loss of an
+     * earlier claim of the same key and look like the first. A claim is therefore accepted only
+     * after the stream was found to hold all records that peers have read.
      */
-    private void takeVerified(Instant now) {
-        Map<RequestKey, ClaimTable.Owned> verified = new LinkedHashMap<>(mUnverified);
+    private void acquireVerifiedKeys(Instant now) {
+        Map<RequestKey, ClaimTable.Ownership> verified = new LinkedHashMap<>(mUnverified);
         mUnverified.clear();
         verified.forEach(
-                (key, owned) -> {
-                    mOwned.take(key, owned.fingerprint());
-                    mPending.resolve(key).forEach(w -> settle(w, owned, now));
+                (key, ownership) -> {
+                    mOwnedKeys.add(key, ownership.fingerprint());
+                    mPending.resolve(key).forEach(w -> routeToOwner(w, ownership, now));
                 });
     }
 
     private boolean waitsForClaim(RequestKey key) {
-        return mPending.holds(key) || mUnverified.containsKey(key);
+        return mPending.contains(key) || mUnverified.containsKey(key);
     }
 
-    private void caughtUp(ClaimsPage page, Instant now) {
-        mPending.lostAppend()
+    private void onCaughtUp(ClaimsPage page, Instant now) {
+        mPending.uncertainAppend()
                 .ifPresent(
-                        id -> mPending.tryAgain(id).forEach(w -> refuse(w, Refusal.PLATFORM_AWAY)));
-        if (mStream.isBehindPeers(mTable.era())) {
-            cut(Math.max(mTable.era().number(), mStream.furthestEra()), page.oldest());
+                        id ->
+                                mPending.requeueFailedAppend(id)
+                                        .forEach(w -> refuse(w, Refusal.PLATFORM_AWAY)));
+        if (mContinuity.isBehindPeers(mClaimTable.era())) {
+            recordsLost(
+                    Math.max(mClaimTable.era().number(), mContinuity.latestPeerEra()),
+                    page.oldestOffset());
             return;
         }
-        takeVerified(now);
-        mOnceReady = mTable.era().number() > mLostEra;
-        if (!mOnceReady && mOpening.isEmpty()) {
-            boolean first = mNewDeployment && mLostEra == 0 && page.end() == 1;
+        acquireVerifiedKeys(now);
+        mWasReady = mClaimTable.era().number() > mLostEra;
+        if (!mWasReady && mOpeningId.isEmpty()) {
+            boolean newStream = mNewDeployment && mLostEra == 0 && page.endOffset() == 1;
             Era era = new Era(Math.max(mLostEra + 1, now.toEpochMilli()), mSelf.incarnation());
             RecordId id = nextId();
-            mOpening = Optional.of(id);
+            mOpeningId = Optional.of(id);
             append(
                     id,
                     era,
-                    first ? ClaimBatch.Opening.FIRST : ClaimBatch.Opening.AFTER_LOSS,
+                    newStream ? ClaimBatch.Opening.FIRST : ClaimBatch.Opening.AFTER_LOSS,
                     List.of(),
                     now);
         }
     }
 
-    /** Records that were read are gone: nothing is claimed until a later era is open. */
-    private void cut(long lostEra, long oldest) {
+    /** Handles the loss of records: no key is claimed until a later era is open. */
+    private void recordsLost(long lostEra, long oldestOffset) {
         mLostEra = lostEra;
-        mOpening = Optional.empty();
-        restart(oldest);
+        mOpeningId = Optional.empty();
+        restartReading(oldestOffset);
     }
 
-    private void restart(long oldest) {
-        mStream.restartAt(oldest);
-        mOnceReady = false;
+    private void restartReading(long oldestOffset) {
+        mContinuity.restartAt(oldestOffset);
+        mWasReady = false;
         mUnverified.clear();
-        giveUp(Refusal.STARTING);
+        refuseAllPending(Refusal.STARTING);
     }
 
-    private void giveUp(Refusal refusal) {
-        mPending.giveUp().forEach(w -> refuse(w, refusal));
+    private void refuseAllPending(Refusal refusal) {
+        mPending.removeAll().forEach(w -> refuse(w, refusal));
     }
 
     private void refuse(PendingClaims.Waiter waiter, Refusal refusal) {
-        mOut.add(new Action.Reply(waiter.request().token(), refusal.answer(mLimits.retryAfter())));
+        mActions.add(
+                new Action.Reply(waiter.request().token(), refusal.answer(mLimits.retryAfter())));
     }
 
     private void append(
             RecordId id, Era era, ClaimBatch.Opening opening, List<Claim> claims, Instant now) {
-        mOut.add(new Action.Append(id, new ClaimBatch(mSelf, era, opening, now, claims)));
+        mActions.add(new Action.Append(id, new ClaimBatch(mSelf, era, opening, now, claims)));
     }
 
     private RecordId nextId() {
-        return RecordId.of(mSelf.node() + "." + mSelf.incarnation() + "." + mRecords++);
+        return RecordId.of(mSelf.node() + "." + mSelf.incarnation() + "." + mNextRecordNumber++);
     }
 
     private boolean isFull() {
         return protectedKeys() + mPending.size() >= mLimits.maxKeys();
     }
 
-    private List<Action> drain() {
-        List<Action> out = List.copyOf(mOut);
-        mOut.clear();
-        return out;
+    private List<Action> takeActions() {
+        List<Action> actions = List.copyOf(mActions);
+        mActions.clear();
+        return actions;
     }
 
-    /** The state in words, for an exploration of all states. */
+    /** Returns the state as text, to compare states in the exploration tests. */
     String describe() {
-        return mTable.describe()
-                + mOwned.describe()
+        return mClaimTable.describe()
+                + mOwnedKeys.describe()
                 + mPending.describe()
-                + mStream.describe()
-                + mOpening
+                + mContinuity.describe()
+                + mOpeningId
                 + mLostEra
                 + ","
                 + mFailures;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyIssuer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyIssuer.java
@@ -13,45 +13,45 @@
 import javax.crypto.spec.SecretKeySpec;
 import org.foxtailplank.id.NodeId;
 
-/** Issues keys and reads them back; signed, so that no caller can name an entry as issuer. */
+/** Issues and parses idempotency keys, signed so that callers can't forge the issuer. */
 public final class KeyIssuer {
 
-    /** Start of each issued key; a key that a caller chose may not start with it. */
+    /** Prefix of issued keys, reserved: a key chosen by a caller must not start with it. */
     public static final String PREFIX = "foxtail-issued.";
 
-    private static final String PURPOSE = "foxtailplank issued key";
+    private static final String SIGNATURE_CONTEXT = "foxtailplank issued key";
     private static final String HMAC = "HmacSHA256";
     private static final int SIGNATURE_BYTES = 16;
     private static final int NUMBER_BYTES = 3 * Long.BYTES;
 
     private final Claimant mSelf;
     private final SecretKeySpec mSecret;
-    private long mNext;
+    private long mNextNumber;
 
-    /** An issuer that signs with the key that all entries share. */
+    /** Creates an issuer that signs with the secret shared by all entries. */
     public KeyIssuer(Claimant self, String sharedKey) {
         mSelf = self;
         mSecret = new SecretKeySpec(sharedKey.getBytes(StandardCharsets.UTF_8), HMAC);
     }
 
-    /** Issues a key. */
+    /** Issues a key that must first be used before it expires. */
     public String issue(Instant expires) {
         byte[] node = mSelf.node().value().getBytes(StandardCharsets.UTF_8);
         ByteBuffer payload = ByteBuffer.allocate(NUMBER_BYTES + node.length);
-        payload.putLong(mSelf.incarnation()).putLong(mNext++).putLong(expires.toEpochMilli());
+        payload.putLong(mSelf.incarnation()).putLong(mNextNumber++).putLong(expires.toEpochMilli());
         payload.put(node);
         ByteBuffer signed = ByteBuffer.allocate(payload.capacity() + SIGNATURE_BYTES);
         signed.put(payload.array()).put(signature(payload.array()));
         return PREFIX + Base64.getUrlEncoder().withoutPadding().encodeToString(signed.array());
     }
 
-    /** Whether a key claims to be issued. */
+    /** Whether a key has the prefix of issued keys. */
     public static boolean looksIssued(String text) {
         return text.startsWith(PREFIX);
     }
 
-    /** Reads an issued key; empty when it was not issued by one of the entries. */
-    public Optional<IssuedKey> read(String text) {
+    /** Parses an issued key; empty when its format or signature is invalid. */
+    public Optional<IssuedKey> parse(String text) {
         byte[] signed;
         try {
             signed = Base64.getUrlDecoder().decode(text.substring(PREFIX.length()));
@@ -90,10 +90,10 @@
         try {
             Mac mac = Mac.getInstance(HMAC);
             mac.init(mSecret);
-            mac.update(PURPOSE.getBytes(StandardCharsets.UTF_8));
+            mac.update(SIGNATURE_CONTEXT.getBytes(StandardCharsets.UTF_8));
             return Arrays.copyOf(mac.doFinal(payload), SIGNATURE_BYTES);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + HMAC, e);
+            throw new IllegalStateException(HMAC + " is not available", e);
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyLimits.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * Bounds of one entry's memory of keys.
+ * Limits on the keys and answers that one entry holds.
  *
  * @param window time that a key is protected after its last claim; the log must keep its records
  *     for at least twice as long
- * @param retryAfter when to come back after a refusal that will pass
- * @param maxKeys keys protected at once
- * @param maxAnswers answers remembered at once
- * @param maxAnswerBytes bytes of answers remembered at once
+ * @param retryAfter delay to advise after a temporary refusal
+ * @param maxKeys maximum number of protected keys
+ * @param maxAnswers maximum number of cached answers
+ * @param maxAnswerBytes maximum total size of cached answers
  */
 public record KeyLimits(
         Duration window, Duration retryAfter, int maxKeys, int maxAnswers, long maxAnswerBytes) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyedAnswer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyedAnswer.java
@@ -7,14 +7,14 @@
 import org.foxtailplank.request.Outcome;
 
 /**
- * What a caller is told about a keyed request.
+ * The answer to a keyed request.
  *
- * @param outcome what became of it
+ * @param outcome outcome of the request
  * @param status HTTP status
- * @param retryAfter when to come back, for one that did not run
+ * @param retryAfter delay before the next attempt, if the request did not run
  * @param contentType media type of the body
  * @param fields further headers
- * @param body whole body
+ * @param body complete body
  */
 public record KeyedAnswer(
         Outcome outcome,
@@ -29,16 +29,16 @@
     }
 
     /**
-     * A header.
+     * An HTTP header field.
      *
-     * @param name its name
-     * @param value its value
+     * @param name field name
+     * @param value field value
      */
     public record Field(String name, String value) {}
 
     private static final String TEXT = "text/plain; charset=UTF-8";
 
-    /** The whole answer of a backend server. */
+    /** Returns the answer for a complete response of a backend server. */
     public static KeyedAnswer ok(int status, String contentType, byte[] body) {
         return new KeyedAnswer(Outcome.OK, status, Optional.empty(), contentType, List.of(), body);
     }
@@ -48,7 +48,7 @@
         return new KeyedAnswer(outcome, status, after, TEXT, List.of(), body);
     }
 
-    /** Bytes that it takes to remember. */
+    /** Returns the number of bytes that count towards the cache limit. */
     long size() {
         long size = body.length + contentType.length();
         for (Field field : fields) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyedRequest.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/KeyedRequest.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * A caller's request that must not be repeated.
+ * A caller's request with an idempotency key.
  *
- * @param token names it within this entry
- * @param key its key
- * @param fingerprint what it asks for
- * @param issued set when the key was issued, empty when the caller chose it
- * @param deadline when its caller stops waiting
+ * @param token identifies the request within this entry
+ * @param key idempotency key
+ * @param fingerprint fingerprint of the request's content
+ * @param issued the issued key; empty when the caller chose the key
+ * @param deadline time until which the caller waits
  */
 public record KeyedRequest(
         long token,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/OwnedKeys.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/OwnedKeys.java
@@ -10,111 +10,113 @@
 import org.foxtailplank.request.Outcome;
 
 /**
- * The keys that this entry owns, and what became of their requests.
+ * The keys that this entry owns, with the state of their requests.
  *
- * <p>Nobody else runs these keys, so a request that certainly did not run frees its key for the
- * next one without a word to the others: no record of a release can be lost or seen too late.
+ * <p>Only the owner runs requests of a key. When a request did not run, the key becomes available
+ * again locally, without a release record that could be lost or read late.
  */
 final class OwnedKeys {
 
     private enum Phase {
-        /** Nothing has run; the next request may. */
+        /** No request has run; the next one may run. */
         FREE,
-        /** One request runs; others wait for its answer. */
+        /** A request is running; further requests wait for its answer. */
         RUNNING,
-        /** It ran; its answer is remembered, or was. */
+        /** A request ran and was answered; the answer may have been evicted. */
         ANSWERED,
-        /** It may have run, and its answer was never known. */
-        LOST
+        /** A request may have run, and its answer is not known. */
+        OUTCOME_UNKNOWN
     }
 
-    private static final class Key {
+    private static final class KeyState {
         private final Fingerprint mFingerprint;
-        private final List<KeyedRequest> mWaiting = new ArrayList<>();
+        private final List<KeyedRequest> mWaiters = new ArrayList<>();
         private Phase mPhase = Phase.FREE;
-        private boolean mForgotten;
+        private boolean mRemoveWhenDone;
 
-        private Key(Fingerprint fingerprint) {
+        private KeyState(Fingerprint fingerprint) {
             mFingerprint = fingerprint;
         }
     }
 
     private record Expiry(Instant at, RequestKey key) {}
 
-    private final Map<RequestKey, Key> mKeys = new HashMap<>();
+    private final Map<RequestKey, KeyState> mKeys = new HashMap<>();
     private final Map<Long, RequestKey> mRunning = new HashMap<>();
-    private final PriorityQueue<Expiry> mIssued =
+    private final PriorityQueue<Expiry> mIssuedExpiries =
             new PriorityQueue<>((a, b) -> a.at().compareTo(b.at()));
-    private final AnswerMemory mAnswers;
+    private final AnswerCache mAnswers;
 
     OwnedKeys(KeyLimits limits) {
-        mAnswers = new AnswerMemory(limits.maxAnswers(), limits.maxAnswerBytes());
+        mAnswers = new AnswerCache(limits.maxAnswers(), limits.maxAnswerBytes());
     }
 
-    /** Takes a key that nobody has run. */
-    void take(RequestKey key, Fingerprint fingerprint) {
-        Key known = mKeys.putIfAbsent(key, new Key(fingerprint));
+    /** Adds a key that has not been run. */
+    void add(RequestKey key, Fingerprint fingerprint) {
+        KeyState known = mKeys.putIfAbsent(key, new KeyState(fingerprint));
         if (known != null) {
-            known.mForgotten = false;
+            known.mRemoveWhenDone = false;
         }
     }
 
-    /** Takes an issued key at its first use, until it expires. */
-    void takeIssued(RequestKey key, Fingerprint fingerprint, Instant expires) {
+    /** Adds an issued key at its first use, until it expires. */
+    void addIssued(RequestKey key, Fingerprint fingerprint, Instant expires) {
         if (!mKeys.containsKey(key)) {
-            take(key, fingerprint);
-            mIssued.add(new Expiry(expires, key));
+            add(key, fingerprint);
+            mIssuedExpiries.add(new Expiry(expires, key));
         }
     }
 
-    boolean holds(RequestKey key) {
+    boolean contains(RequestKey key) {
         return mKeys.containsKey(key);
     }
 
-    /** Runs a request, joins it to the one that runs, or answers it. */
-    void ask(KeyedRequest request, Instant now, List<Action> out) {
-        Key key = mKeys.get(request.key());
-        if (key == null) {
-            // Against a memory that was lost or has expired: the key would look new and run again.
+    /** Runs the request, lets it wait for a running one, or answers it from the cache. */
+    void process(KeyedRequest request, Instant now, List<Action> out) {
+        KeyState state = mKeys.get(request.key());
+        if (state == null) {
+            // The key has expired here; treating it as new would run the request again.
             out.add(new Action.Reply(request.token(), Refusal.ANSWER_FORGOTTEN.answer()));
             return;
         }
-        if (!key.mFingerprint.equals(request.fingerprint())) {
+        if (!state.mFingerprint.equals(request.fingerprint())) {
             out.add(new Action.Reply(request.token(), Refusal.KEY_REUSED.answer()));
             return;
         }
-        switch (key.mPhase) {
-            case FREE -> run(key, request, now, out);
-            case RUNNING -> key.mWaiting.add(request);
-            case ANSWERED -> out.add(new Action.Reply(request.token(), recall(request.key())));
-            case LOST -> out.add(new Action.Reply(request.token(), Refusal.OUTCOME_LOST.answer()));
-            default -> throw new IllegalStateException("phase " + key.mPhase);
+        switch (state.mPhase) {
+            case FREE -> run(state, request, now, out);
+            case RUNNING -> state.mWaiters.add(request);
+            case ANSWERED ->
+                    out.add(new Action.Reply(request.token(), cachedAnswer(request.key())));
+            case OUTCOME_UNKNOWN ->
+                    out.add(new Action.Reply(request.token(), Refusal.OUTCOME_LOST.answer()));
+            default -> throw new IllegalStateException("unexpected phase " + state.mPhase);
         }
     }
 
-    /** Takes in what became of a request that was run. */
-    void ran(long token, KeyedAnswer answer, List<Action> out) {
-        RequestKey id = mRunning.remove(token);
-        if (id == null) {
-            throw new IllegalStateException("request " + token + " was not run");
+    /** Records the answer of a request that was run, and answers the waiting requests. */
+    void runCompleted(long token, KeyedAnswer answer, List<Action> out) {
+        RequestKey key = mRunning.remove(token);
+        if (key == null) {
+            throw new IllegalStateException("request " + token + " is not running");
         }
-        Key key = mKeys.get(id);
-        key.mPhase = phaseAfter(answer.outcome());
-        if (key.mPhase == Phase.ANSWERED) {
-            mAnswers.remember(id, answer);
+        KeyState state = mKeys.get(key);
+        state.mPhase = phaseAfter(answer.outcome());
+        if (state.mPhase == Phase.ANSWERED) {
+            mAnswers.put(key, answer);
         }
         out.add(new Action.Reply(token, answer));
-        key.mWaiting.forEach(w -> out.add(new Action.Reply(w.token(), answer)));
-        key.mWaiting.clear();
-        if (key.mForgotten) {
-            remove(id);
+        state.mWaiters.forEach(w -> out.add(new Action.Reply(w.token(), answer)));
+        state.mWaiters.clear();
+        if (state.mRemoveWhenDone) {
+            remove(key);
         }
     }
 
-    /** Answers those that waited until their deadlines. */
-    void expire(Instant now, List<Action> out) {
-        for (RequestKey id : mRunning.values()) {
-            Iterator<KeyedRequest> waiting = mKeys.get(id).mWaiting.iterator();
+    /** Answers waiting requests whose deadlines have passed, and removes expired issued keys. */
+    void expireDue(Instant now, List<Action> out) {
+        for (RequestKey key : mRunning.values()) {
+            Iterator<KeyedRequest> waiting = mKeys.get(key).mWaiters.iterator();
             while (waiting.hasNext()) {
                 KeyedRequest request = waiting.next();
                 if (!request.deadline().isAfter(now)) {
@@ -123,71 +125,73 @@
                 }
             }
         }
-        while (!mIssued.isEmpty() && !mIssued.peek().at().isAfter(now)) {
-            forget(mIssued.poll().key());
+        while (!mIssuedExpiries.isEmpty() && !mIssuedExpiries.peek().at().isAfter(now)) {
+            expireKey(mIssuedExpiries.poll().key());
         }
     }
 
-    /** Forgets a key that is no longer protected, once it does not run any more. */
-    void forget(RequestKey id) {
-        Key key = mKeys.get(id);
-        if (key == null) {
+    /** Removes an expired key, after its running request has ended. */
+    void expireKey(RequestKey key) {
+        KeyState state = mKeys.get(key);
+        if (state == null) {
             return;
         }
-        if (key.mPhase == Phase.RUNNING) {
-            key.mForgotten = true;
+        if (state.mPhase == Phase.RUNNING) {
+            state.mRemoveWhenDone = true;
         } else {
-            remove(id);
+            remove(key);
         }
     }
 
     int issuedKeys() {
-        return mIssued.size();
+        return mIssuedExpiries.size();
     }
 
-    int rememberedAnswers() {
+    int cachedAnswers() {
         return mAnswers.size();
     }
 
-    long rememberedBytes() {
+    long cachedBytes() {
         return mAnswers.bytes();
     }
 
-    private void run(Key key, KeyedRequest request, Instant now, List<Action> out) {
+    private void run(KeyState state, KeyedRequest request, Instant now, List<Action> out) {
         if (!request.deadline().isAfter(now)) {
-            // Against an entry that was paused between claim and run: the caller has gone, and
-            // after a very long pause the key may belong to somebody else.
+            // After a pause between claim and run, the caller no longer waits and the key may
+            // already have another owner.
             out.add(new Action.Reply(request.token(), Refusal.CLAIM_TOO_LATE.answer()));
             return;
         }
-        key.mPhase = Phase.RUNNING;
+        state.mPhase = Phase.RUNNING;
         mRunning.put(request.token(), request.key());
         out.add(new Action.Run(request.token()));
     }
 
-    private KeyedAnswer recall(RequestKey key) {
-        return mAnswers.recall(key).orElseGet(Refusal.ANSWER_FORGOTTEN::answer);
+    private KeyedAnswer cachedAnswer(RequestKey key) {
+        return mAnswers.get(key).orElseGet(Refusal.ANSWER_FORGOTTEN::answer);
     }
 
-    private void remove(RequestKey id) {
-        mKeys.remove(id);
-        mAnswers.forget(id);
+    private void remove(RequestKey key) {
+        mKeys.remove(key);
+        mAnswers.remove(key);
     }
 
     private static Phase phaseAfter(Outcome outcome) {
         return switch (outcome) {
             case OK -> Phase.ANSWERED;
             case NOT_RUN -> Phase.FREE;
-            case UNKNOWN -> Phase.LOST;
+            case UNKNOWN -> Phase.OUTCOME_UNKNOWN;
         };
     }
 
-    /** The state in words, for an exploration of all states. */
+    /** Returns the state as text, to compare states in the exploration tests. */
     String describe() {
         StringBuilder out = new StringBuilder();
         mKeys.forEach(
-                (id, key) ->
-                        out.append(id.digest()).append(key.mPhase).append(key.mWaiting.size()));
+                (key, state) ->
+                        out.append(key.digest())
+                                .append(state.mPhase)
+                                .append(state.mWaiters.size()));
         return out.append(mAnswers.size()).toString();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/PendingClaims.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/PendingClaims.java
@@ -11,24 +11,24 @@
 import java.util.Set;
 import org.foxtailplank.id.RecordId;
 
-/** Keys that this entry is about to claim or has claimed and not yet read back. */
+/** Keys whose claims are queued, or appended and not yet read back. */
 final class PendingClaims {
 
-    /** Appends that a key gets before its requests are refused. */
-    private static final int MAX_TRIES = 2;
+    /** Number of appends per key before its requests are refused. */
+    private static final int MAX_APPENDS = 2;
 
     /**
      * A request that waits for the claim of its key.
      *
-     * @param request the request
-     * @param handedOver whether another entry took this one for the owner
+     * @param request waiting request
+     * @param handedOver whether a peer handed the request over to this entry
      */
     record Waiter(KeyedRequest request, boolean handedOver) {}
 
     private static final class Pending {
         private final Fingerprint mFingerprint;
         private final List<Waiter> mWaiters = new ArrayList<>();
-        private int mTries;
+        private int mAppends;
 
         private Pending(Fingerprint fingerprint) {
             mFingerprint = fingerprint;
@@ -37,11 +37,11 @@
 
     private final Map<RequestKey, Pending> mPending = new LinkedHashMap<>();
     private final Set<RequestKey> mQueued = new LinkedHashSet<>();
-    private List<RequestKey> mSent = List.of();
-    private Optional<RecordId> mSentId = Optional.empty();
-    private boolean mLost;
+    private List<RequestKey> mInFlightKeys = List.of();
+    private Optional<RecordId> mInFlightId = Optional.empty();
+    private boolean mInFlightUncertain;
 
-    boolean holds(RequestKey key) {
+    boolean contains(RequestKey key) {
         return mPending.containsKey(key);
     }
 
@@ -49,7 +49,7 @@
         return mPending.size();
     }
 
-    /** Adds a request; its key is queued unless it is pending already. */
+    /** Adds a request, and queues its key unless it is already pending. */
     void add(Waiter waiter, List<Action> out) {
         KeyedRequest request = waiter.request();
         Pending pending = mPending.get(request.key());
@@ -65,13 +65,13 @@
         }
     }
 
-    /** Takes the queued claims for one append; empty while another append is under way. */
-    List<Claim> send(RecordId id, int limit) {
-        if (mSentId.isPresent() || mQueued.isEmpty()) {
+    /** Takes queued claims for one append; empty while another append is in flight. */
+    List<Claim> startAppend(RecordId id, int limit) {
+        if (mInFlightId.isPresent() || mQueued.isEmpty()) {
             return List.of();
         }
         List<Claim> claims = new ArrayList<>();
-        mSent = new ArrayList<>();
+        mInFlightKeys = new ArrayList<>();
         Iterator<RequestKey> queued = mQueued.iterator();
         while (queued.hasNext() && claims.size() < limit) {
             RequestKey key = queued.next();
@@ -80,94 +80,94 @@
             if (pending.mWaiters.isEmpty()) {
                 mPending.remove(key);
             } else {
-                pending.mTries++;
-                mSent.add(key);
+                pending.mAppends++;
+                mInFlightKeys.add(key);
                 claims.add(new Claim(key, pending.mFingerprint));
             }
         }
-        mSentId = claims.isEmpty() ? Optional.empty() : Optional.of(id);
-        mLost = false;
+        mInFlightId = claims.isEmpty() ? Optional.empty() : Optional.of(id);
+        mInFlightUncertain = false;
         return claims;
     }
 
-    /** The append under way has ended well, or was read back. */
-    void arrived(RecordId id) {
-        if (mSentId.equals(Optional.of(id))) {
-            mSentId = Optional.empty();
-            mLost = false;
+    /** Marks the append in flight as stored. */
+    void appendConfirmed(RecordId id) {
+        if (mInFlightId.equals(Optional.of(id))) {
+            mInFlightId = Optional.empty();
+            mInFlightUncertain = false;
         }
     }
 
-    /** The append under way may or may not have taken effect. */
-    void lost(RecordId id) {
-        mLost = mLost || mSentId.equals(Optional.of(id));
+    /** Marks the append in flight as possibly stored. */
+    void appendUncertain(RecordId id) {
+        mInFlightUncertain = mInFlightUncertain || mInFlightId.equals(Optional.of(id));
     }
 
-    /** The append under way has had no effect, or none that the stream shows. */
-    List<Waiter> tryAgain(RecordId id) {
-        if (!mSentId.equals(Optional.of(id))) {
+    /** Queues the keys of an append that was not stored again; returns the requests to refuse. */
+    List<Waiter> requeueFailedAppend(RecordId id) {
+        if (!mInFlightId.equals(Optional.of(id))) {
             return List.of();
         }
-        arrived(id);
+        appendConfirmed(id);
         List<Waiter> refused = new ArrayList<>();
-        for (RequestKey key : mSent) {
+        for (RequestKey key : mInFlightKeys) {
             Pending pending = mPending.get(key);
             if (pending == null) {
                 continue;
             }
-            if (pending.mTries >= MAX_TRIES || pending.mWaiters.isEmpty()) {
+            if (pending.mAppends >= MAX_APPENDS || pending.mWaiters.isEmpty()) {
                 mPending.remove(key);
                 refused.addAll(pending.mWaiters);
             } else {
-                // A late effect of the first append is harmless: a second claim of the same
-                // claimant changes nothing.
+                // If the first append is stored late, the second claim by the same claimant has
+                // no effect.
                 mQueued.add(key);
             }
         }
         return refused;
     }
 
-    /** The append whose answer was lost and that has not been read back. */
-    Optional<RecordId> lostAppend() {
-        return mLost ? mSentId : Optional.empty();
+    /** Returns the append that may be stored and has not been read back. */
+    Optional<RecordId> uncertainAppend() {
+        return mInFlightUncertain ? mInFlightId : Optional.empty();
     }
 
-    /** Ends the wait for a key whose owner is known now. */
+    /** Removes a key whose owner is now known; returns its waiting requests. */
     List<Waiter> resolve(RequestKey key) {
         Pending pending = mPending.remove(key);
         mQueued.remove(key);
         return pending == null ? List.of() : pending.mWaiters;
     }
 
-    /** Gives up on all requests; claims under way may still take effect, and are then free. */
-    List<Waiter> giveUp() {
+    /** Removes all keys and returns their requests; claims in flight may still be stored. */
+    List<Waiter> removeAll() {
         List<Waiter> waiters = new ArrayList<>();
         mPending.values().forEach(p -> waiters.addAll(p.mWaiters));
         mPending.clear();
         mQueued.clear();
-        mSentId = Optional.empty();
-        mLost = false;
+        mInFlightId = Optional.empty();
+        mInFlightUncertain = false;
         return waiters;
     }
 
-    /** Takes out the requests whose deadlines have passed. */
-    List<Waiter> expire(Instant now) {
-        List<Waiter> late = new ArrayList<>();
+    /** Removes and returns the requests whose deadlines have passed. */
+    List<Waiter> removeExpired(Instant now) {
+        List<Waiter> expired = new ArrayList<>();
         for (Pending pending : mPending.values()) {
-            pending.mWaiters.removeIf(w -> !w.request().deadline().isAfter(now) && late.add(w));
+            pending.mWaiters.removeIf(w -> !w.request().deadline().isAfter(now) && expired.add(w));
         }
-        return late;
+        return expired;
     }
 
-    /** The state in words, for an exploration of all states. */
+    /** Returns the state as text, to compare states in the exploration tests. */
     String describe() {
         StringBuilder out = new StringBuilder();
         mPending.forEach(
-                (k, p) -> out.append(k.digest()).append(p.mTries).append(p.mWaiters.size()));
+                (k, p) -> out.append(k.digest()).append(p.mAppends).append(p.mWaiters.size()));
         return out.append(mQueued.size())
-                .append(mSent.size())
-                .append(mSentId)
-                .append(mLost)
+                .append(mInFlightKeys.size())
+                .append(mInFlightId)
+                .append(mInFlightUncertain)
                 .toString();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Refusal.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/Refusal.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.foxtailplank.request.Outcome;
 
-/** Why a keyed request gets no answer of a backend server; the only place that words it. */
+/** Reasons to answer a keyed request without a backend server's answer, with their texts. */
 public enum Refusal {
     STARTING(
             Outcome.NOT_RUN,
@@ -78,17 +78,17 @@
         mText = text;
     }
 
-    /** What it says about the request. */
+    /** Returns the outcome that the refusal reports to the caller. */
     public Outcome outcome() {
         return mOutcome;
     }
 
-    /** The answer that tells it. */
+    /** Returns the answer for this refusal. */
     public KeyedAnswer answer() {
         return KeyedAnswer.text(mOutcome, mStatus, mText, Optional.empty());
     }
 
-    /** The answer that tells it and when to come back. */
+    /** Returns the answer for this refusal, with a delay before the next attempt. */
     public KeyedAnswer answer(Duration retryAfter) {
         return KeyedAnswer.text(mOutcome, mStatus, mText, Optional.of(retryAfter));
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/RequestKey.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/RequestKey.java
@@ -4,20 +4,20 @@
 import org.foxtailplank.id.TeamId;
 
 /**
- * An idempotency key as the entries know it.
+ * An idempotency key, reduced to a digest.
  *
- * @param digest digest of the caller's text and of the scope it is unique in
+ * @param digest digest of the key and of its scope
  */
 public record RequestKey(Digest digest) {
 
-    /** The key that a caller wrote; teams and services can't meet each other's keys. */
+    /** Returns the key for a caller's text, scoped to a team and a service. */
     public static RequestKey of(TeamId team, ServiceId service, String text) {
         return new RequestKey(Digest.ofTexts(team.value(), service.value(), text));
     }
 
     /**
-     * An issued key, by what it means: base64 has several texts for one meaning, and each would
-     * look like a key of its own and run once more.
+     * Returns the key for the decoded content of an issued key, since several base64 texts decode
+     * to the same content and must not count as different keys.
      */
     public static RequestKey of(IssuedKey key) {
         return new RequestKey(
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/StreamContinuity.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/StreamContinuity.java
@@ -5,43 +5,45 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * Tells whether the claims stream still holds what this reader, or a peer, once read from it.
+ * Detects records missing from the claims stream that this reader or a peer has read before.
  *
- * <p>Against a stream that comes back empty or shortened after an outage: it shows as an end below
- * what was read, or as another record in the place of one that was read. The reader itself finds
- * either by reading its last record again after each failed call; a reader that starts, or was
- * behind, finds it by the positions of its peers.
+ * <p>A stream restored empty or truncated after an outage has an end offset below the reader's
+ * position or a different record at an offset already read. To detect this, the reader reads its
+ * last record again after each failed call. A reader that has just started or lags behind compares
+ * the stream with the positions of its peers.
  */
 final class StreamContinuity {
 
-    /** How a page goes on from what was read before. */
-    enum Verdict {
-        /** It follows. */
-        CONTINUES,
-        /** Records in between have expired. */
+    /** How a page relates to the records read before. */
+    enum Continuity {
+        /** The page continues at the reader's position. */
+        CONTIGUOUS,
+        /** Records between the reader's position and the page have expired. */
         GAP,
-        /** Records that were read are gone. */
-        CUT
+        /** Records that were read before are missing. */
+        TRUNCATED
     }
 
-    private long mNext = 1;
-    private Optional<RecordId> mLast = Optional.empty();
-    private boolean mVerify;
-    private boolean mVerifying;
+    private long mNextOffset = 1;
+    private Optional<RecordId> mLastId = Optional.empty();
+    private boolean mVerificationNeeded;
+    private boolean mPageVerifies;
     private boolean mPositionsNeeded = true;
     private boolean mCaughtUp;
-    private Position mFurthest = Position.START;
-    private Optional<RecordId> mPassed = Optional.empty();
-    private long mLostEra;
+    private Position mFurthestPeer = Position.START;
+    private Optional<RecordId> mIdAtFurthestPeer = Optional.empty();
+    private long mPeersLostEra;
 
-    /** Offset to read from. */
-    long from() {
-        return mVerify && mLast.isPresent() ? mNext - 1 : mNext;
+    /**
+     * Returns the offset of the next read, which includes the last record if it must be verified.
+     */
+    long nextReadOffset() {
+        return mVerificationNeeded && mLastId.isPresent() ? mNextOffset - 1 : mNextOffset;
     }
 
-    /** A call failed: records may be gone when the platform is back. */
-    void failed() {
-        mVerify = true;
+    /** Requires verification after a failed call, since the platform may have lost records. */
+    void callFailed() {
+        mVerificationNeeded = true;
         mPositionsNeeded = true;
         mCaughtUp = false;
     }
@@ -51,111 +53,112 @@
         return mPositionsNeeded;
     }
 
-    /** Takes in the positions of the peers that answered. */
-    void positions(List<Position> peers) {
+    /** Updates the positions of the peers that answered. */
+    void updatePeerPositions(List<Position> peers) {
         mPositionsNeeded = false;
-        mPassed = Optional.empty();
-        mFurthest = Position.START;
-        mLostEra = 0;
+        mIdAtFurthestPeer = Optional.empty();
+        mFurthestPeer = Position.START;
+        mPeersLostEra = 0;
         for (Position p : peers) {
-            mLostEra = Math.max(mLostEra, p.lostEra());
-            long eras = Long.compare(p.era().number(), mFurthest.era().number());
-            if (eras > 0 || eras == 0 && p.next() > mFurthest.next()) {
-                mFurthest = p;
+            mPeersLostEra = Math.max(mPeersLostEra, p.lostEra());
+            long eraOrder = Long.compare(p.era().number(), mFurthestPeer.era().number());
+            if (eraOrder > 0 || eraOrder == 0 && p.next() > mFurthestPeer.next()) {
+                mFurthestPeer = p;
             }
         }
     }
 
-    /** Judges a page before it is folded. */
-    Verdict judge(ClaimsPage page) {
-        mVerifying = page.from() < mNext || mLast.isEmpty();
-        if (page.end() < mNext) {
-            return Verdict.CUT;
+    /** Checks a page before it is applied. */
+    Continuity check(ClaimsPage page) {
+        mPageVerifies = page.fromOffset() < mNextOffset || mLastId.isEmpty();
+        if (page.endOffset() < mNextOffset) {
+            return Continuity.TRUNCATED;
         }
-        if (page.oldest() > mNext) {
-            return Verdict.GAP;
+        if (page.oldestOffset() > mNextOffset) {
+            return Continuity.GAP;
         }
-        boolean verifies = page.from() < mNext && page.oldest() < mNext;
+        boolean verifies = page.fromOffset() < mNextOffset && page.oldestOffset() < mNextOffset;
         if (verifies && !startsWithLast(page)) {
-            return Verdict.CUT;
+            return Continuity.TRUNCATED;
         }
-        return Verdict.CONTINUES;
+        return Continuity.CONTIGUOUS;
     }
 
-    /** Starts again at an offset. */
+    /** Restarts reading at an offset. */
     void restartAt(long offset) {
-        mNext = offset;
-        mLast = Optional.empty();
-        mVerify = false;
+        mNextOffset = offset;
+        mLastId = Optional.empty();
+        mVerificationNeeded = false;
         mCaughtUp = false;
-        mFurthest = Position.START;
-        mLostEra = 0;
-        mPassed = Optional.empty();
+        mFurthestPeer = Position.START;
+        mPeersLostEra = 0;
+        mIdAtFurthestPeer = Optional.empty();
     }
 
-    /** Whether a record of a page is new; the one read again to compare is not. */
-    boolean isNew(ClaimsPage.Stored record) {
-        return record.offset() >= mNext;
+    /** Whether a record has not been read before, unlike the one read again for verification. */
+    boolean isNew(ClaimsPage.StoredRecord record) {
+        return record.offset() >= mNextOffset;
     }
 
-    /** Goes past a record. */
-    void passed(ClaimsPage.Stored record) {
-        mNext = record.offset() + 1;
-        mLast = Optional.of(record.id());
-        if (mNext == mFurthest.next()) {
-            mPassed = mLast;
+    /** Moves the position past a record. */
+    void advance(ClaimsPage.StoredRecord record) {
+        mNextOffset = record.offset() + 1;
+        mLastId = Optional.of(record.id());
+        if (mNextOffset == mFurthestPeer.next()) {
+            mIdAtFurthestPeer = mLastId;
         }
     }
 
-    /** Ends a page. */
-    void finish(ClaimsPage page) {
-        // A read that was under way when a call failed has not compared the last record.
-        mVerify = mVerify && !mVerifying;
-        mCaughtUp = mNext >= page.end();
+    /** Updates the state after all records of a page were applied. */
+    void pageApplied(ClaimsPage page) {
+        // A read that was in flight when a call failed did not include the last record.
+        mVerificationNeeded = mVerificationNeeded && !mPageVerifies;
+        mCaughtUp = mNextOffset >= page.endOffset();
     }
 
-    /** Whether all that the stream held at the last read was read, and peers were asked before. */
+    /** Whether the last read reached the end of the stream and peer positions are up to date. */
     boolean isCaughtUp() {
         return mCaughtUp && !mPositionsNeeded;
     }
 
-    /** Whether a peer has read what this caught-up reader can't find. */
+    /** Whether a peer has read records that this caught-up reader did not find. */
     boolean isBehindPeers(Era era) {
-        if (mLostEra >= era.number() && mLostEra > 0) {
+        if (mPeersLostEra >= era.number() && mPeersLostEra > 0) {
             return true;
         }
-        if (mFurthest.era().number() != era.number()) {
-            return mFurthest.era().number() > era.number();
+        if (mFurthestPeer.era().number() != era.number()) {
+            return mFurthestPeer.era().number() > era.number();
         }
-        boolean other = mPassed.isPresent() && !mPassed.equals(mFurthest.last());
-        return mNext < mFurthest.next() || other;
+        boolean differs =
+                mIdAtFurthestPeer.isPresent() && !mIdAtFurthestPeer.equals(mFurthestPeer.last());
+        return mNextOffset < mFurthestPeer.next() || differs;
     }
 
-    /** Number of the furthest era that a peer told of. */
-    long furthestEra() {
-        return Math.max(mFurthest.era().number(), mLostEra);
+    /** Returns the highest era number that a peer has reported. */
+    long latestPeerEra() {
+        return Math.max(mFurthestPeer.era().number(), mPeersLostEra);
     }
 
     Position position(Era era, long lostEra) {
-        return new Position(era, mNext, mLast, lostEra);
+        return new Position(era, mNextOffset, mLastId, lostEra);
     }
 
-    /** The state in words, for an exploration of all states. */
+    /** Returns the state as text, to compare states in the exploration tests. */
     String describe() {
-        return mNext
+        return mNextOffset
                 + ","
-                + mLast
-                + mVerify
+                + mLastId
+                + mVerificationNeeded
                 + mPositionsNeeded
                 + mCaughtUp
-                + mFurthest
-                + mPassed
-                + mLostEra;
+                + mFurthestPeer
+                + mIdAtFurthestPeer
+                + mPeersLostEra;
     }
 
     private boolean startsWithLast(ClaimsPage page) {
         return !page.records().isEmpty()
-                && page.records().get(0).offset() == mNext - 1
-                && mLast.equals(Optional.of(page.records().get(0).id()));
+                && page.records().get(0).offset() == mNextOffset - 1
+                && mLastId.equals(Optional.of(page.records().get(0).id()));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/idempotency/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Runs a request that must not be repeated at most once, whichever entries receive it.
+ * Runs requests with idempotency keys at most once across all entries.
  *
- * <p>{@link org.foxtailplank.internal.idempotency.KeyedRequests} decides for one entry. The owner
- * of a key alone may run its requests; everybody else hands them to the owner. The owner of a key
- * that a caller chose is its first claimant on the log; the owner of an issued key is its issuer.
+ * <p>{@link org.foxtailplank.internal.idempotency.KeyCoordinator} makes the decisions of one entry.
+ * Only the owner of a key runs its requests; other entries hand them over to the owner. A key
+ * chosen by a caller is owned by the first entry to claim it on the log, an issued key by its
+ * issuer.
  */
 package org.foxtailplank.internal.idempotency;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimTableMeasurement.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimTableMeasurement.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Fold time of protected keys. Not part of the suite: run it with {@code mvn -o -pl foxtail-core
- * test -Dtest=ClaimTableMeasurement}.
+ * Measures how fast claims are applied. Not part of the suite; run it with {@code mvn -o -pl
+ * foxtail-core test -Dtest=ClaimTableMeasurement}.
  */
 public class ClaimTableMeasurement {
 
@@ -17,15 +17,15 @@
     private static final Instant NOW = Instant.parse("2026-12-02T08:00:00Z");
 
     @Test
-    public void measureFoldTime() {
-        secondsToFold(50_000);
+    public void measureApplyTime() {
+        secondsToApply(50_000);
         for (int keys : new int[] {25_000, 50_000, 100_000, 200_000}) {
             System.out.printf(
-                    "measured %d keys: %.0f claims/s folded%n", keys, keys / secondsToFold(keys));
+                    "measured %d keys: %.0f claims/s folded%n", keys, keys / secondsToApply(keys));
         }
     }
 
-    private static double secondsToFold(int keys) {
+    private static double secondsToApply(int keys) {
         List<ClaimBatch> batches = batches(keys);
         ClaimTable table = new ClaimTable(Duration.ofHours(1), k -> {});
         long start = System.nanoTime();
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimTableTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimTableTest.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.id.TeamId;
 import org.testng.annotations.Test;
 
-/** Who owns a key, as each reader of the claims stream folds it. */
+/** Tests of key ownership as derived from the claims stream. */
 public class ClaimTableTest {
 
     private static final Duration WINDOW = Duration.ofMinutes(10);
@@ -24,9 +24,9 @@
     private static final Claimant ENTRY2 = new Claimant(NodeId.of("entry-2"), 22);
     private static final RequestKey KEY =
             RequestKey.of(TeamId.of("adjusters"), ServiceId.of("valuation"), "claim-4711");
-    private static final Fingerprint PRINT = new Fingerprint(Digest.ofTexts("body"));
+    private static final Fingerprint FINGERPRINT = new Fingerprint(Digest.ofTexts("body"));
 
-    private final List<RequestKey> mForgotten = new ArrayList<>();
+    private final List<RequestKey> mExpired = new ArrayList<>();
 
     @Test
     public void firstClaimOfKeyOwnsIt() {
@@ -39,46 +39,47 @@
     @Test
     public void claimUnderAnotherEraIsVoid() {
         ClaimTable table = openTable(START);
-        ClaimTable.Verdict verdict = table.apply(claim(ENTRY1, new Era(6, 1), START), START);
-        assertEquals(verdict, ClaimTable.Verdict.OTHER_ERA);
-        verdict = table.apply(claim(ENTRY1, new Era(7, 2), START), START);
-        assertEquals(verdict, ClaimTable.Verdict.OTHER_ERA);
+        ClaimTable.ApplyResult result = table.apply(claim(ENTRY1, new Era(6, 1), START), START);
+        assertEquals(result, ClaimTable.ApplyResult.OTHER_ERA);
+        result = table.apply(claim(ENTRY1, new Era(7, 2), START), START);
+        assertEquals(result, ClaimTable.ApplyResult.OTHER_ERA);
         assertEquals(ownerAt(table, START), Optional.empty());
     }
 
     @Test
-    public void forgetsKeyOneWindowAfterItsLastClaimAndTellsSo() {
+    public void expiresKeyOneWindowAfterItsLastClaimAndNotifies() {
         ClaimTable table = openTable(START);
         table.apply(claim(ENTRY1, ERA, START), START);
         Instant later = START.plus(WINDOW.dividedBy(2));
         table.apply(claim(ENTRY2, ERA, later), later);
         Instant justBefore = later.plus(WINDOW).minusMillis(1);
         assertEquals(ownerAt(table, justBefore), Optional.of(ENTRY1));
-        table.forget(later.plus(WINDOW));
+        table.removeExpired(later.plus(WINDOW));
         assertEquals(table.size(), 0);
-        assertEquals(mForgotten, List.of(KEY));
+        assertEquals(mExpired, List.of(KEY));
     }
 
     /**
-     * Two entries read the same two claims while the window of an older one ends between their
-     * readings. The later claim must not look like a first one to anybody, or both would run.
+     * Two entries read the same claims at different times, before and after the window of an older
+     * claim ends. They must not treat different claims as the first, or both would run the key.
      */
     @Test
-    public void neighbouringClaimsAreNeverBothFirstWhereverTheWindowEnds() {
+    public void consecutiveClaimsAreNeverBothFirstWhereverTheWindowEnds() {
         Duration step = Duration.ofSeconds(30);
         for (Duration lag1 = Duration.ZERO; lag1.compareTo(WINDOW) < 0; lag1 = lag1.plus(step)) {
-            Instant old = START;
-            Instant one = START.plus(WINDOW).minusSeconds(15);
-            ClaimTable early = openTable(START);
-            ClaimTable late = openTable(START);
-            early.apply(claim(ENTRY2, ERA, old), old);
-            late.apply(claim(ENTRY2, ERA, old), old);
-            early.apply(claim(ENTRY1, ERA, one), one);
-            Instant read = one.plus(lag1);
-            late.apply(claim(ENTRY1, ERA, one), read);
-            late.apply(claim(ENTRY2, ERA, one), read);
-            boolean firstRuns = ownerAt(early, one).equals(Optional.of(ENTRY1));
-            boolean secondIsNew = !late.owner(KEY, read).orElseThrow().until().isAfter(read);
+            Instant oldClaimAt = START;
+            Instant claimedAt = START.plus(WINDOW).minusSeconds(15);
+            ClaimTable earlyReader = openTable(START);
+            ClaimTable lateReader = openTable(START);
+            earlyReader.apply(claim(ENTRY2, ERA, oldClaimAt), oldClaimAt);
+            lateReader.apply(claim(ENTRY2, ERA, oldClaimAt), oldClaimAt);
+            earlyReader.apply(claim(ENTRY1, ERA, claimedAt), claimedAt);
+            Instant readAt = claimedAt.plus(lag1);
+            lateReader.apply(claim(ENTRY1, ERA, claimedAt), readAt);
+            lateReader.apply(claim(ENTRY2, ERA, claimedAt), readAt);
+            boolean firstRuns = ownerAt(earlyReader, claimedAt).equals(Optional.of(ENTRY1));
+            boolean secondIsNew =
+                    !lateReader.owner(KEY, readAt).orElseThrow().expiresAt().isAfter(readAt);
             assertFalse(firstRuns && secondIsNew, "lag " + lag1);
         }
     }
@@ -96,7 +97,7 @@
 
     @Test
     public void eraOpenedAfterLossIsQuarantinedForOneWindow() {
-        ClaimTable table = new ClaimTable(WINDOW, mForgotten::add);
+        ClaimTable table = new ClaimTable(WINDOW, mExpired::add);
         table.apply(opening(ERA, ClaimBatch.Opening.AFTER_LOSS), START);
         assertTrue(table.isQuarantined(START.plus(WINDOW).minusMillis(1)));
         assertFalse(table.isQuarantined(START.plus(WINDOW)));
@@ -111,8 +112,8 @@
     }
 
     private ClaimTable openTable(Instant now) {
-        ClaimTable table = new ClaimTable(WINDOW, mForgotten::add);
-        mForgotten.clear();
+        ClaimTable table = new ClaimTable(WINDOW, mExpired::add);
+        mExpired.clear();
         table.apply(opening(ERA, ClaimBatch.Opening.FIRST), now);
         return table;
     }
@@ -122,11 +123,11 @@
     }
 
     private static ClaimBatch claim(Claimant writer, Era era, Instant time) {
-        Claim claim = new Claim(KEY, PRINT);
+        Claim claim = new Claim(KEY, FINGERPRINT);
         return new ClaimBatch(writer, era, ClaimBatch.Opening.NONE, time, List.of(claim));
     }
 
     private static Optional<Claimant> ownerAt(ClaimTable table, Instant now) {
-        return table.owner(KEY, now).map(ClaimTable.Owned::claimant);
+        return table.owner(KEY, now).map(ClaimTable.Ownership::claimant);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsExplorationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsExplorationTest.java
@@ -12,108 +12,109 @@
 import org.testng.annotations.Test;
 
 /**
- * Two callers' timeouts, a killed entry, a lost answer of the log and a paused entry meet in some
- * order that nobody thought of, and a warranty claim is paid twice. So all orders are tried, on the
- * real decisions: an entry that takes no step for a while is one that is paused.
+ * Explores interleavings of timeouts, lost answers, killed and paused entries, to find one in which
+ * a key runs twice. An entry is paused by taking no step.
  */
 public class ClaimsExplorationTest {
 
-    /** States of each exploration; {@code -Dfoxtail.explore.states=2000000} visits all of them. */
-    private static final int STATES = Integer.getInteger("foxtail.explore.states", 8_000);
+    /**
+     * Limit of states per exploration; {@code -Dfoxtail.explore.states=2000000} covers them all.
+     */
+    private static final int MAX_STATES = Integer.getInteger("foxtail.explore.states", 8_000);
 
     private static final int SEED = 4711;
     private static final int WALKS = 5_000;
-    private static final int LONGEST_WALK = 60;
+    private static final int MAX_WALK_STEPS = 60;
 
     private record Result(int states, int depth, boolean complete, String violation) {}
 
     @DataProvider
     public Object[][] budgets() {
         return new Object[][] {
-            {"lost answers", 2, new ClaimsWorld.Budget(2, 1, 0, 0, 0)},
-            {"two faults", 2, new ClaimsWorld.Budget(2, 2, 0, 0, 0)},
-            {"kill", 2, new ClaimsWorld.Budget(3, 0, 1, 0, 0)},
-            {"kill and fault", 2, new ClaimsWorld.Budget(2, 1, 1, 0, 0)},
-            {"deadlines", 2, new ClaimsWorld.Budget(3, 1, 0, 1, 0)},
-            {"shortened stream", 2, new ClaimsWorld.Budget(2, 0, 0, 0, 1)},
-            {"three entries", 3, new ClaimsWorld.Budget(3, 0, 0, 0, 0)},
-            {"three entries, kill", 3, new ClaimsWorld.Budget(2, 0, 1, 0, 0)},
+            {"lost answers", 2, new ClaimsModel.Budget(2, 1, 0, 0, 0)},
+            {"two faults", 2, new ClaimsModel.Budget(2, 2, 0, 0, 0)},
+            {"kill", 2, new ClaimsModel.Budget(3, 0, 1, 0, 0)},
+            {"kill and fault", 2, new ClaimsModel.Budget(2, 1, 1, 0, 0)},
+            {"deadlines", 2, new ClaimsModel.Budget(3, 1, 0, 1, 0)},
+            {"shortened stream", 2, new ClaimsModel.Budget(2, 0, 0, 0, 1)},
+            {"three entries", 3, new ClaimsModel.Budget(3, 0, 0, 0, 0)},
+            {"three entries, kill", 3, new ClaimsModel.Budget(2, 0, 1, 0, 0)},
         };
     }
 
     @Test(dataProvider = "budgets")
-    public void noOrderOfStepsRunsKeyTwiceOrTellsLies(
-            String name, int entries, ClaimsWorld.Budget budget) {
-        Result result = explore(entries, budget, ClaimsWorld.Guard.NONE, STATES);
-        System.out.println("explored " + name + ": " + result);
+    public void noInterleavingRunsKeyTwiceOrReportsWrongOutcome(
+            String scenario, int entries, ClaimsModel.Budget budget) {
+        Result result = explore(entries, budget, ClaimsModel.Guard.NONE, MAX_STATES);
+        System.out.println("explored " + scenario + ": " + result);
         assertEquals(result.violation(), "");
     }
 
-    /**
-     * Far deeper than a bounded search gets: seeded walks from the start to the end of a budget.
-     */
+    /** Reaches deeper states than the bounded search, by seeded random walks. */
     @Test(dataProvider = "budgets")
-    public void noRandomWalkRunsKeyTwiceOrTellsLies(
-            String name, int entries, ClaimsWorld.Budget budget) {
+    public void noRandomWalkRunsKeyTwiceOrReportsWrongOutcome(
+            String scenario, int entries, ClaimsModel.Budget budget) {
         Random random = new Random(SEED);
         long steps = 0;
         for (int walk = 0; walk < WALKS; walk++) {
-            ClaimsWorld world = new ClaimsWorld(entries, budget, ClaimsWorld.Guard.NONE);
-            List<ClaimsWorld.Step> path = new ArrayList<>();
-            while (path.size() < LONGEST_WALK && world.violation().isEmpty()) {
-                List<ClaimsWorld.Step> choices = world.steps();
-                ClaimsWorld.Step step = choices.get(random.nextInt(choices.size()));
-                world.perform(step);
+            ClaimsModel model = new ClaimsModel(entries, budget, ClaimsModel.Guard.NONE);
+            List<ClaimsModel.Step> path = new ArrayList<>();
+            while (path.size() < MAX_WALK_STEPS && model.violation().isEmpty()) {
+                List<ClaimsModel.Step> choices = model.steps();
+                ClaimsModel.Step step = choices.get(random.nextInt(choices.size()));
+                model.perform(step);
                 path.add(step);
             }
             steps += path.size();
-            assertEquals(world.violation(), "", "seed " + SEED + ", walk " + walk + ": " + path);
+            assertEquals(model.violation(), "", "seed " + SEED + ", walk " + walk + ": " + path);
         }
-        System.out.println("walked " + name + ": " + WALKS + " walks, " + steps + " steps");
+        System.out.println("walked " + scenario + ": " + WALKS + " walks, " + steps + " steps");
     }
 
     @DataProvider
     public Object[][] guards() {
         return new Object[][] {
-            {ClaimsWorld.Guard.INCARNATION, new ClaimsWorld.Budget(2, 1, 1, 0, 0)},
-            {ClaimsWorld.Guard.PEER_POSITIONS, new ClaimsWorld.Budget(2, 0, 0, 0, 1)},
-            {ClaimsWorld.Guard.QUARANTINE, new ClaimsWorld.Budget(2, 0, 0, 0, 1)},
-            {ClaimsWorld.Guard.ONE_KEY_FOR_EACH_REQUEST, new ClaimsWorld.Budget(2, 0, 0, 0, 0)},
+            {ClaimsModel.Guard.INCARNATION, new ClaimsModel.Budget(2, 1, 1, 0, 0)},
+            {ClaimsModel.Guard.PEER_POSITIONS, new ClaimsModel.Budget(2, 0, 0, 0, 1)},
+            {ClaimsModel.Guard.QUARANTINE, new ClaimsModel.Budget(2, 0, 0, 0, 1)},
+            {ClaimsModel.Guard.ONE_KEY_FOR_EACH_REQUEST, new ClaimsModel.Budget(2, 0, 0, 0, 0)},
         };
     }
 
     @Test(dataProvider = "guards")
-    public void objectsWhenOneGuardIsTakenAway(ClaimsWorld.Guard guard, ClaimsWorld.Budget budget) {
+    public void findsViolationWhenGuardIsDisabled(
+            ClaimsModel.Guard guard, ClaimsModel.Budget budget) {
         Result result = explore(2, budget, guard, 300_000);
         System.out.println("explored without " + guard + ": " + result);
         assertTrue(!result.violation().isEmpty());
     }
 
     /**
-     * Breadth first; each state is reached again by its steps, so the decisions need no copying.
+     * Searches breadth first. States are rebuilt by replaying their steps, since coordinators can't
+     * be copied.
      */
     private static Result explore(
-            int entries, ClaimsWorld.Budget budget, ClaimsWorld.Guard guard, int limit) {
+            int entries, ClaimsModel.Budget budget, ClaimsModel.Guard guard, int limit) {
         Set<Digest> seen = new HashSet<>();
-        List<List<ClaimsWorld.Step>> level = List.of(List.of());
+        List<List<ClaimsModel.Step>> level = List.of(List.of());
         int depth = 0;
         while (!level.isEmpty()) {
-            List<List<ClaimsWorld.Step>> next = new ArrayList<>();
-            for (List<ClaimsWorld.Step> path : level) {
-                ClaimsWorld reached = replay(entries, budget, guard, path);
-                for (ClaimsWorld.Step step : reached.steps()) {
-                    ClaimsWorld world =
+            List<List<ClaimsModel.Step>> next = new ArrayList<>();
+            for (List<ClaimsModel.Step> path : level) {
+                ClaimsModel reached = replay(entries, budget, guard, path);
+                for (ClaimsModel.Step step : reached.steps()) {
+                    ClaimsModel model =
                             reached == null ? replay(entries, budget, guard, path) : reached;
                     reached = null;
-                    world.perform(step);
-                    List<ClaimsWorld.Step> longer = new ArrayList<>(path);
-                    longer.add(step);
-                    if (!world.violation().isEmpty()) {
-                        String text = world.violation() + " by " + longer;
+                    model.perform(step);
+                    List<ClaimsModel.Step> extended = new ArrayList<>(path);
+                    extended.add(step);
+                    if (!model.violation().isEmpty()) {
+                        String text = model.violation() + " by " + extended;
                         return new Result(seen.size(), depth + 1, false, text);
                     }
-                    if (seen.add(Digest.ofTexts(world.describe()))) {
-                        next.add(longer);
+                    if (seen.add(Digest.ofTexts(model.describe()))) {
+                        next.add(extended);
                     }
                 }
                 if (seen.size() > limit) {
@@ -126,13 +127,13 @@
         return new Result(seen.size(), depth, true, "");
     }
 
-    private static ClaimsWorld replay(
+    private static ClaimsModel replay(
             int entries,
-            ClaimsWorld.Budget budget,
-            ClaimsWorld.Guard guard,
-            List<ClaimsWorld.Step> path) {
-        ClaimsWorld world = new ClaimsWorld(entries, budget, guard);
-        path.forEach(world::perform);
-        return world;
+            ClaimsModel.Budget budget,
+            ClaimsModel.Guard guard,
+            List<ClaimsModel.Step> path) {
+        ClaimsModel model = new ClaimsModel(entries, budget, guard);
+        path.forEach(model::perform);
+        return model;
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsFixture.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsFixture.java
@@ -13,11 +13,11 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.TeamId;
 
-/** Entries' real decisions over a stream, peers and backend servers that a test moves by hand. */
+/** Real coordinators over a stream, peers and backend servers that the test controls. */
 final class ClaimsFixture {
 
     static final Duration WINDOW = Duration.ofMinutes(10);
-    static final Duration PATIENCE = Duration.ofSeconds(5);
+    static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
     static final int MAX_KEYS = 40;
     static final int MAX_ANSWERS = 3;
 
@@ -26,11 +26,11 @@
     private static final KeyLimits LIMITS =
             new KeyLimits(WINDOW, Duration.ofSeconds(1), MAX_KEYS, MAX_ANSWERS, 10_000);
 
-    private final List<KeyCoordinator> mCores = new ArrayList<>();
-    private final List<Claimant> mNames = new ArrayList<>();
-    private final List<ClaimsPage.Stored> mStream = new ArrayList<>();
+    private final List<KeyCoordinator> mCoordinators = new ArrayList<>();
+    private final List<Claimant> mClaimants = new ArrayList<>();
+    private final List<ClaimsPage.StoredRecord> mStream = new ArrayList<>();
     private final Map<Long, KeyedRequest> mRequests = new HashMap<>();
-    private final Map<Long, String> mTexts = new HashMap<>();
+    private final Map<Long, String> mKeyTexts = new HashMap<>();
     private final Map<Long, KeyedAnswer> mReplies = new HashMap<>();
     private final Map<String, Long> mRunning = new HashMap<>();
     private final List<String> mExecutions = new ArrayList<>();
@@ -46,8 +46,8 @@
     ClaimsFixture(int entries, boolean newDeployment) {
         mNewDeployment = newDeployment;
         for (int i = 0; i < entries; i++) {
-            mCores.add(null);
-            mNames.add(null);
+            mCoordinators.add(null);
+            mClaimants.add(null);
             replace(i);
         }
     }
@@ -56,26 +56,26 @@
         return KeyedAnswer.ok(200, "text/plain", body.getBytes(StandardCharsets.UTF_8));
     }
 
-    KeyCoordinator core(int entry) {
-        return mCores.get(entry);
+    KeyCoordinator coordinator(int entry) {
+        return mCoordinators.get(entry);
     }
 
     Instant now() {
         return mNow;
     }
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         mNow = mNow.plus(time);
-        for (int i = 0; i < mCores.size(); i++) {
-            perform(i, core(i).tick(mNow));
+        for (int i = 0; i < mCoordinators.size(); i++) {
+            perform(i, coordinator(i).tick(mNow));
         }
     }
 
-    /** Starts an entry anew, under the same name. */
+    /** Replaces an entry by a new process under the same node name. */
     void replace(int entry) {
         Claimant name = new Claimant(NodeId.of("entry-" + entry), mNextIncarnation++);
-        mNames.set(entry, name);
-        mCores.set(entry, new KeyCoordinator(name, LIMITS, mNewDeployment));
+        mClaimants.set(entry, name);
+        mCoordinators.set(entry, new KeyCoordinator(name, LIMITS, mNewDeployment));
     }
 
     long submit(int entry, String key) {
@@ -87,7 +87,7 @@
     }
 
     long submitIssued(int entry, int issuer, String text) {
-        IssuedKey key = new IssuedKey(mNames.get(issuer), 1, mNow.plus(WINDOW));
+        IssuedKey key = new IssuedKey(mClaimants.get(issuer), 1, mNow.plus(WINDOW));
         return submitIssued(entry, key, text);
     }
 
@@ -96,66 +96,66 @@
     }
 
     IssuedKey issuedBy(int entry) {
-        return new IssuedKey(mNames.get(entry), 1, mNow.plus(WINDOW));
+        return new IssuedKey(mClaimants.get(entry), 1, mNow.plus(WINDOW));
     }
 
     void submitAndRun(int entry, String key, KeyedAnswer answer) {
         submit(entry, key);
         flush(entry);
         readAll();
-        finish(entry, key, answer);
+        completeRun(entry, key, answer);
     }
 
-    void finish(int entry, String key, KeyedAnswer answer) {
-        perform(entry, core(entry).ran(mRunning.remove(entry + ":" + key), answer));
+    void completeRun(int entry, String key, KeyedAnswer answer) {
+        perform(entry, coordinator(entry).runCompleted(mRunning.remove(entry + ":" + key), answer));
     }
 
-    /** Appends what is queued; returns how many appends that took. */
+    /** Appends the queued claims; returns the number of appends. */
     int flush(int entry) {
-        List<Action> actions = core(entry).flush(mNow);
+        List<Action> actions = coordinator(entry).flush(mNow);
         perform(entry, actions);
         return actions.size();
     }
 
     void flushAndLoseAnswer(int entry) {
-        for (Action action : core(entry).flush(mNow)) {
+        for (Action action : coordinator(entry).flush(mNow)) {
             Action.Append append = (Action.Append) action;
             store(append.id(), append.batch());
-            core(entry).appendLost(append.id());
+            coordinator(entry).appendUncertain(append.id());
         }
     }
 
-    void flushIntoNowhere(int entry) {
-        for (Action action : core(entry).flush(mNow)) {
-            core(entry).appendLost(((Action.Append) action).id());
+    void flushAndLoseAppend(int entry) {
+        for (Action action : coordinator(entry).flush(mNow)) {
+            coordinator(entry).appendUncertain(((Action.Append) action).id());
         }
     }
 
-    void readFails(int entry) {
-        perform(entry, core(entry).readFailed(mNow));
+    void failRead(int entry) {
+        perform(entry, coordinator(entry).readFailed(mNow));
     }
 
     void readAll() {
-        for (int i = 0; i < mCores.size(); i++) {
+        for (int i = 0; i < mCoordinators.size(); i++) {
             read(i);
         }
     }
 
     void read(int entry) {
-        perform(entry, core(entry).read(page(entry), mNow));
+        perform(entry, coordinator(entry).pageRead(page(entry), mNow));
     }
 
-    /** What a read of an entry returns now. */
+    /** Returns the page that an entry would read now. */
     ClaimsPage page(int entry) {
-        long from = core(entry).readFrom();
-        List<ClaimsPage.Stored> records =
+        long from = coordinator(entry).nextReadOffset();
+        List<ClaimsPage.StoredRecord> records =
                 from > mStream.size() ? List.of() : mStream.subList((int) from - 1, mStream.size());
-        return new ClaimsPage(from, 1, end(), records);
+        return new ClaimsPage(from, 1, endOffset(), records);
     }
 
     void catchUp() {
         for (int round = 0; round < 4; round++) {
-            for (int i = 0; i < mCores.size(); i++) {
+            for (int i = 0; i < mCoordinators.size(); i++) {
                 catchUp(i);
             }
         }
@@ -163,22 +163,22 @@
 
     void catchUp(int entry) {
         for (int round = 0; round < 4; round++) {
-            if (core(entry).positionsNeeded()) {
-                List<Position> others = new ArrayList<>();
-                mCores.stream()
-                        .filter(c -> c != core(entry))
-                        .forEach(c -> others.add(c.position()));
-                core(entry).positions(others);
+            if (coordinator(entry).positionsNeeded()) {
+                List<Position> peers = new ArrayList<>();
+                mCoordinators.stream()
+                        .filter(c -> c != coordinator(entry))
+                        .forEach(c -> peers.add(c.position()));
+                coordinator(entry).updatePeerPositions(peers);
             }
             read(entry);
         }
     }
 
-    long end() {
+    long endOffset() {
         return mStream.size() + 1L;
     }
 
-    void loseRecordsFrom(long offset) {
+    void truncateFrom(long offset) {
         mStream.subList((int) offset - 1, mStream.size()).clear();
     }
 
@@ -193,26 +193,27 @@
     private long submit(
             int entry, RequestKey key, Optional<IssuedKey> issued, String text, String body) {
         long token = mNextToken++;
-        Fingerprint print =
+        Fingerprint fingerprint =
                 Fingerprint.of(TEAM, SERVICE, "POST", "/", body.getBytes(StandardCharsets.UTF_8));
-        KeyedRequest request = new KeyedRequest(token, key, print, issued, mNow.plus(PATIENCE));
+        KeyedRequest request =
+                new KeyedRequest(token, key, fingerprint, issued, mNow.plus(REQUEST_TIMEOUT));
         mRequests.put(token, request);
-        mTexts.put(token, text);
-        perform(entry, core(entry).submit(request, mNow));
+        mKeyTexts.put(token, text);
+        perform(entry, coordinator(entry).submit(request, mNow));
         return token;
     }
 
     private void store(RecordId id, ClaimBatch batch) {
-        mStream.add(new ClaimsPage.Stored(end(), id, Optional.of(batch)));
+        mStream.add(new ClaimsPage.StoredRecord(endOffset(), id, Optional.of(batch)));
     }
 
     private void perform(int entry, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Action.Append append) {
                 store(append.id(), append.batch());
-                core(entry).appended(append.id());
+                coordinator(entry).appendSucceeded(append.id());
             } else if (action instanceof Action.Run run) {
-                String text = entry + ":" + mTexts.get(run.token());
+                String text = entry + ":" + mKeyTexts.get(run.token());
                 mExecutions.add(text);
                 mRunning.put(text, run.token());
             } else if (action instanceof Action.HandOver handOver) {
@@ -224,12 +225,12 @@
     }
 
     private void handOver(Action.HandOver handOver) {
-        int owner = mNames.indexOf(handOver.owner());
+        int owner = mClaimants.indexOf(handOver.owner());
         if (owner < 0) {
             mReplies.put(handOver.token(), Refusal.OWNER_GONE.answer());
             return;
         }
         KeyedRequest request = mRequests.get(handOver.token());
-        perform(owner, core(owner).handedOver(request, handOver.owner(), mNow));
+        perform(owner, coordinator(owner).submitHandedOver(request, handOver.owner(), mNow));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsWorld.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/ClaimsModel.java
@@ -14,18 +14,18 @@
 import org.foxtailplank.id.TeamId;
 import org.foxtailplank.request.Outcome;
 
-/** Entries' real decisions about one key, moved one step at a time in any order. */
-final class ClaimsWorld {
+/** A model that runs real coordinators for one key, one step at a time in any order. */
+final class ClaimsModel {
 
-    /** What can happen next. */
+    /** Kinds of steps. */
     enum Kind {
         SUBMIT,
         FLUSH,
         APPEND,
         APPEND_AND_LOSE_ANSWER,
         LOSE_APPEND,
-        LAND_LATE,
-        REFUSE_APPEND,
+        APPLY_LATE,
+        FAIL_APPEND,
         READ,
         DELIVER_PAGE,
         FAIL_READ,
@@ -38,29 +38,30 @@
         KILL,
         PASS_DEADLINES,
         TICK,
-        CUT
+        TRUNCATE
     }
 
     /**
      * One step.
      *
-     * @param kind what happens
-     * @param index entry, or place in the list that it concerns
+     * @param kind kind of the step
+     * @param index index of the entry, append, attempt or handover; the new length for {@code
+     *     TRUNCATE}
      */
     record Step(Kind kind, int index) {}
 
     /**
-     * What may go wrong in one exploration.
+     * The remaining requests and faults of one exploration.
      *
-     * @param submits requests of the key, to any entries
+     * @param submits requests with the key, to any entry
      * @param faults lost, refused or failed calls
-     * @param kills entries replaced
-     * @param deadlines whether all callers' deadlines may pass
-     * @param cuts times that the stream comes back shortened
+     * @param kills replacements of an entry process
+     * @param deadlines times that the deadlines of all callers pass
+     * @param truncations times that the stream loses records
      */
-    record Budget(int submits, int faults, int kills, int deadlines, int cuts) {}
+    record Budget(int submits, int faults, int kills, int deadlines, int truncations) {}
 
-    /** A guard that a test takes away, to see the exploration object. */
+    /** Safeguards that tests disable to verify that the exploration detects the violation. */
     enum Guard {
         NONE,
         INCARNATION,
@@ -69,60 +70,61 @@
         ONE_KEY_FOR_EACH_REQUEST
     }
 
-    private record Sending(int entry, ClaimantLife life, Action.Append append, boolean late) {}
+    private record PendingAppend(
+            int entry, EntryProcess process, Action.Append append, boolean late) {}
 
-    private record ClaimantLife(Claimant name, KeyCoordinator core) {}
+    private record EntryProcess(Claimant claimant, KeyCoordinator coordinator) {}
 
-    private record Attempt(ClaimantLife life, int entry, long token, boolean sent) {}
+    private record Attempt(EntryProcess process, int entry, long token, boolean sent) {}
 
     private static final Duration WINDOW = Duration.ofMinutes(10);
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
     private static final KeyLimits LIMITS =
             new KeyLimits(WINDOW, Duration.ofSeconds(1), 100, 100, 10_000);
-    private static final Fingerprint PRINT = new Fingerprint(Digest.ofTexts("body"));
+    private static final Fingerprint FINGERPRINT = new Fingerprint(Digest.ofTexts("body"));
 
     private static final RequestKey KEY = keyOf("k");
 
-    private final Guard mGuardOff;
-    private final List<ClaimantLife> mEntries = new ArrayList<>();
-    private final List<ClaimsPage.Stored> mStream = new ArrayList<>();
-    private final List<Sending> mSending = new ArrayList<>();
+    private final Guard mDisabledGuard;
+    private final List<EntryProcess> mEntries = new ArrayList<>();
+    private final List<ClaimsPage.StoredRecord> mStream = new ArrayList<>();
+    private final List<PendingAppend> mAppends = new ArrayList<>();
     private final List<Attempt> mAttempts = new ArrayList<>();
     private final List<Action.HandOver> mHandOvers = new ArrayList<>();
     private final TreeMap<Long, KeyedRequest> mRequests = new TreeMap<>();
     private final TreeMap<Long, String> mReplies = new TreeMap<>();
     private final TreeMap<Integer, ClaimsPage> mPages = new TreeMap<>();
-    private final Set<Integer> mBroken = new TreeSet<>();
-    private final Set<Integer> mUnticked = new TreeSet<>();
+    private final Set<Integer> mReadMustFail = new TreeSet<>();
+    private final Set<Integer> mTickDue = new TreeSet<>();
     private final TreeSet<Long> mExecuted = new TreeSet<>();
     private Instant mNow = Instant.parse("2026-12-02T08:00:00Z");
     private Budget mBudget;
-    private int mLives;
-    private boolean mCut;
+    private int mProcesses;
+    private boolean mTruncated;
     private String mViolation = "";
 
-    ClaimsWorld(int entries, Budget budget, Guard guardOff) {
+    ClaimsModel(int entries, Budget budget, Guard disabledGuard) {
         mBudget = budget;
-        mGuardOff = guardOff;
+        mDisabledGuard = disabledGuard;
         for (int i = 0; i < entries; i++) {
-            mEntries.add(live(i));
+            mEntries.add(startProcess(i));
         }
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < entries; i++) {
                 read(i, Integer.MAX_VALUE);
-                deliver(i);
-                if (!mSending.isEmpty()) {
+                deliverPage(i);
+                if (!mAppends.isEmpty()) {
                     append(0);
                 }
             }
         }
         for (int i = 0; i < entries; i++) {
             read(i, Integer.MAX_VALUE);
-            deliver(i);
+            deliverPage(i);
         }
     }
 
-    /** What was promised and not kept; empty when all is well. */
+    /** Returns the description of a violated guarantee; empty if there is none. */
     String violation() {
         return mViolation;
     }
@@ -131,19 +133,19 @@
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < mEntries.size(); i++) {
             add(steps, Kind.SUBMIT, i, mBudget.submits() > 0);
-            add(steps, Kind.FLUSH, i, core(i).pendingClaims() > 0);
-            add(steps, Kind.READ, i, !mBroken.contains(i) && !mPages.containsKey(i));
+            add(steps, Kind.FLUSH, i, coordinator(i).pendingClaims() > 0);
+            add(steps, Kind.READ, i, !mReadMustFail.contains(i) && !mPages.containsKey(i));
             add(steps, Kind.DELIVER_PAGE, i, mPages.containsKey(i));
-            add(steps, Kind.FAIL_READ, i, mBroken.contains(i) || mBudget.faults() > 0);
+            add(steps, Kind.FAIL_READ, i, mReadMustFail.contains(i) || mBudget.faults() > 0);
             add(steps, Kind.KILL, i, mBudget.kills() > 0);
-            add(steps, Kind.TICK, i, mUnticked.contains(i));
+            add(steps, Kind.TICK, i, mTickDue.contains(i));
         }
-        for (int i = 0; i < mSending.size(); i++) {
-            boolean late = mSending.get(i).late();
+        for (int i = 0; i < mAppends.size(); i++) {
+            boolean late = mAppends.get(i).late();
             add(steps, Kind.APPEND, i, !late);
-            add(steps, Kind.LAND_LATE, i, late);
+            add(steps, Kind.APPLY_LATE, i, late);
             for (Kind k :
-                    List.of(Kind.APPEND_AND_LOSE_ANSWER, Kind.LOSE_APPEND, Kind.REFUSE_APPEND)) {
+                    List.of(Kind.APPEND_AND_LOSE_ANSWER, Kind.LOSE_APPEND, Kind.FAIL_APPEND)) {
                 add(steps, k, i, !late && mBudget.faults() > 0);
             }
         }
@@ -160,7 +162,7 @@
         }
         add(steps, Kind.PASS_DEADLINES, 0, mBudget.deadlines() > 0 && !mRequests.isEmpty());
         for (int length = 0; length < mStream.size(); length++) {
-            add(steps, Kind.CUT, length, mBudget.cuts() > 0);
+            add(steps, Kind.TRUNCATE, length, mBudget.truncations() > 0);
         }
         return steps;
     }
@@ -169,14 +171,14 @@
         int i = step.index();
         switch (step.kind()) {
             case SUBMIT -> submit(i);
-            case FLUSH -> act(i, core(i).flush(mNow));
+            case FLUSH -> queueActions(i, coordinator(i).flush(mNow));
             case APPEND -> append(i);
-            case APPEND_AND_LOSE_ANSWER -> loseAnswer(i, true);
-            case LOSE_APPEND -> loseAnswer(i, false);
-            case LAND_LATE -> store(mSending.remove(i).append());
-            case REFUSE_APPEND -> refuse(i);
+            case APPEND_AND_LOSE_ANSWER -> loseAppendAnswer(i, true);
+            case LOSE_APPEND -> loseAppendAnswer(i, false);
+            case APPLY_LATE -> store(mAppends.remove(i).append());
+            case FAIL_APPEND -> failAppend(i);
             case READ -> read(i, 1);
-            case DELIVER_PAGE -> deliver(i);
+            case DELIVER_PAGE -> deliverPage(i);
             case FAIL_READ -> failRead(i);
             case SEND -> send(i);
             case ANSWER_OK -> answer(i, ok(mAttempts.get(i).token()));
@@ -187,32 +189,34 @@
             case KILL -> kill(i);
             case PASS_DEADLINES -> passDeadlines();
             case TICK -> tick(i);
-            case CUT -> cut(i);
-            default -> throw new IllegalStateException("no such step");
+            case TRUNCATE -> truncate(i);
+            default -> throw new IllegalStateException("unexpected step");
         }
         checkNoFalseLoss();
     }
 
     private void checkNoFalseLoss() {
-        boolean believed = mEntries.stream().anyMatch(e -> e.core().position().lostEra() > 0);
-        if (believed && !mCut) {
-            mViolation = "an entry believes that records were lost, and none were";
+        boolean lossReported =
+                mEntries.stream().anyMatch(e -> e.coordinator().position().lostEra() > 0);
+        if (lossReported && !mTruncated) {
+            mViolation = "an entry reports lost records, but none were lost";
         }
     }
 
-    /** The state in words. */
+    /** Returns the state as text. */
     String describe() {
         StringBuilder out = new StringBuilder();
-        mEntries.forEach(e -> out.append(e.name().incarnation()).append(e.core().describe()));
+        mEntries.forEach(
+                e -> out.append(e.claimant().incarnation()).append(e.coordinator().describe()));
         mStream.forEach(s -> out.append(s.id()));
-        mSending.forEach(s -> out.append(s.append().id()).append(s.late()));
+        mAppends.forEach(s -> out.append(s.append().id()).append(s.late()));
         mAttempts.forEach(a -> out.append('a').append(a.token()).append(a.sent()));
         mHandOvers.forEach(h -> out.append('h').append(h.token()).append(h.owner()));
-        mPages.forEach((i, p) -> out.append(i).append(p.from()).append(p.end()));
+        mPages.forEach((i, p) -> out.append(i).append(p.fromOffset()).append(p.endOffset()));
         mPages.values().forEach(p -> p.records().forEach(r -> out.append(r.id())));
         return out.append(mReplies)
-                .append(mBroken)
-                .append(mUnticked)
+                .append(mReadMustFail)
+                .append(mTickDue)
                 .append(mExecuted)
                 .append(mBudget)
                 .append(mNow)
@@ -220,70 +224,72 @@
     }
 
     private void submit(int entry) {
-        spend(1, 0, 0, 0, 0);
+        consumeBudget(1, 0, 0, 0, 0);
         long token = mRequests.size() + 1L;
-        RequestKey key = mGuardOff == Guard.ONE_KEY_FOR_EACH_REQUEST ? keyOf("k" + token) : KEY;
+        RequestKey key =
+                mDisabledGuard == Guard.ONE_KEY_FOR_EACH_REQUEST ? keyOf("k" + token) : KEY;
         KeyedRequest request =
-                new KeyedRequest(token, key, PRINT, Optional.empty(), mNow.plus(PATIENCE));
+                new KeyedRequest(
+                        token, key, FINGERPRINT, Optional.empty(), mNow.plus(REQUEST_TIMEOUT));
         mRequests.put(token, request);
-        act(entry, core(entry).submit(request, mNow));
+        queueActions(entry, coordinator(entry).submit(request, mNow));
     }
 
     private void append(int index) {
-        Sending s = mSending.remove(index);
+        PendingAppend s = mAppends.remove(index);
         store(s.append());
-        s.life().core().appended(s.append().id());
+        s.process().coordinator().appendSucceeded(s.append().id());
     }
 
-    private void loseAnswer(int index, boolean stored) {
-        spend(0, 1, 0, 0, 0);
-        Sending s = mSending.remove(index);
-        s.life().core().appendLost(s.append().id());
+    private void loseAppendAnswer(int index, boolean stored) {
+        consumeBudget(0, 1, 0, 0, 0);
+        PendingAppend s = mAppends.remove(index);
+        s.process().coordinator().appendUncertain(s.append().id());
         if (stored) {
             store(s.append());
         } else {
-            mSending.add(new Sending(s.entry(), s.life(), s.append(), true));
+            mAppends.add(new PendingAppend(s.entry(), s.process(), s.append(), true));
         }
     }
 
-    private void refuse(int index) {
-        spend(0, 1, 0, 0, 0);
-        Sending s = mSending.remove(index);
-        act(s.entry(), s.life().core().appendRefused(s.append().id()));
+    private void failAppend(int index) {
+        consumeBudget(0, 1, 0, 0, 0);
+        PendingAppend s = mAppends.remove(index);
+        queueActions(s.entry(), s.process().coordinator().appendFailed(s.append().id()));
     }
 
     private void read(int entry, int limit) {
-        KeyCoordinator core = core(entry);
-        if (core.positionsNeeded()) {
-            List<Position> others = new ArrayList<>();
-            if (mGuardOff != Guard.PEER_POSITIONS) {
+        KeyCoordinator coordinator = coordinator(entry);
+        if (coordinator.positionsNeeded()) {
+            List<Position> peers = new ArrayList<>();
+            if (mDisabledGuard != Guard.PEER_POSITIONS) {
                 mEntries.stream()
-                        .filter(e -> e.core() != core)
-                        .forEach(e -> others.add(e.core().position()));
+                        .filter(e -> e.coordinator() != coordinator)
+                        .forEach(e -> peers.add(e.coordinator().position()));
             }
-            core.positions(others);
+            coordinator.updatePeerPositions(peers);
         }
-        int from = (int) core.readFrom() - 1;
+        int from = (int) coordinator.nextReadOffset() - 1;
         int to = Math.min(mStream.size(), from + Math.min(limit, mStream.size()) + 1);
-        List<ClaimsPage.Stored> page = from >= to ? List.of() : mStream.subList(from, to);
+        List<ClaimsPage.StoredRecord> page = from >= to ? List.of() : mStream.subList(from, to);
         mPages.put(entry, new ClaimsPage(from + 1L, 1, mStream.size() + 1L, page));
     }
 
-    private void deliver(int entry) {
-        act(entry, core(entry).read(mPages.remove(entry), mNow));
+    private void deliverPage(int entry) {
+        queueActions(entry, coordinator(entry).pageRead(mPages.remove(entry), mNow));
     }
 
     private void failRead(int entry) {
         mPages.remove(entry);
-        if (!mBroken.remove(entry)) {
-            spend(0, 1, 0, 0, 0);
+        if (!mReadMustFail.remove(entry)) {
+            consumeBudget(0, 1, 0, 0, 0);
         }
-        act(entry, core(entry).readFailed(mNow));
+        queueActions(entry, coordinator(entry).readFailed(mNow));
     }
 
     private void send(int index) {
         Attempt a = mAttempts.get(index);
-        mAttempts.set(index, new Attempt(a.life(), a.entry(), a.token(), true));
+        mAttempts.set(index, new Attempt(a.process(), a.entry(), a.token(), true));
         mExecuted.add(a.token());
         if (mExecuted.size() > 1) {
             mViolation = "the key ran for the requests " + mExecuted;
@@ -292,19 +298,19 @@
 
     private void answer(int index, KeyedAnswer answer) {
         Attempt a = mAttempts.remove(index);
-        act(a.entry(), a.life().core().ran(a.token(), answer));
+        queueActions(a.entry(), a.process().coordinator().runCompleted(a.token(), answer));
     }
 
     private void answerWithFault(int index, KeyedAnswer answer) {
-        spend(0, 1, 0, 0, 0);
+        consumeBudget(0, 1, 0, 0, 0);
         answer(index, answer);
     }
 
     private void handOver(Action.HandOver h) {
         for (int i = 0; i < mEntries.size(); i++) {
-            if (mEntries.get(i).name().equals(h.owner())) {
+            if (mEntries.get(i).claimant().equals(h.owner())) {
                 KeyedRequest request = mRequests.get(h.token());
-                act(i, core(i).handedOver(request, h.owner(), mNow));
+                queueActions(i, coordinator(i).submitHandedOver(request, h.owner(), mNow));
                 return;
             }
         }
@@ -312,57 +318,57 @@
     }
 
     private void loseHandOver(int index) {
-        spend(0, 1, 0, 0, 0);
+        consumeBudget(0, 1, 0, 0, 0);
         reply(mHandOvers.remove(index).token(), Refusal.OWNER_GONE.answer());
     }
 
     private void kill(int entry) {
-        spend(0, 0, 1, 0, 0);
-        KeyCoordinator dead = core(entry);
-        mEntries.set(entry, live(entry));
+        consumeBudget(0, 0, 1, 0, 0);
+        KeyCoordinator killed = coordinator(entry);
+        mEntries.set(entry, startProcess(entry));
         mPages.remove(entry);
-        // What was sent goes on without its sender; what was only decided dies with it.
-        mAttempts.removeIf(a -> a.life().core() == dead);
-        mSending.replaceAll(
+        // Calls in flight complete without their sender; attempts not yet sent are dropped.
+        mAttempts.removeIf(a -> a.process().coordinator() == killed);
+        mAppends.replaceAll(
                 s ->
-                        s.life().core() == dead
-                                ? new Sending(s.entry(), s.life(), s.append(), true)
+                        s.process().coordinator() == killed
+                                ? new PendingAppend(s.entry(), s.process(), s.append(), true)
                                 : s);
     }
 
     private void passDeadlines() {
-        spend(0, 0, 0, 1, 0);
-        mNow = mNow.plus(PATIENCE);
+        consumeBudget(0, 0, 0, 1, 0);
+        mNow = mNow.plus(REQUEST_TIMEOUT);
         for (int i = 0; i < mEntries.size(); i++) {
-            mUnticked.add(i);
+            mTickDue.add(i);
         }
     }
 
     private void tick(int entry) {
-        mUnticked.remove(entry);
-        act(entry, core(entry).tick(mNow));
+        mTickDue.remove(entry);
+        queueActions(entry, coordinator(entry).tick(mNow));
     }
 
-    private void cut(int length) {
-        spend(0, 0, 0, 0, 1);
-        mCut = true;
+    private void truncate(int length) {
+        consumeBudget(0, 0, 0, 0, 1);
+        mTruncated = true;
         mStream.subList(length, mStream.size()).clear();
-        // Assumed of the platform: calls under way break when records are lost. An entry that is
-        // paused over the loss, with an older page already received, is not covered; see
+        // Assumes that calls in flight fail when the platform loses records. An entry paused during
+        // the loss with an older page already received is not covered; see
         // docs/design/idempotency.md.
         mPages.clear();
         for (int i = 0; i < mEntries.size(); i++) {
-            mBroken.add(i);
+            mReadMustFail.add(i);
         }
     }
 
-    private void act(int entry, List<Action> actions) {
-        ClaimantLife life = mEntries.get(entry);
+    private void queueActions(int entry, List<Action> actions) {
+        EntryProcess process = mEntries.get(entry);
         for (Action action : actions) {
             if (action instanceof Action.Append append) {
-                mSending.add(new Sending(entry, life, append, false));
+                mAppends.add(new PendingAppend(entry, process, append, false));
             } else if (action instanceof Action.Run run) {
-                mAttempts.add(new Attempt(life, entry, run.token(), false));
+                mAttempts.add(new Attempt(process, entry, run.token(), false));
             } else if (action instanceof Action.HandOver handOver) {
                 mHandOvers.add(handOver);
             } else if (action instanceof Action.Reply reply) {
@@ -373,26 +379,26 @@
 
     private void reply(long token, KeyedAnswer answer) {
         String text = answer.outcome() + " " + new String(answer.body(), StandardCharsets.UTF_8);
-        String before = mReplies.put(token, text);
+        String previous = mReplies.put(token, text);
         boolean ran = mExecuted.contains(token);
         if (answer.outcome() == Outcome.NOT_RUN && ran) {
-            mViolation = "request " + token + " ran and was told not-run";
+            mViolation = "request " + token + " ran and was reported as not-run";
         }
-        if (before != null) {
+        if (previous != null) {
             mViolation = "request " + token + " was answered twice";
         }
-        boolean swapped =
+        boolean wrongAnswer =
                 answer.outcome() == Outcome.OK
                         && !text.endsWith(" " + mExecuted.stream().findFirst().orElse(-1L));
-        if (swapped) {
-            mViolation = "request " + token + " got another answer: " + text;
+        if (wrongAnswer) {
+            mViolation = "request " + token + " got the answer of another request: " + text;
         }
     }
 
     private void store(Action.Append append) {
         ClaimBatch b = append.batch();
         boolean maskLoss =
-                mGuardOff == Guard.QUARANTINE && b.opening() == ClaimBatch.Opening.AFTER_LOSS;
+                mDisabledGuard == Guard.QUARANTINE && b.opening() == ClaimBatch.Opening.AFTER_LOSS;
         ClaimBatch stored =
                 maskLoss
                         ? new ClaimBatch(
@@ -402,28 +408,29 @@
                                 Instant.EPOCH,
                                 b.claims())
                         : b;
-        mStream.add(new ClaimsPage.Stored(mStream.size() + 1L, append.id(), Optional.of(stored)));
+        mStream.add(
+                new ClaimsPage.StoredRecord(mStream.size() + 1L, append.id(), Optional.of(stored)));
     }
 
-    private ClaimantLife live(int entry) {
-        mLives++;
-        long incarnation = mGuardOff == Guard.INCARNATION ? entry : mLives;
+    private EntryProcess startProcess(int entry) {
+        mProcesses++;
+        long incarnation = mDisabledGuard == Guard.INCARNATION ? entry : mProcesses;
         Claimant name = new Claimant(NodeId.of("entry-" + entry), incarnation);
-        return new ClaimantLife(name, new KeyCoordinator(name, LIMITS, true));
+        return new EntryProcess(name, new KeyCoordinator(name, LIMITS, true));
     }
 
-    private KeyCoordinator core(int entry) {
-        return mEntries.get(entry).core();
+    private KeyCoordinator coordinator(int entry) {
+        return mEntries.get(entry).coordinator();
     }
 
-    private void spend(int submits, int faults, int kills, int deadlines, int cuts) {
+    private void consumeBudget(int submits, int faults, int kills, int deadlines, int truncations) {
         mBudget =
                 new Budget(
                         mBudget.submits() - submits,
                         mBudget.faults() - faults,
                         mBudget.kills() - kills,
                         mBudget.deadlines() - deadlines,
-                        mBudget.cuts() - cuts);
+                        mBudget.truncations() - truncations);
     }
 
     private static RequestKey keyOf(String text) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/HashOwnershipTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/HashOwnershipTest.java
@@ -11,14 +11,14 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Why keys are not owned by a hash over the members under leases: a sketch of what goes wrong. */
+/** Demonstrates why key ownership by hash and lease was rejected: a key may run twice. */
 public class HashOwnershipTest {
 
     private static final int KEYS = 10_000;
     private static final Duration LEASE = Duration.ofSeconds(2);
 
-    /** A member that runs a key while its lease lasts, and checks that before it sends. */
-    private static final class Holder {
+    /** A member that checks its lease before it runs a key. */
+    private static final class LeaseHolder {
         private Instant mUntil;
 
         private boolean mayRun(Instant now) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** A member was replaced, and not everybody has heard of it: two views, two owners of a key. */
+    /** Members with different membership views assign a key to different owners. */
     @Test
     public void membersWithDifferentViewsSendKeysToDifferentOwners() {
         List<String> before = names(9);
@@ -41,19 +41,18 @@
     }
 
     /**
-     * The holder of a lease checks it, is paused before it sends, and goes on after its successor
-     * has run the key. No check of a clock before the send closes that gap, and backend servers
-     * know no fencing tokens.
+     * A lease holder paused between its check and the send runs a key after its successor did.
+     * Backend servers support no fencing tokens.
      */
     @Test
     public void pausedHolderRunsKeyThatItsSuccessorRan() {
         Instant now = Instant.parse("2026-12-02T08:00:00Z");
         List<String> executions = new ArrayList<>();
-        Holder first = new Holder();
+        LeaseHolder first = new LeaseHolder();
         first.mUntil = now.plus(LEASE);
         boolean checked = first.mayRun(now);
         Instant later = now.plus(LEASE);
-        Holder successor = new Holder();
+        LeaseHolder successor = new LeaseHolder();
         successor.mUntil = later.plus(LEASE);
         if (successor.mayRun(later)) {
             executions.add("successor");
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/KeyCoordinatorTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/KeyCoordinatorTest.java
@@ -12,277 +12,274 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One to three entries over a stream that a test controls. */
+/** Tests coordinators of one or two entries over a stream controlled by the test. */
 public class KeyCoordinatorTest {
 
-    private ClaimsFixture mEntries;
+    private ClaimsFixture mFixture;
 
     @BeforeMethod
     public void startTwoEntries() {
-        mEntries = new ClaimsFixture(2);
-        mEntries.catchUp();
+        mFixture = new ClaimsFixture(2);
+        mFixture.catchUp();
     }
 
     @Test
     public void runsTheKeyAtTheEntryWhoseClaimIsFirst() {
-        mEntries.submit(0, "k");
-        mEntries.submit(1, "k");
-        mEntries.flush(1);
-        mEntries.flush(0);
-        mEntries.readAll();
-        assertEquals(mEntries.executions(), List.of("1:k"));
+        mFixture.submit(0, "k");
+        mFixture.submit(1, "k");
+        mFixture.flush(1);
+        mFixture.flush(0);
+        mFixture.readAll();
+        assertEquals(mFixture.executions(), List.of("1:k"));
     }
 
     @Test
-    public void givesTheFirstAnswerAgainToWhoeverAsksAnywhere() {
-        mEntries.submitAndRun(0, "k", ClaimsFixture.ok("first"));
-        long again = mEntries.submit(1, "k");
-        assertEquals(mEntries.replyTo(again).status(), 200);
-        assertEquals(text(mEntries.replyTo(again)), "first");
-        assertEquals(mEntries.executions().size(), 1);
+    public void returnsTheFirstAnswerAtEveryEntry() {
+        mFixture.submitAndRun(0, "k", ClaimsFixture.ok("first"));
+        long again = mFixture.submit(1, "k");
+        assertEquals(mFixture.replyTo(again).status(), 200);
+        assertEquals(text(mFixture.replyTo(again)), "first");
+        assertEquals(mFixture.executions().size(), 1);
     }
 
     @Test
-    public void refusesKeyReusedForAnotherRequestAndSaysSo() {
-        mEntries.submitAndRun(0, "k", ClaimsFixture.ok("first"));
-        long here = mEntries.submit(0, "k", "other body");
-        long there = mEntries.submit(1, "k", "other body");
-        assertEquals(mEntries.replyTo(here).status(), 422);
-        assertEquals(mEntries.replyTo(there).status(), 422);
-        assertEquals(mEntries.replyTo(there).outcome(), Outcome.NOT_RUN);
+    public void refusesKeyReusedForAnotherRequest() {
+        mFixture.submitAndRun(0, "k", ClaimsFixture.ok("first"));
+        long here = mFixture.submit(0, "k", "other body");
+        long there = mFixture.submit(1, "k", "other body");
+        assertEquals(mFixture.replyTo(here).status(), 422);
+        assertEquals(mFixture.replyTo(there).status(), 422);
+        assertEquals(mFixture.replyTo(there).outcome(), Outcome.NOT_RUN);
     }
 
     @Test
     public void batchesTheKeysThatWaitIntoOneAppend() {
         for (int i = 0; i < 20; i++) {
-            mEntries.submit(0, "k" + i);
+            mFixture.submit(0, "k" + i);
         }
-        assertEquals(mEntries.flush(0), 1);
-        mEntries.readAll();
-        assertEquals(mEntries.executions().size(), 20);
+        assertEquals(mFixture.flush(0), 1);
+        mFixture.readAll();
+        assertEquals(mFixture.executions().size(), 20);
     }
 
     @Test
     public void onlyTheOwnerRetriesTheKeyThatDidNotRun() {
-        mEntries.submitAndRun(0, "k", Refusal.FULL.answer());
-        mEntries.submit(1, "k");
-        mEntries.submit(0, "k");
-        assertEquals(mEntries.executions(), List.of("0:k", "0:k"));
+        mFixture.submitAndRun(0, "k", Refusal.FULL.answer());
+        mFixture.submit(1, "k");
+        mFixture.submit(0, "k");
+        assertEquals(mFixture.executions(), List.of("0:k", "0:k"));
     }
 
     /**
-     * A backend server's answer is lost. The caller is told unknown, asks again at both entries and
-     * must hear unknown each time, since the request may have run.
+     * After the answer of a backend server is lost, every entry must report unknown, since the
+     * request may have run.
      */
     @Test
     public void neverRunsKeyAgainWhoseAnswerWasLost() {
-        mEntries.submitAndRun(0, "k", Refusal.OWNER_GONE.answer());
+        mFixture.submitAndRun(0, "k", Refusal.OWNER_GONE.answer());
         assertUnknownAtBothEntriesWithoutRunning();
     }
 
     @Test
-    public void tellsUnknownAndNeverRunsAgainWhenTheAnswerWasEvicted() {
+    public void reportsUnknownAndNeverRunsAgainWhenTheAnswerWasEvicted() {
         for (int i = 0; i <= ClaimsFixture.MAX_ANSWERS; i++) {
-            mEntries.submitAndRun(0, "k" + i, ClaimsFixture.ok("a" + i));
+            mFixture.submitAndRun(0, "k" + i, ClaimsFixture.ok("a" + i));
         }
-        int before = mEntries.executions().size();
-        long again = mEntries.submit(0, "k0");
-        assertEquals(mEntries.replyTo(again).outcome(), Outcome.UNKNOWN);
-        assertTrue(text(mEntries.replyTo(again)).contains("no longer remembered"));
-        assertEquals(mEntries.executions().size(), before);
+        int before = mFixture.executions().size();
+        long again = mFixture.submit(0, "k0");
+        assertEquals(mFixture.replyTo(again).outcome(), Outcome.UNKNOWN);
+        assertTrue(text(mFixture.replyTo(again)).contains("no longer remembered"));
+        assertEquals(mFixture.executions().size(), before);
     }
 
     /**
-     * The platform stops answering while a key waits for its claim. The caller hears at once that
-     * it was not run and when to come back; the claim that took effect after all is found later and
-     * the key is then run for the next request, once.
+     * The platform becomes unavailable while a key waits for its claim: the request is refused at
+     * once, and the claim, which was stored, lets a later request run the key once.
      */
     @Test
-    public void refusesAtOnceWhenThePlatformIsAwayAndRunsLater() {
-        long first = mEntries.submit(0, "k");
-        mEntries.flushAndLoseAnswer(0);
-        mEntries.readFails(0);
-        mEntries.readFails(0);
-        assertEquals(mEntries.replyTo(first).outcome(), Outcome.NOT_RUN);
-        assertTrue(mEntries.replyTo(first).retryAfter().isPresent());
-        long next = mEntries.submit(0, "other");
-        assertEquals(mEntries.replyTo(next).outcome(), Outcome.NOT_RUN);
-        mEntries.catchUp();
-        mEntries.submit(0, "k");
-        assertEquals(mEntries.executions(), List.of("0:k"));
+    public void refusesAtOnceWhenThePlatformIsUnavailableAndRunsLater() {
+        long first = mFixture.submit(0, "k");
+        mFixture.flushAndLoseAnswer(0);
+        mFixture.failRead(0);
+        mFixture.failRead(0);
+        assertEquals(mFixture.replyTo(first).outcome(), Outcome.NOT_RUN);
+        assertTrue(mFixture.replyTo(first).retryAfter().isPresent());
+        long next = mFixture.submit(0, "other");
+        assertEquals(mFixture.replyTo(next).outcome(), Outcome.NOT_RUN);
+        mFixture.catchUp();
+        mFixture.submit(0, "k");
+        assertEquals(mFixture.executions(), List.of("0:k"));
     }
 
     @Test
     public void findsLostAppendInTheStreamAndRunsItOnce() {
-        mEntries.submit(0, "k");
-        mEntries.flushAndLoseAnswer(0);
-        mEntries.catchUp();
-        mEntries.flush(0);
-        mEntries.readAll();
-        assertEquals(mEntries.executions(), List.of("0:k"));
+        mFixture.submit(0, "k");
+        mFixture.flushAndLoseAnswer(0);
+        mFixture.catchUp();
+        mFixture.flush(0);
+        mFixture.readAll();
+        assertEquals(mFixture.executions(), List.of("0:k"));
     }
 
     /**
-     * The answer of an append is lost while a read is under way. That read did not compare the last
-     * record with the stream, and must not be taken for a stream that lost it: new keys would be
-     * refused for a whole window.
+     * A read in flight when an append fails did not verify the last record. It must not be taken
+     * for a loss of records, which would cause a quarantine of one window.
      */
     @Test
-    public void readUnderWayWhenCallFailsIsNoLossOfRecords() {
-        mEntries.submit(0, "k");
-        ClaimsPage underWay = mEntries.page(0);
-        mEntries.flushAndLoseAnswer(0);
-        mEntries.core(0).read(underWay, mEntries.now());
-        mEntries.catchUp();
-        assertEquals(mEntries.core(0).notReady(mEntries.now()), Optional.empty());
-        assertEquals(mEntries.executions(), List.of("0:k"));
+    public void readInFlightWhenCallFailsIsNoLossOfRecords() {
+        mFixture.submit(0, "k");
+        ClaimsPage inFlight = mFixture.page(0);
+        mFixture.flushAndLoseAnswer(0);
+        mFixture.coordinator(0).pageRead(inFlight, mFixture.now());
+        mFixture.catchUp();
+        assertEquals(mFixture.coordinator(0).claimRefusal(mFixture.now()), Optional.empty());
+        assertEquals(mFixture.executions(), List.of("0:k"));
     }
 
     @Test
     public void claimsAgainWhenLostAppendNeverTookEffect() {
-        mEntries.submit(0, "k");
-        mEntries.flushIntoNowhere(0);
-        mEntries.catchUp();
-        assertEquals(mEntries.executions(), List.of());
-        mEntries.flush(0);
-        mEntries.readAll();
-        assertEquals(mEntries.executions(), List.of("0:k"));
+        mFixture.submit(0, "k");
+        mFixture.flushAndLoseAppend(0);
+        mFixture.catchUp();
+        assertEquals(mFixture.executions(), List.of());
+        mFixture.flush(0);
+        mFixture.readAll();
+        assertEquals(mFixture.executions(), List.of("0:k"));
     }
 
     /**
-     * An entry is paused after its claim took effect, until its caller has given up. When it goes
-     * on it must not send the request: nobody waits for the answer.
+     * An entry paused until after the caller's deadline must not send the request when it resumes.
      */
     @Test
     public void doesNotRunRequestWhoseDeadlinePassedWhileItWasClaimed() {
-        long token = mEntries.submit(0, "k");
-        mEntries.flush(0);
-        mEntries.pass(ClaimsFixture.PATIENCE);
-        mEntries.readAll();
-        assertEquals(mEntries.executions(), List.of());
-        assertEquals(mEntries.replyTo(token).outcome(), Outcome.NOT_RUN);
+        long token = mFixture.submit(0, "k");
+        mFixture.flush(0);
+        mFixture.advance(ClaimsFixture.REQUEST_TIMEOUT);
+        mFixture.readAll();
+        assertEquals(mFixture.executions(), List.of());
+        assertEquals(mFixture.replyTo(token).outcome(), Outcome.NOT_RUN);
     }
 
     /**
-     * An entry is replaced under the same name after it claimed a key. Whether it ran is not known,
-     * and the replacement must not run it.
+     * A process that replaces the owner of a key does not know whether the key ran and must not run
+     * it.
      */
     @Test
-    public void replacementOfTheOwnerTellsUnknown() {
-        mEntries.submitAndRun(0, "k", ClaimsFixture.ok("first"));
-        mEntries.replace(0);
-        mEntries.catchUp();
+    public void replacementOfTheOwnerReportsUnknown() {
+        mFixture.submitAndRun(0, "k", ClaimsFixture.ok("first"));
+        mFixture.replace(0);
+        mFixture.catchUp();
         assertUnknownAtBothEntriesWithoutRunning();
     }
 
     @Test
     public void refusesUntilItHasReadTheStream() {
-        mEntries.replace(1);
-        long token = mEntries.submit(1, "k");
-        assertEquals(mEntries.replyTo(token).outcome(), Outcome.NOT_RUN);
+        mFixture.replace(1);
+        long token = mFixture.submit(1, "k");
+        assertEquals(mFixture.replyTo(token).outcome(), Outcome.NOT_RUN);
     }
 
     /**
-     * The platform comes back with an empty claims stream after a key was run. A fresh entry sees
-     * no claim of the key; running it again would double a warranty claim.
+     * After the stream was restored empty, a new entry sees no claim of a key that ran, and must
+     * not run it again.
      */
     @Test
-    public void streamThatComesBackEmptyRunsNoKeyTwice() {
-        mEntries.submitAndRun(0, "k", ClaimsFixture.ok("first"));
-        mEntries.loseRecordsFrom(1);
-        mEntries.replace(1);
-        mEntries.catchUp();
-        assertEquals(mEntries.replyTo(mEntries.submit(1, "k")).outcome(), Outcome.NOT_RUN);
-        assertEquals(text(mEntries.replyTo(mEntries.submit(0, "k"))), "first");
-        mEntries.pass(ClaimsFixture.WINDOW.plusSeconds(1));
-        mEntries.catchUp();
-        mEntries.submit(1, "new");
-        mEntries.flush(1);
-        mEntries.readAll();
-        assertEquals(mEntries.executions(), List.of("0:k", "1:new"));
+    public void streamRestoredEmptyRunsNoKeyTwice() {
+        mFixture.submitAndRun(0, "k", ClaimsFixture.ok("first"));
+        mFixture.truncateFrom(1);
+        mFixture.replace(1);
+        mFixture.catchUp();
+        assertEquals(mFixture.replyTo(mFixture.submit(1, "k")).outcome(), Outcome.NOT_RUN);
+        assertEquals(text(mFixture.replyTo(mFixture.submit(0, "k"))), "first");
+        mFixture.advance(ClaimsFixture.WINDOW.plusSeconds(1));
+        mFixture.catchUp();
+        mFixture.submit(1, "new");
+        mFixture.flush(1);
+        mFixture.readAll();
+        assertEquals(mFixture.executions(), List.of("0:k", "1:new"));
     }
 
     /**
-     * The stream comes back without its last record, and an entry that never read that record takes
-     * the key again. Only the peer that ran it knows; its position gives the loss away.
+     * After the stream lost its last record, an entry that had not read it must detect the loss by
+     * the position of a peer and must not run the key again.
      */
     @Test
-    public void streamThatComesBackShortenedRunsNoKeyTwice() {
-        mEntries.submit(0, "k");
-        mEntries.flush(0);
-        mEntries.read(0);
-        mEntries.loseRecordsFrom(mEntries.end() - 1);
-        mEntries.readFails(1);
-        mEntries.catchUp(1);
-        assertEquals(mEntries.replyTo(mEntries.submit(1, "k")).outcome(), Outcome.NOT_RUN);
-        assertEquals(mEntries.executions(), List.of("0:k"));
+    public void streamRestoredTruncatedRunsNoKeyTwice() {
+        mFixture.submit(0, "k");
+        mFixture.flush(0);
+        mFixture.read(0);
+        mFixture.truncateFrom(mFixture.endOffset() - 1);
+        mFixture.failRead(1);
+        mFixture.catchUp(1);
+        assertEquals(mFixture.replyTo(mFixture.submit(1, "k")).outcome(), Outcome.NOT_RUN);
+        assertEquals(mFixture.executions(), List.of("0:k"));
     }
 
     @Test
-    public void newDeploymentClaimsAtOnceAndStrangeEmptyStreamWaits() {
-        assertEquals(mEntries.core(0).notReady(mEntries.now()), Optional.empty());
-        ClaimsFixture strange = new ClaimsFixture(1, false);
-        strange.catchUp();
-        Optional<Refusal> refusal = strange.core(0).notReady(strange.now());
+    public void newDeploymentClaimsAtOnceAndUnexpectedEmptyStreamIsQuarantined() {
+        assertEquals(mFixture.coordinator(0).claimRefusal(mFixture.now()), Optional.empty());
+        ClaimsFixture unexpected = new ClaimsFixture(1, false);
+        unexpected.catchUp();
+        Optional<Refusal> refusal = unexpected.coordinator(0).claimRefusal(unexpected.now());
         assertEquals(refusal, Optional.of(Refusal.QUARANTINED));
     }
 
     @Test
     public void issuedKeyRunsAtItsIssuerAloneWithoutTheLog() {
-        mEntries.readFails(0);
-        mEntries.readFails(0);
-        mEntries.submitIssued(1, 0, "n1");
-        mEntries.submitIssued(0, 0, "n1");
-        assertEquals(mEntries.executions(), List.of("0:n1"));
+        mFixture.failRead(0);
+        mFixture.failRead(0);
+        mFixture.submitIssued(1, 0, "n1");
+        mFixture.submitIssued(0, 0, "n1");
+        assertEquals(mFixture.executions(), List.of("0:n1"));
     }
 
     @Test
-    public void issuedKeyOfAnIssuerThatIsGoneIsUnknown() {
-        IssuedKey key = mEntries.issuedBy(0);
-        mEntries.replace(0);
-        long token = mEntries.submitIssued(1, key, "n1");
-        assertEquals(mEntries.replyTo(token).outcome(), Outcome.UNKNOWN);
+    public void issuedKeyOfReplacedIssuerIsUnknown() {
+        IssuedKey key = mFixture.issuedBy(0);
+        mFixture.replace(0);
+        long token = mFixture.submitIssued(1, key, "n1");
+        assertEquals(mFixture.replyTo(token).outcome(), Outcome.UNKNOWN);
     }
 
     @Test
     public void issuedKeyIsNotRunAfterItHasExpired() {
-        IssuedKey key = mEntries.issuedBy(0);
-        mEntries.pass(ClaimsFixture.WINDOW);
-        long token = mEntries.submitIssued(0, key, "n1");
-        assertEquals(mEntries.replyTo(token).outcome(), Outcome.UNKNOWN);
-        assertEquals(mEntries.executions(), List.of());
+        IssuedKey key = mFixture.issuedBy(0);
+        mFixture.advance(ClaimsFixture.WINDOW);
+        long token = mFixture.submitIssued(0, key, "n1");
+        assertEquals(mFixture.replyTo(token).outcome(), Outcome.UNKNOWN);
+        assertEquals(mFixture.executions(), List.of());
     }
 
     @Test
     public void protectsAnIssuedKeyForOneWindowAfterItsFirstUse() {
-        IssuedKey key = mEntries.issuedBy(0);
-        mEntries.pass(ClaimsFixture.WINDOW.minus(Duration.ofSeconds(1)));
-        mEntries.submitIssued(0, key, "n1");
-        mEntries.finish(0, "n1", ClaimsFixture.ok("first"));
-        mEntries.pass(ClaimsFixture.WINDOW.minus(Duration.ofSeconds(1)));
-        long again = mEntries.submitIssued(1, key, "n1");
-        assertEquals(text(mEntries.replyTo(again)), "first");
-        assertEquals(mEntries.executions().size(), 1);
+        IssuedKey key = mFixture.issuedBy(0);
+        mFixture.advance(ClaimsFixture.WINDOW.minus(Duration.ofSeconds(1)));
+        mFixture.submitIssued(0, key, "n1");
+        mFixture.completeRun(0, "n1", ClaimsFixture.ok("first"));
+        mFixture.advance(ClaimsFixture.WINDOW.minus(Duration.ofSeconds(1)));
+        long again = mFixture.submitIssued(1, key, "n1");
+        assertEquals(text(mFixture.replyTo(again)), "first");
+        assertEquals(mFixture.executions().size(), 1);
     }
 
     @Test
-    public void takesTheClaimsOfOthersAsProtectedUpToItsBound() {
-        Instant now = mEntries.now();
+    public void countsTheClaimsOfOthersTowardsItsKeyLimit() {
+        Instant now = mFixture.now();
         for (int i = 0; i < ClaimsFixture.MAX_KEYS; i++) {
-            mEntries.submit(0, "k" + i);
+            mFixture.submit(0, "k" + i);
         }
-        mEntries.flush(0);
-        mEntries.readAll();
-        assertEquals(mEntries.core(1).notReady(now), Optional.of(Refusal.FULL));
-        assertEquals(mEntries.replyTo(mEntries.submit(1, "more")).outcome(), Outcome.NOT_RUN);
+        mFixture.flush(0);
+        mFixture.readAll();
+        assertEquals(mFixture.coordinator(1).claimRefusal(now), Optional.of(Refusal.FULL));
+        assertEquals(mFixture.replyTo(mFixture.submit(1, "more")).outcome(), Outcome.NOT_RUN);
     }
 
     private void assertUnknownAtBothEntriesWithoutRunning() {
-        long here = mEntries.submit(0, "k");
-        long there = mEntries.submit(1, "k");
-        assertEquals(mEntries.replyTo(here).outcome(), Outcome.UNKNOWN);
-        assertEquals(mEntries.replyTo(there).outcome(), Outcome.UNKNOWN);
-        assertEquals(mEntries.executions().size(), 1);
+        long here = mFixture.submit(0, "k");
+        long there = mFixture.submit(1, "k");
+        assertEquals(mFixture.replyTo(here).outcome(), Outcome.UNKNOWN);
+        assertEquals(mFixture.replyTo(there).outcome(), Outcome.UNKNOWN);
+        assertEquals(mFixture.executions().size(), 1);
     }
 
     private static String text(KeyedAnswer answer) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/KeyIssuerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/KeyIssuerTest.java
@@ -9,7 +9,7 @@
 import org.foxtailplank.id.NodeId;
 import org.testng.annotations.Test;
 
-/** Keys that an entry issues. */
+/** Tests of issued keys and their signatures. */
 public class KeyIssuerTest {
 
     private static final Instant EXPIRES = Instant.parse("2026-12-02T08:00:00Z");
@@ -21,7 +21,7 @@
     @Test
     public void everyEntryReadsTheIssuerOfTheKey() {
         String key = mIssuer.issue(EXPIRES);
-        Optional<IssuedKey> read = new KeyIssuer(ENTRY2, "shared").read(key);
+        Optional<IssuedKey> read = new KeyIssuer(ENTRY2, "shared").parse(key);
         assertEquals(read.map(IssuedKey::issuer), Optional.of(ENTRY1));
         assertEquals(read.map(IssuedKey::expires), Optional.of(EXPIRES));
         assertNotEquals(mIssuer.issue(EXPIRES), key);
@@ -30,7 +30,7 @@
     @Test
     public void refusesKeySignedWithAnotherSecret() {
         String forged = new KeyIssuer(ENTRY1, "guessed").issue(EXPIRES);
-        assertEquals(mIssuer.read(forged), Optional.empty());
+        assertEquals(mIssuer.parse(forged), Optional.empty());
     }
 
     @Test
@@ -42,23 +42,23 @@
             byte[] changed = bytes.clone();
             changed[i] ^= 1;
             String text = Base64.getUrlEncoder().withoutPadding().encodeToString(changed);
-            assertEquals(mIssuer.read(KeyIssuer.PREFIX + text), Optional.empty(), "byte " + i);
+            assertEquals(mIssuer.parse(KeyIssuer.PREFIX + text), Optional.empty(), "byte " + i);
         }
-        assertEquals(mIssuer.read(KeyIssuer.PREFIX), Optional.empty());
-        assertEquals(mIssuer.read(KeyIssuer.PREFIX + "not base64!"), Optional.empty());
+        assertEquals(mIssuer.parse(KeyIssuer.PREFIX), Optional.empty());
+        assertEquals(mIssuer.parse(KeyIssuer.PREFIX + "not base64!"), Optional.empty());
     }
 
     /**
-     * A caller writes one issued key in two ways that decode to the same bytes. Were the text the
-     * key, the request would run once for each way of writing it.
+     * Two texts that decode to the same issued key must be the same key, or the request would run
+     * once for each.
      */
     @Test
     public void twoTextsOfOneIssuedKeyAreOneKey() {
         String key = mIssuer.issue(EXPIRES);
         String padded = key + "=".repeat((4 - (key.length() - KeyIssuer.PREFIX.length()) % 4) % 4);
         assertNotEquals(padded, key);
-        RequestKey first = RequestKey.of(mIssuer.read(key).orElseThrow());
-        RequestKey second = RequestKey.of(mIssuer.read(padded).orElseThrow());
+        RequestKey first = RequestKey.of(mIssuer.parse(key).orElseThrow());
+        RequestKey second = RequestKey.of(mIssuer.parse(padded).orElseThrow());
         assertEquals(second, first);
     }
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ClaimPeers.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ClaimPeers.java
@@ -7,14 +7,12 @@
 import org.foxtailplank.internal.idempotency.Claimant;
 import org.foxtailplank.internal.idempotency.Position;
 
-/** The other entries, as far as keys go. */
+/** Calls to other entries about idempotency keys. */
 public interface ClaimPeers {
 
-    /**
-     * Hands a request to the owner of its key; fails when no answer came from that very process.
-     */
+    /** Hands a request over to the owner of its key; fails if that process does not answer. */
     CompletionStage<Answer> handOver(CallerRequest request, Claimant owner);
 
-    /** How far the others have read the claims stream, of those that answer soon; never fails. */
+    /** Returns the read positions of the entries that answer in time; never fails. */
     CompletionStage<List<Position>> positions();
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ClaimsStream.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ClaimsStream.java
@@ -14,11 +14,11 @@
 import org.foxtailplank.platform.ReadResult;
 import org.foxtailplank.wire.ClaimCodec;
 
-/** The claims stream on the platform's log. */
+/** Appends to and reads the claims stream on the platform's log. */
 final class ClaimsStream {
 
-    private static final String NAME = "claims";
-    private static final int PAGE = 500;
+    private static final String STREAM = "claims";
+    private static final int MAX_RECORDS = 500;
 
     private final PlatformLog mLog;
 
@@ -27,25 +27,25 @@
     }
 
     CompletionStage<AppendResult> append(RecordId id, ClaimBatch batch) {
-        return mLog.append(NAME, List.of(new LogEntry(id, ClaimCodec.encode(batch))));
+        return mLog.append(STREAM, List.of(new LogEntry(id, ClaimCodec.encode(batch))));
     }
 
     CompletionStage<ClaimsPage> read(long from, Duration wait) {
-        return mLog.read(NAME, from, PAGE, wait).thenApply(r -> page(from, r));
+        return mLog.read(STREAM, from, MAX_RECORDS, wait).thenApply(r -> page(from, r));
     }
 
-    /** Whether a failed call has certainly had no effect. */
+    /** Whether a failed call certainly had no effect. */
     static boolean hadNoEffect(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return cause instanceof PlatformException e && e.effect() == PlatformException.Effect.NONE;
     }
 
     private static ClaimsPage page(long from, ReadResult result) {
-        List<ClaimsPage.Stored> records =
+        List<ClaimsPage.StoredRecord> records =
                 result.entries().stream()
                         .map(
                                 e ->
-                                        new ClaimsPage.Stored(
+                                        new ClaimsPage.StoredRecord(
                                                 e.offset(), e.id(), ClaimCodec.decode(e.data())))
                         .toList();
         return new ClaimsPage(from, result.oldest(), result.end(), records);
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyKeeper.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyCoordinatorActor.java
@@ -27,149 +27,155 @@
 import org.foxtailplank.internal.idempotency.RequestKey;
 import org.foxtailplank.process.Log;
 
-/** Owns the decisions about keys on one thread and carries them out. */
-final class KeyKeeper extends AbstractBehavior<KeyMessage> {
+/** Actor that runs the {@link KeyCoordinator} and performs its actions. */
+final class KeyCoordinatorActor extends AbstractBehavior<KeyMessage> {
 
     private static final Log LOG = Log.of("keys");
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration LONG_POLL = Duration.ofSeconds(1);
-    private static final Duration OLDEST_PAGE = Duration.ofSeconds(3);
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(20);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration LONG_POLL_TIME = Duration.ofSeconds(1);
+    private static final Duration MAX_PAGE_AGE = Duration.ofSeconds(3);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(20);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
     private static final String NO_TEAM = "-";
 
-    private final KeyCoordinator mCore;
+    private final KeyCoordinator mCoordinator;
     private final KeyIssuer mIssuer;
     private final ClaimsStream mStream;
     private final ClaimPeers mPeers;
     private final KeyOptions mOptions;
-    private final KeyGauges mGauges;
-    private final KeyClock mClock;
+    private final KeyMetrics mMetrics;
+    private final MonotonicWallClock mClock;
     private final RandomGenerator mRandom;
     private final TimerScheduler<KeyMessage> mTimers;
     private final ActorRef<KeyMessage> mSelf;
     private final Map<Long, KeyMessage.Call> mCalls = new HashMap<>();
     private Optional<Refusal> mLastRefusal = Optional.of(Refusal.STARTING);
     private Instant mNextFlush = Instant.MIN;
-    private Duration mPause = FIRST_PAUSE;
-    private long mTokens;
+    private Duration mRetryDelay = MIN_RETRY_DELAY;
+    private long mNextToken;
 
-    private KeyKeeper(
+    private KeyCoordinatorActor(
             ActorContext<KeyMessage> context, TimerScheduler<KeyMessage> timers, KeyParts parts) {
         super(context);
-        mCore =
+        mCoordinator =
                 new KeyCoordinator(
                         parts.self(), parts.options().limits(), parts.options().newDeployment());
         mIssuer = parts.issuer();
         mStream = new ClaimsStream(parts.log());
         mPeers = parts.peers();
         mOptions = parts.options();
-        mGauges = parts.gauges();
+        mMetrics = parts.metrics();
         mClock = parts.clock();
         mRandom = RandomGenerator.getDefault();
         mTimers = timers;
         mSelf = context.getSelf();
-        timers.startTimerWithFixedDelay(KeyMessage.Tick.INSTANCE, TICK);
+        timers.startTimerWithFixedDelay(KeyMessage.Tick.INSTANCE, TICK_INTERVAL);
         mSelf.tell(KeyMessage.ReadDue.INSTANCE);
     }
 
     static Behavior<KeyMessage> create(KeyParts parts) {
         return Behaviors.setup(
-                context -> Behaviors.withTimers(timers -> new KeyKeeper(context, timers, parts)));
+                context ->
+                        Behaviors.withTimers(
+                                timers -> new KeyCoordinatorActor(context, timers, parts)));
     }
 
     @Override
     public Receive<KeyMessage> createReceive() {
         return newReceiveBuilder()
-                .onMessage(KeyMessage.Submitted.class, m -> then(() -> submitted(m.call())))
-                .onMessage(KeyMessage.HandedOver.class, m -> then(() -> handedOver(m)))
-                .onMessage(KeyMessage.Ran.class, m -> then(() -> ran(m)))
-                .onMessage(KeyMessage.Appended.class, m -> then(() -> mCore.appended(m.id())))
-                .onMessage(KeyMessage.AppendFailed.class, m -> then(() -> appendFailed(m)))
-                .onMessage(KeyMessage.ReadDue.class, m -> then(this::readDue))
-                .onMessage(KeyMessage.PositionsKnown.class, m -> then(() -> positionsKnown(m)))
-                .onMessage(KeyMessage.PageRead.class, m -> then(() -> pageRead(m)))
-                .onMessage(KeyMessage.ReadFailed.class, m -> then(() -> readFailed(m)))
-                .onMessage(KeyMessage.FlushDue.class, m -> then(() -> {}))
-                .onMessage(KeyMessage.Tick.class, m -> then(this::tick))
+                .onMessage(KeyMessage.Submitted.class, m -> runAndFlush(() -> submitted(m.call())))
+                .onMessage(KeyMessage.HandedOver.class, m -> runAndFlush(() -> handedOver(m)))
+                .onMessage(KeyMessage.RunCompleted.class, m -> runAndFlush(() -> runCompleted(m)))
                 .onMessage(
-                        KeyMessage.PositionAsked.class,
-                        m -> then(() -> m.position().complete(mCore.position())))
+                        KeyMessage.Appended.class,
+                        m -> runAndFlush(() -> mCoordinator.appendSucceeded(m.id())))
+                .onMessage(KeyMessage.AppendFailed.class, m -> runAndFlush(() -> appendFailed(m)))
+                .onMessage(KeyMessage.ReadDue.class, m -> runAndFlush(this::readDue))
+                .onMessage(
+                        KeyMessage.PositionsKnown.class, m -> runAndFlush(() -> positionsKnown(m)))
+                .onMessage(KeyMessage.PageRead.class, m -> runAndFlush(() -> pageRead(m)))
+                .onMessage(KeyMessage.ReadFailed.class, m -> runAndFlush(() -> readFailed(m)))
+                .onMessage(KeyMessage.FlushDue.class, m -> runAndFlush(() -> {}))
+                .onMessage(KeyMessage.Tick.class, m -> runAndFlush(this::tick))
+                .onMessage(
+                        KeyMessage.PositionRequested.class,
+                        m -> runAndFlush(() -> m.position().complete(mCoordinator.position())))
                 .onMessage(KeyMessage.Stop.class, m -> Behaviors.stopped())
                 .build();
     }
 
-    private Behavior<KeyMessage> then(Runnable step) {
+    private Behavior<KeyMessage> runAndFlush(Runnable step) {
         step.run();
         flush();
         return this;
     }
 
     private void submitted(KeyMessage.Call call) {
-        Optional<KeyedRequest> request = read(call.request());
+        Optional<KeyedRequest> request = readStream(call.request());
         if (request.isEmpty()) {
-            call.answer().complete(KeyAnswers.toCaller(Refusal.KEY_INVALID.answer()));
+            call.answer().complete(AnswerConverter.toAnswer(Refusal.KEY_INVALID.answer()));
             return;
         }
         mCalls.put(request.get().token(), call);
-        perform(mCore.submit(request.get(), mClock.now()));
+        perform(mCoordinator.submit(request.get(), mClock.now()));
     }
 
     private void handedOver(KeyMessage.HandedOver m) {
-        Optional<KeyedRequest> request = read(m.call().request());
+        Optional<KeyedRequest> request = readStream(m.call().request());
         if (request.isEmpty()) {
-            m.call().answer().complete(KeyAnswers.toCaller(Refusal.KEY_INVALID.answer()));
+            m.call().answer().complete(AnswerConverter.toAnswer(Refusal.KEY_INVALID.answer()));
             return;
         }
         mCalls.put(request.get().token(), m.call());
-        perform(mCore.handedOver(request.get(), m.owner(), mClock.now()));
+        perform(mCoordinator.submitHandedOver(request.get(), m.owner(), mClock.now()));
     }
 
-    private Optional<KeyedRequest> read(CallerRequest r) {
+    private Optional<KeyedRequest> readStream(CallerRequest r) {
         String text = r.key().orElseThrow();
         Optional<IssuedKey> issued = Optional.empty();
         TeamId team = r.team().orElse(TeamId.of(NO_TEAM));
         if (KeyIssuer.looksIssued(text)) {
-            issued = mIssuer.read(text);
+            issued = mIssuer.parse(text);
             if (issued.isEmpty()) {
                 return Optional.empty();
             }
         }
         RequestKey key =
                 issued.map(RequestKey::of).orElseGet(() -> RequestKey.of(team, r.service(), text));
-        Fingerprint print = Fingerprint.of(team, r.service(), r.method(), r.target(), r.body());
+        Fingerprint fingerprint =
+                Fingerprint.of(team, r.service(), r.method(), r.target(), r.body());
         Instant deadline = mClock.at(r.deadline());
-        return Optional.of(new KeyedRequest(mTokens++, key, print, issued, deadline));
+        return Optional.of(new KeyedRequest(mNextToken++, key, fingerprint, issued, deadline));
     }
 
-    private void ran(KeyMessage.Ran m) {
-        perform(mCore.ran(m.token(), KeyAnswers.toMemory(m.answer())));
+    private void runCompleted(KeyMessage.RunCompleted m) {
+        perform(mCoordinator.runCompleted(m.token(), AnswerConverter.toKeyedAnswer(m.answer())));
     }
 
     private void appendFailed(KeyMessage.AppendFailed m) {
         if (m.hadNoEffect()) {
-            perform(mCore.appendRefused(m.id()));
+            perform(mCoordinator.appendFailed(m.id()));
         } else {
-            mCore.appendLost(m.id());
+            mCoordinator.appendUncertain(m.id());
         }
     }
 
     private void readDue() {
-        if (mCore.positionsNeeded()) {
+        if (mCoordinator.positionsNeeded()) {
             mPeers.positions().thenAccept(p -> mSelf.tell(new KeyMessage.PositionsKnown(p)));
         } else {
-            read(LONG_POLL);
+            readStream(LONG_POLL_TIME);
         }
     }
 
     private void positionsKnown(KeyMessage.PositionsKnown m) {
-        mCore.positions(m.positions());
-        read(Duration.ZERO);
+        mCoordinator.updatePeerPositions(m.positions());
+        readStream(Duration.ZERO);
     }
 
-    private void read(Duration wait) {
+    private void readStream(Duration wait) {
         Instant asked = mClock.now();
-        mStream.read(mCore.readFrom(), wait)
+        mStream.read(mCoordinator.nextReadOffset(), wait)
                 .whenComplete(
                         (page, e) ->
                                 mSelf.tell(
@@ -179,41 +185,41 @@
     }
 
     private void pageRead(KeyMessage.PageRead m) {
-        if (m.asked().plus(OLDEST_PAGE).isBefore(mClock.now())) {
-            // Against a process that was paused: the stream may have lost this page since, and
-            // others may have taken its keys.
-            readFailed(new KeyMessage.ReadFailed("the page is out of date"));
+        if (m.requestedAt().plus(MAX_PAGE_AGE).isBefore(mClock.now())) {
+            // After a pause of this process, the stream may have lost these records and other
+            // entries may have claimed the keys.
+            readFailed(new KeyMessage.ReadFailed("the page is too old"));
             return;
         }
-        mPause = FIRST_PAUSE;
-        long era = mCore.position().era().number();
-        perform(mCore.read(m.page(), mClock.now()));
-        long newEra = mCore.position().era().number();
+        mRetryDelay = MIN_RETRY_DELAY;
+        long era = mCoordinator.position().era().number();
+        perform(mCoordinator.pageRead(m.page(), mClock.now()));
+        long newEra = mCoordinator.position().era().number();
         if (newEra != era) {
             LOG.info("The claims stream is in era {0}.", Long.toString(newEra));
         }
-        tellReadiness();
+        logReadiness();
         mSelf.tell(KeyMessage.ReadDue.INSTANCE);
     }
 
     private void readFailed(KeyMessage.ReadFailed m) {
-        LOG.debug("Reading claims failed: {0}.", m.why());
-        perform(mCore.readFailed(mClock.now()));
-        tellReadiness();
-        long jitter = mRandom.nextLong(mPause.toNanos() / 2);
-        mTimers.startSingleTimer(KeyMessage.ReadDue.INSTANCE, mPause.minusNanos(jitter));
-        Duration twice = mPause.multipliedBy(2);
-        mPause = twice.compareTo(LONGEST_PAUSE) < 0 ? twice : LONGEST_PAUSE;
+        LOG.debug("Reading the claims stream failed: {0}.", m.reason());
+        perform(mCoordinator.readFailed(mClock.now()));
+        logReadiness();
+        long jitter = mRandom.nextLong(mRetryDelay.toNanos() / 2);
+        mTimers.startSingleTimer(KeyMessage.ReadDue.INSTANCE, mRetryDelay.minusNanos(jitter));
+        Duration twice = mRetryDelay.multipliedBy(2);
+        mRetryDelay = twice.compareTo(MAX_RETRY_DELAY) < 0 ? twice : MAX_RETRY_DELAY;
     }
 
     private void tick() {
-        perform(mCore.tick(mClock.now()));
-        tellReadiness();
-        mGauges.update(mCore, mClock.now());
+        perform(mCoordinator.tick(mClock.now()));
+        logReadiness();
+        mMetrics.update(mCoordinator, mClock.now());
     }
 
-    private void tellReadiness() {
-        Optional<Refusal> refusal = mCore.notReady(mClock.now());
+    private void logReadiness() {
+        Optional<Refusal> refusal = mCoordinator.claimRefusal(mClock.now());
         if (refusal.equals(mLastRefusal)) {
             return;
         }
@@ -228,13 +234,14 @@
     private void flush() {
         Instant now = mClock.now();
         if (now.isBefore(mNextFlush)) {
-            if (mCore.pendingClaims() > 0 && !mTimers.isTimerActive(KeyMessage.FlushDue.INSTANCE)) {
+            if (mCoordinator.pendingClaims() > 0
+                    && !mTimers.isTimerActive(KeyMessage.FlushDue.INSTANCE)) {
                 mTimers.startSingleTimer(
                         KeyMessage.FlushDue.INSTANCE, Duration.between(now, mNextFlush));
             }
             return;
         }
-        List<Action> actions = mCore.flush(now);
+        List<Action> actions = mCoordinator.flush(now);
         if (!actions.isEmpty()) {
             mNextFlush = now.plus(mOptions.appendInterval());
             perform(actions);
@@ -250,14 +257,14 @@
             } else if (action instanceof Action.HandOver a) {
                 handOver(a);
             } else if (action instanceof Action.Reply a) {
-                mGauges.count(a.answer());
-                mCalls.remove(a.token()).answer().complete(KeyAnswers.toCaller(a.answer()));
+                mMetrics.count(a.answer());
+                mCalls.remove(a.token()).answer().complete(AnswerConverter.toAnswer(a.answer()));
             }
         }
     }
 
     private void append(Action.Append a) {
-        mGauges.appends().mark();
+        mMetrics.appends().mark();
         mStream.append(a.id(), a.batch())
                 .whenComplete(
                         (result, e) ->
@@ -269,17 +276,17 @@
     }
 
     private void run(long token) {
-        Answer lost = KeyAnswers.toCaller(Refusal.OUTCOME_LOST.answer());
+        Answer lost = AnswerConverter.toAnswer(Refusal.OUTCOME_LOST.answer());
         mCalls.get(token)
                 .attempt()
                 .get()
                 .exceptionally(e -> lost)
-                .thenAccept(answer -> mSelf.tell(new KeyMessage.Ran(token, answer)));
+                .thenAccept(answer -> mSelf.tell(new KeyMessage.RunCompleted(token, answer)));
     }
 
     private void handOver(Action.HandOver a) {
         KeyMessage.Call call = mCalls.remove(a.token());
-        Answer gone = KeyAnswers.toCaller(Refusal.OWNER_GONE.answer());
+        Answer gone = AnswerConverter.toAnswer(Refusal.OWNER_GONE.answer());
         mPeers.handOver(call.request(), a.owner())
                 .exceptionally(e -> gone)
                 .thenAccept(call.answer()::complete);
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyMessage.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyMessage.java
@@ -12,58 +12,58 @@
 import org.foxtailplank.internal.idempotency.ClaimsPage;
 import org.foxtailplank.internal.idempotency.Position;
 
-/** What the keeper of keys is told. */
+/** Messages to the {@link KeyCoordinatorActor}. */
 sealed interface KeyMessage {
 
-    /** A caller's request that waits for its answer. */
+    /** A caller's request, the attempt to run it, and its future answer. */
     record Call(
             CallerRequest request,
             Supplier<CompletionStage<Answer>> attempt,
             CompletableFuture<Answer> answer) {}
 
-    /** A caller's request has arrived at this entry. */
+    /** A request was received from a caller. */
     record Submitted(Call call) implements KeyMessage {}
 
-    /** A peer takes this process to own the key of a request. */
+    /** A request was handed over by a peer that considers this process the owner of its key. */
     record HandedOver(Call call, Claimant owner) implements KeyMessage {}
 
-    /** An attempt has ended. */
-    record Ran(long token, Answer answer) implements KeyMessage {}
+    /** A request that was run has its answer. */
+    record RunCompleted(long token, Answer answer) implements KeyMessage {}
 
-    /** An append has taken effect. */
+    /** An append was stored. */
     record Appended(RecordId id) implements KeyMessage {}
 
-    /** An append has failed. */
+    /** An append failed. */
     record AppendFailed(RecordId id, boolean hadNoEffect) implements KeyMessage {}
 
-    /** The next read is due. */
+    /** The claims stream must be read. */
     enum ReadDue implements KeyMessage {
         INSTANCE
     }
 
-    /** Peers have told their positions. */
+    /** The peers' positions were received. */
     record PositionsKnown(List<Position> positions) implements KeyMessage {}
 
-    /** A read that was asked for at some time has succeeded. */
-    record PageRead(ClaimsPage page, Instant asked) implements KeyMessage {}
+    /** A read succeeded. */
+    record PageRead(ClaimsPage page, Instant requestedAt) implements KeyMessage {}
 
-    /** A read has failed. */
-    record ReadFailed(String why) implements KeyMessage {}
+    /** A read failed. */
+    record ReadFailed(String reason) implements KeyMessage {}
 
-    /** Claims may be appended again. */
+    /** The interval between appends has passed. */
     enum FlushDue implements KeyMessage {
         INSTANCE
     }
 
-    /** Time passes. */
+    /** Triggers periodic work. */
     enum Tick implements KeyMessage {
         INSTANCE
     }
 
-    /** A peer asks how far this entry has read. */
-    record PositionAsked(CompletableFuture<Position> position) implements KeyMessage {}
+    /** A peer requests the read position of this entry. */
+    record PositionRequested(CompletableFuture<Position> position) implements KeyMessage {}
 
-    /** The process stops. */
+    /** Stops the actor. */
     enum Stop implements KeyMessage {
         INSTANCE
     }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyGauges.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyMetrics.java
@@ -9,26 +9,26 @@
 import org.foxtailplank.internal.idempotency.KeyedAnswer;
 import org.foxtailplank.request.Outcome;
 
-/** What operators see of the keys. */
-final class KeyGauges {
+/** Metrics of idempotency keys. */
+final class KeyMetrics {
 
     private final Meter mAppends;
     private final Counter mOk;
     private final Counter mNotRun;
     private final Counter mUnknown;
     private volatile int mProtected;
-    private volatile int mTaken;
+    private volatile int mClaimable;
     private volatile int mPending;
     private volatile int mAnswers;
     private volatile long mAnswerBytes;
 
-    KeyGauges(MetricRegistry metrics) {
+    KeyMetrics(MetricRegistry metrics) {
         mAppends = metrics.meter("keys.appends");
         mOk = metrics.counter("keys.answers.ok");
         mNotRun = metrics.counter("keys.answers.not-run");
         mUnknown = metrics.counter("keys.answers.unknown");
         metrics.registerGauge("keys.protected", (Gauge<Integer>) () -> mProtected);
-        metrics.registerGauge("keys.taken", (Gauge<Integer>) () -> mTaken);
+        metrics.registerGauge("keys.taken", (Gauge<Integer>) () -> mClaimable);
         metrics.registerGauge("keys.pending", (Gauge<Integer>) () -> mPending);
         metrics.registerGauge("keys.remembered", (Gauge<Integer>) () -> mAnswers);
         metrics.registerGauge("keys.remembered-bytes", (Gauge<Long>) () -> mAnswerBytes);
@@ -43,11 +43,11 @@
         (outcome == Outcome.OK ? mOk : outcome == Outcome.NOT_RUN ? mNotRun : mUnknown).inc();
     }
 
-    void update(KeyCoordinator core, Instant now) {
-        mTaken = core.notReady(now).isEmpty() ? 1 : 0;
-        mProtected = core.protectedKeys();
-        mPending = core.pendingClaims();
-        mAnswers = core.rememberedAnswers();
-        mAnswerBytes = core.rememberedBytes();
+    void update(KeyCoordinator coordinator, Instant now) {
+        mClaimable = coordinator.claimRefusal(now).isEmpty() ? 1 : 0;
+        mProtected = coordinator.protectedKeys();
+        mPending = coordinator.pendingClaims();
+        mAnswers = coordinator.cachedAnswers();
+        mAnswerBytes = coordinator.cachedBytes();
     }
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyOptions.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyOptions.java
@@ -5,12 +5,13 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * How an entry protects keys.
+ * Options for the protection of keys.
  *
- * @param limits bounds of its memory
- * @param appendInterval least time between two appends of claims
- * @param peerKey key that the entries share, by which issued keys are signed
- * @param newDeployment whether an empty claims stream was never written, rather than lost
+ * @param limits limits on keys and answers
+ * @param appendInterval minimum time between two appends of claims
+ * @param peerKey secret shared by the entries, used to sign issued keys
+ * @param newDeployment whether an empty claims stream is that of a new deployment rather than a
+ *     loss
  */
 public record KeyOptions(
         KeyLimits limits, Duration appendInterval, String peerKey, boolean newDeployment) {
@@ -19,9 +20,9 @@
     private static final int MAX_KEYS = 100_000;
     private static final int MAX_ANSWERS = 20_000;
     private static final long MAX_ANSWER_BYTES = 8L << 20;
-    private static final double SHARE_OF_APPENDS = 0.5;
+    private static final double CLAIM_APPEND_SHARE = 0.5;
 
-    /** The options that follow from the settings. */
+    /** Derives the options from the settings. */
     public static KeyOptions of(Settings settings, boolean newDeployment) {
         KeyLimits limits =
                 new KeyLimits(
@@ -30,8 +31,12 @@
                         MAX_KEYS,
                         MAX_ANSWERS,
                         MAX_ANSWER_BYTES);
-        double appends = settings.platform().appendsPerSecond() * SHARE_OF_APPENDS;
-        long nanos = (long) (settings.nodes().size() / appends * Duration.ofSeconds(1).toNanos());
+        double appendsPerSecond = settings.platform().appendsPerSecond() * CLAIM_APPEND_SHARE;
+        long nanos =
+                (long)
+                        (settings.nodes().size()
+                                / appendsPerSecond
+                                * Duration.ofSeconds(1).toNanos());
         return new KeyOptions(
                 limits, Duration.ofNanos(nanos), settings.peers().key(), newDeployment);
     }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyParts.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyParts.java
@@ -4,12 +4,12 @@
 import org.foxtailplank.internal.idempotency.KeyIssuer;
 import org.foxtailplank.platform.PlatformLog;
 
-/** What the keeper of keys works with. */
+/** The dependencies of the {@link KeyCoordinatorActor}. */
 record KeyParts(
         Claimant self,
         KeyOptions options,
         KeyIssuer issuer,
         PlatformLog log,
         ClaimPeers peers,
-        KeyGauges gauges,
-        KeyClock clock) {}
+        KeyMetrics metrics,
+        MonotonicWallClock clock) {}
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/KeyClock.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/MonotonicWallClock.java
@@ -2,26 +2,26 @@
 
 import java.time.Instant;
 
-/** Wall time that is never set back: it is taken once, and goes on with the monotonic clock. */
-final class KeyClock {
+/** A wall clock that never goes back: it adds monotonic time to the wall time of its start. */
+final class MonotonicWallClock {
 
     private final Instant mStart;
     private final long mStartNanos;
 
-    KeyClock(Instant start, long startNanos) {
+    MonotonicWallClock(Instant start, long startNanos) {
         mStart = start;
         mStartNanos = startNanos;
     }
 
-    static KeyClock system() {
-        return new KeyClock(Instant.now(), System.nanoTime());
+    static MonotonicWallClock system() {
+        return new MonotonicWallClock(Instant.now(), System.nanoTime());
     }
 
     Instant now() {
         return at(System.nanoTime());
     }
 
-    /** The time of a reading of {@link System#nanoTime}. */
+    /** Converts a value of {@link System#nanoTime} to wall time. */
     Instant at(long nanos) {
         return mStart.plusNanos(nanos - mStartNanos);
     }
