--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaims.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaims.java
@@ -32,11 +32,11 @@
 import org.foxtailplank.wire.RequestHandover;
 import org.foxtailplank.wire.RequestHandoverResult;
 
-/** The other entries over the peer link. */
+/** Calls other entries over the peer link, and serves their calls. */
 public final class PeerLinkClaims implements ClaimPeers {
 
     private static final Duration POSITION_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration MEET_PAUSE = Duration.ofMillis(20);
+    private static final Duration CONNECT_POLL_INTERVAL = Duration.ofMillis(20);
     private static final int MESSAGE_OVERHEAD = 16 << 10;
     private static final String OWNER = "Foxtail-Key-Owner";
     private static final String TEAM = "Foxtail-Team";
@@ -44,21 +44,21 @@
     private static final String RETRY_AFTER = "Retry-After";
 
     private final PeerLink mLink;
-    private final int mOthers;
-    private final long mMeetUntil;
+    private final int mPeerCount;
+    private final long mConnectDeadline;
 
-    private PeerLinkClaims(PeerLink link, int others, Duration meetTime) {
+    private PeerLinkClaims(PeerLink link, int peerCount, Duration connectTime) {
         mLink = link;
-        mOthers = others;
-        mMeetUntil = System.nanoTime() + meetTime.toNanos();
+        mPeerCount = peerCount;
+        mConnectDeadline = System.nanoTime() + connectTime.toNanos();
     }
 
-    /** The peers of a link that has just started. */
+    /** Creates the peers of a link that has just started. */
     public static PeerLinkClaims of(PeerLink link, Settings settings) {
         return new PeerLinkClaims(link, settings.nodes().size() - 1, settings.peers().silence());
     }
 
-    /** Options of a link that carries requests and answers as large as callers may send. */
+    /** Returns options of a link for requests and answers of the maximum allowed size. */
     public static PeerLinkOptions options(
             NodeId node, Settings settings, Incarnation incarnation, Set<NodeRole> roles) {
         long largest =
@@ -70,12 +70,12 @@
                 .withMessagesOf((int) largest);
     }
 
-    /** Who this process is to those whose keys it takes. */
+    /** Returns the claimant that identifies this process. */
     public Claimant self() {
         return new Claimant(mLink.self().node(), mLink.self().incarnation().value());
     }
 
-    /** Answers peers from now on; {@code attempt} runs what they hand over. */
+    /** Starts to answer peers; {@code attempt} runs the requests that they hand over. */
     public void serve(
             ProtectedKeys keys, Function<CallerRequest, CompletionStage<Answer>> attempt) {
         mLink.handle(
@@ -95,33 +95,33 @@
                 mLink.member(owner.node()).filter(m -> m.incarnation().equals(incarnation));
         if (member.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new CompletionException("the owner " + owner + " is gone", null));
+                    new CompletionException("the owner " + owner + " is not connected", null));
         }
-        Duration left = Duration.ofNanos(request.deadline() - System.nanoTime());
-        return mLink.ask(owner.node(), encode(request, owner, left), left)
+        Duration timeLeft = Duration.ofNanos(request.deadline() - System.nanoTime());
+        return mLink.ask(owner.node(), encode(request, owner, timeLeft), timeLeft)
                 .thenApply(m -> decode(((RequestHandoverResult) m).answer()));
     }
 
     @Override
     public CompletionStage<List<Position>> positions() {
-        // A link that has just started has met nobody yet, and would hear of no lost record.
-        boolean met = mLink.members().size() >= mOthers;
-        if (!met && System.nanoTime() - mMeetUntil < 0) {
+        // Right after its start, the link has no members yet that could report lost records.
+        boolean connected = mLink.members().size() >= mPeerCount;
+        if (!connected && System.nanoTime() - mConnectDeadline < 0) {
             return CompletableFuture.supplyAsync(
                             () -> null,
                             CompletableFuture.delayedExecutor(
-                                    MEET_PAUSE.toMillis(), TimeUnit.MILLISECONDS))
+                                    CONNECT_POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS))
                     .thenCompose(none -> positions());
         }
-        List<CompletableFuture<Optional<Position>>> asked = new ArrayList<>();
+        List<CompletableFuture<Optional<Position>>> requests = new ArrayList<>();
         for (Member member : mLink.members()) {
             if (member.state().isReachable()
                     && member.identity().roles().contains(NodeRole.ENTRY)) {
-                asked.add(ask(member).toCompletableFuture());
+                requests.add(ask(member).toCompletableFuture());
             }
         }
-        return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
-                .thenApply(done -> asked.stream().flatMap(a -> a.join().stream()).toList());
+        return CompletableFuture.allOf(requests.toArray(CompletableFuture[]::new))
+                .thenApply(done -> requests.stream().flatMap(a -> a.join().stream()).toList());
     }
 
     private CompletionStage<Optional<Position>> ask(Member member) {
@@ -130,7 +130,7 @@
                 .exceptionally(e -> Optional.empty());
     }
 
-    private static RequestHandover encode(CallerRequest r, Claimant owner, Duration left) {
+    private static RequestHandover encode(CallerRequest r, Claimant owner, Duration timeLeft) {
         List<HeaderField> fields = new ArrayList<>();
         fields.add(new HeaderField(OWNER, owner.node() + " " + owner.incarnation()));
         fields.add(new HeaderField(CallerRequest.KEY_HEADER, r.key().orElseThrow()));
@@ -145,7 +145,7 @@
                 r.target(),
                 fields,
                 ByteString.copyFrom(r.body()),
-                left);
+                timeLeft);
     }
 
     private static CallerRequest request(RequestHandover m) {
@@ -184,11 +184,11 @@
     }
 
     private static Answer decode(CallerAnswer a) {
-        String after = a.headers().get(1).value();
+        String retryAfter = a.headers().get(1).value();
         return new Answer(
                 a.status(),
                 a.outcome(),
-                after.isEmpty() ? Optional.empty() : Optional.of(Duration.parse(after)),
+                retryAfter.isEmpty() ? Optional.empty() : Optional.of(Duration.parse(retryAfter)),
                 a.headers().get(0).value(),
                 a.headers().stream().skip(2).map(f -> new Header(f.name(), f.value())).toList(),
                 a.body().toByteArray());
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ProtectedKeys.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ProtectedKeys.java
@@ -19,23 +19,26 @@
 import org.foxtailplank.internal.idempotency.Position;
 import org.foxtailplank.platform.PlatformLog;
 
-/** Protects keys: those that callers choose by claims on the log, issued ones by their issuer. */
+/** Protects callers' keys by claims on the log, and issued keys by running them at the issuer. */
 public final class ProtectedKeys implements KeyedRequests, AutoCloseable {
 
-    private final ActorRef<KeyMessage> mKeeper;
+    private final ActorRef<KeyMessage> mActor;
     private final KeyIssuer mIssuer;
     private final KeyOptions mOptions;
-    private final KeyClock mClock;
+    private final MonotonicWallClock mClock;
 
     private ProtectedKeys(
-            ActorRef<KeyMessage> keeper, KeyIssuer issuer, KeyOptions options, KeyClock clock) {
-        mKeeper = keeper;
+            ActorRef<KeyMessage> actor,
+            KeyIssuer issuer,
+            KeyOptions options,
+            MonotonicWallClock clock) {
+        mActor = actor;
         mIssuer = issuer;
         mOptions = options;
         mClock = clock;
     }
 
-    /** Starts to follow the claims stream. */
+    /** Starts an actor that follows the claims stream. */
     public static ProtectedKeys start(
             ClassicActorSystemProvider system,
             Claimant self,
@@ -44,21 +47,21 @@
             ClaimPeers peers,
             MetricRegistry metrics) {
         KeyIssuer issuer = new KeyIssuer(self, options.peerKey());
-        KeyClock clock = KeyClock.system();
+        MonotonicWallClock clock = MonotonicWallClock.system();
         KeyParts parts =
-                new KeyParts(self, options, issuer, log, peers, new KeyGauges(metrics), clock);
+                new KeyParts(self, options, issuer, log, peers, new KeyMetrics(metrics), clock);
         String name = "keys-" + self.node() + "-" + Long.toHexString(self.incarnation());
-        ActorRef<KeyMessage> keeper =
+        ActorRef<KeyMessage> actor =
                 Adapter.toTyped(system.classicSystem())
-                        .systemActorOf(KeyKeeper.create(parts), name, Props.empty());
-        return new ProtectedKeys(keeper, issuer, options, clock);
+                        .systemActorOf(KeyCoordinatorActor.create(parts), name, Props.empty());
+        return new ProtectedKeys(actor, issuer, options, clock);
     }
 
     @Override
     public CompletionStage<Answer> answer(
             CallerRequest request, Supplier<CompletionStage<Answer>> attempt) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        mKeeper.tell(new KeyMessage.Submitted(new KeyMessage.Call(request, attempt, answer)));
+        mActor.tell(new KeyMessage.Submitted(new KeyMessage.Call(request, attempt, answer)));
         return answer;
     }
 
@@ -68,26 +71,26 @@
         return Optional.of(mIssuer.issue(expires));
     }
 
-    /** Answers a request that a peer hands over, because it takes this process to own its key. */
+    /** Answers a request handed over by a peer that considers this process the owner of its key. */
     public CompletionStage<Answer> handedOver(
             CallerRequest request,
             Claimant owner,
             Function<CallerRequest, CompletionStage<Answer>> attempt) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         Supplier<CompletionStage<Answer>> run = () -> attempt.apply(request);
-        mKeeper.tell(new KeyMessage.HandedOver(new KeyMessage.Call(request, run, answer), owner));
+        mActor.tell(new KeyMessage.HandedOver(new KeyMessage.Call(request, run, answer), owner));
         return answer;
     }
 
-    /** How far this entry has read the claims stream. */
+    /** Returns this entry's read position in the claims stream. */
     public CompletionStage<Position> position() {
         CompletableFuture<Position> position = new CompletableFuture<>();
-        mKeeper.tell(new KeyMessage.PositionAsked(position));
+        mActor.tell(new KeyMessage.PositionRequested(position));
         return position;
     }
 
     @Override
     public void close() {
-        mKeeper.tell(KeyMessage.Stop.INSTANCE);
+        mActor.tell(KeyMessage.Stop.INSTANCE);
     }
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/package-info.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/package-info.java
@@ -1,2 +1,2 @@
-/** Carries out, over log and peer link, what the core decides about requests with keys. */
+/** Performs the actions of the key coordinator, over the platform's log and the peer link. */
 package org.foxtailplank.entry.internal.idempotency;
