--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
@@ -11,12 +11,12 @@
 @FunctionalInterface
 public interface ConfigurationChecker {
     /** A checker that reads it as every node will. */
-    static ConfigurationChecker bySettings() {
+    static ConfigurationChecker standard() {
         return new SettingsChecker();
     }
 
     /** Checks a base file with its overlays, JSON with comments. */
-    Checked check(String base, Map<ZoneId, String> overlays);
+    Result check(String base, Map<ZoneId, String> overlays);
 
     /**
      * What the check found.
@@ -24,15 +24,15 @@
      * @param shape what the fold needs to know; empty where there are errors
      * @param errors every error, each in a line of its own
      */
-    record Checked(Optional<FleetShape> shape, List<String> errors) {
+    record Result(Optional<FleetShape> shape, List<String> errors) {
         /** Without an error. */
-        public static Checked good(FleetShape shape) {
-            return new Checked(Optional.of(shape), List.of());
+        public static Result valid(FleetShape shape) {
+            return new Result(Optional.of(shape), List.of());
         }
 
         /** With errors. */
-        public static Checked bad(List<String> errors) {
-            return new Checked(Optional.empty(), List.copyOf(errors));
+        public static Result invalid(List<String> errors) {
+            return new Result(Optional.empty(), List.copyOf(errors));
         }
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationFollower.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationFollower.java
@@ -25,30 +25,30 @@
 
     private static final Log LOG = Log.of("config");
 
-    private final Settings mStart;
+    private final Settings mStartupSettings;
     private final ZoneId mZone;
     private final FleetLog mFleet;
     private final PeerLink mPeers;
     private final List<Consumer<Settings>> mListeners = new CopyOnWriteArrayList<>();
-    private Optional<Settings> mInForce = Optional.empty();
+    private Optional<Settings> mActive = Optional.empty();
     private volatile long mVersion;
 
     /** Follows the configuration for a node. */
     public ConfigurationFollower(Settings start, NodeId node, FleetLog fleet, PeerLink peers) {
-        mStart = start;
+        mStartupSettings = start;
         mZone = start.nodes().get(node).zone();
         mFleet = fleet;
         mPeers = peers;
-        fleet.onChange(this::look);
+        fleet.onChange(this::refresh);
     }
 
     /** Calls back with the configuration that is in force, if any, and each that comes in force. */
     public void onChange(Consumer<Settings> listener) {
         mFleet.read(
                 view -> {
-                    mInForce.ifPresent(listener);
+                    mActive.ifPresent(listener);
                     mListeners.add(listener);
-                    return take(view);
+                    return apply(view);
                 });
     }
 
@@ -57,17 +57,17 @@
         return mVersion;
     }
 
-    private void look() {
-        mFleet.read(this::take);
+    private void refresh() {
+        mFleet.read(this::apply);
     }
 
-    private Void take(FleetView view) {
-        view.configuration().filter(c -> c.version() > mVersion).ifPresent(this::putInForce);
+    private Void apply(FleetView view) {
+        view.configuration().filter(c -> c.version() > mVersion).ifPresent(this::activate);
         mPeers.reportConfiguration(mVersion);
         return null;
     }
 
-    private void putInForce(Configuration c) {
+    private void activate(Configuration c) {
         SettingsReader reader = SettingsReader.base("configuration " + c.version(), c.base());
         if (c.overlays().containsKey(mZone)) {
             reader = reader.withOverlay("overlay of " + mZone, c.overlays().get(mZone));
@@ -81,8 +81,8 @@
         }
         Settings settings = ((SettingsResult.Valid) result).settings();
         mVersion = c.version();
-        Settings effective = settings.withProcessPartsOf(mStart);
-        mInForce = Optional.of(effective);
+        Settings effective = settings.withProcessPartsOf(mStartupSettings);
+        mActive = Optional.of(effective);
         mListeners.forEach(l -> l.accept(effective));
         LOG.info("Configuration {0} is in force.", c.version());
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
@@ -16,21 +16,21 @@
 import org.apache.pekko.actor.typed.javadsl.Adapter;
 import org.apache.pekko.http.javadsl.server.Directives;
 import org.apache.pekko.http.javadsl.server.Route;
-import org.foxtailplank.controller.internal.Derived;
-import org.foxtailplank.controller.internal.act.BackendHealth;
-import org.foxtailplank.controller.internal.act.EpochParts;
-import org.foxtailplank.controller.internal.act.FleetWatch;
-import org.foxtailplank.controller.internal.act.HttpBackendHealth;
+import org.foxtailplank.controller.internal.SettingsDerivedValue;
+import org.foxtailplank.controller.internal.act.BackendHealthClient;
+import org.foxtailplank.controller.internal.act.EpochContext;
+import org.foxtailplank.controller.internal.act.FleetMonitor;
+import org.foxtailplank.controller.internal.act.HttpBackendHealthClient;
 import org.foxtailplank.controller.internal.act.LoopActor;
 import org.foxtailplank.controller.internal.act.Mailbox;
 import org.foxtailplank.controller.internal.act.RecordWriter;
+import org.foxtailplank.controller.internal.act.ShardContext;
 import org.foxtailplank.controller.internal.act.ShardLoop;
-import org.foxtailplank.controller.internal.act.ShardParts;
-import org.foxtailplank.controller.internal.act.VmRunner;
+import org.foxtailplank.controller.internal.act.VmStepExecutor;
 import org.foxtailplank.controller.internal.admin.AdminApi;
-import org.foxtailplank.controller.internal.admin.AdminParts;
+import org.foxtailplank.controller.internal.admin.AdminContext;
+import org.foxtailplank.controller.internal.place.PlacementContext;
 import org.foxtailplank.controller.internal.place.PlacementLoop;
-import org.foxtailplank.controller.internal.place.PlacementParts;
 import org.foxtailplank.controller.internal.plan.FleetPlanner;
 import org.foxtailplank.fleet.BufferPlanner;
 import org.foxtailplank.fleet.PlacementSettings;
@@ -52,11 +52,11 @@
     private static final Duration HEALTH_TIMEOUT = Duration.ofSeconds(1);
 
     private final ActorSystem<?> mSystem;
-    private final ControllerParts mParts;
+    private final ControllerParts mContext;
     private final RecordWriter mWriter;
     private final InstantSource mClock = InstantSource.system();
-    private final FleetWatch mWatch = new FleetWatch(mClock);
-    private final BackendHealth mHealth;
+    private final FleetMonitor mMonitor = new FleetMonitor(mClock);
+    private final BackendHealthClient mBackendHealth;
     private final AdminApi mApi;
     private final List<ActorRef<LoopActor.Command>> mShards = new ArrayList<>();
     private final Set<ZoneId> mZones = new HashSet<>();
@@ -64,25 +64,25 @@
 
     private Controller(ActorSystem<?> system, ControllerParts parts) {
         mSystem = system;
-        mParts = parts;
+        mContext = parts;
         // The id of a record must never come again, whatever earlier process had this node's name.
         String incarnation = UUID.randomUUID().toString();
         mWriter = new RecordWriter(parts.self(), incarnation, parts.log());
-        mHealth = new HttpBackendHealth(system, HEALTH_TIMEOUT);
+        mBackendHealth = new HttpBackendHealthClient(system, HEALTH_TIMEOUT);
         mSettings = parts.settings();
         mApi =
                 new AdminApi(
                         system,
-                        new AdminParts(
+                        new AdminContext(
                                 parts.self(),
                                 parts.log(),
                                 mWriter,
                                 this::settings,
                                 parts.peers(),
-                                mWatch,
-                                ConfigurationChecker.bySettings(),
+                                mMonitor,
+                                ConfigurationChecker.standard(),
                                 mClock));
-        parts.burn().ifPresent(burn -> mApi.serveBurn(burn, parts.settings()));
+        parts.burn().ifPresent(burn -> mApi.addBurnEndpoints(burn, parts.settings()));
     }
 
     /** Starts to act, and to answer on {@link #route()}. */
@@ -110,63 +110,72 @@
         for (ActorRef<LoopActor.Command> shard : mShards) {
             Adapter.toClassic(mSystem).stop(Adapter.toClassic(shard));
         }
-        LOG.info("Control of {0} has stopped.", mParts.self());
+        LOG.info("Control of {0} has stopped.", mContext.self());
     }
 
     private void startShard(ZoneId zone) {
-        ShardParts parts = shardParts();
-        start(zone, mailbox -> new ShardLoop(zone, parts, mailbox)::look, ShardLoop.LOOK_EVERY);
+        ShardContext parts = shardContext();
+        startLoop(
+                zone,
+                mailbox -> new ShardLoop(zone, parts, mailbox)::reconcile,
+                ShardLoop.RECONCILE_INTERVAL);
     }
 
     private void startPlacement() {
-        PlacementParts parts =
-                new PlacementParts(
+        PlacementContext parts =
+                new PlacementContext(
                         this::settings,
                         PlacementSettings.standard(),
-                        mParts.log(),
+                        mContext.log(),
                         mWriter,
-                        mParts.workers(),
-                        epochs(),
+                        mContext.workers(),
+                        epochContext(),
                         mClock);
-        start(
+        startLoop(
                 PlacementLoop.SHARD,
-                mailbox -> new PlacementLoop(parts, mailbox)::look,
-                PlacementLoop.LOOK_EVERY);
+                mailbox -> new PlacementLoop(parts, mailbox)::reconcile,
+                PlacementLoop.RECONCILE_INTERVAL);
     }
 
-    private void start(ZoneId shard, Function<Mailbox, Runnable> loop, Duration lookEvery) {
+    private void startLoop(ZoneId shard, Function<Mailbox, Runnable> loop, Duration lookEvery) {
         ActorRef<LoopActor.Command> actor =
                 mSystem.systemActorOf(
                         LoopActor.of(loop, lookEvery),
-                        "control-" + mParts.self() + "-" + shard,
+                        "control-" + mContext.self() + "-" + shard,
                         DispatcherSelector.fromConfig(DISPATCHER));
-        mParts.log().onChange(() -> actor.tell(LoopActor.Look.NOW));
+        mContext.log().onChange(() -> actor.tell(LoopActor.Reconcile.NOW));
         mShards.add(actor);
     }
 
-    private ShardParts shardParts() {
-        Derived<BufferPlanner> buffer =
-                new Derived<>(this::settings, s -> BufferPlanner.byDemand(s.fleet()));
-        Derived<VmProcedure> procedure =
-                new Derived<>(this::settings, s -> new VmProcedure(VmWaits.of(s.fleet())));
-        return new ShardParts(
-                mParts.log(),
+    private ShardContext shardContext() {
+        SettingsDerivedValue<BufferPlanner> buffer =
+                new SettingsDerivedValue<>(this::settings, s -> BufferPlanner.byDemand(s.fleet()));
+        SettingsDerivedValue<VmProcedure> procedure =
+                new SettingsDerivedValue<>(
+                        this::settings, s -> new VmProcedure(VmWaits.of(s.fleet())));
+        return new ShardContext(
+                mContext.log(),
                 mWriter,
-                epochs(),
-                new FleetPlanner(mParts.self().value(), WavePlanner.byRack(), buffer),
-                mWatch,
-                mParts.directory(),
-                new VmRunner(
-                        mParts.directory(), mParts.actions(), mHealth, procedure, mWriter, mClock),
+                epochContext(),
+                new FleetPlanner(mContext.self().value(), WavePlanner.byRack(), buffer),
+                mMonitor,
+                mContext.directory(),
+                new VmStepExecutor(
+                        mContext.directory(),
+                        mContext.actions(),
+                        mBackendHealth,
+                        procedure,
+                        mWriter,
+                        mClock),
                 mClock);
     }
 
-    private EpochParts epochs() {
-        return new EpochParts(
-                mParts.self(),
+    private EpochContext epochContext() {
+        return new EpochContext(
+                mContext.self(),
                 mWriter,
-                new Derived<>(this::settings, this::epochPolicy),
-                mParts.peers(),
+                new SettingsDerivedValue<>(this::settings, this::epochPolicy),
+                mContext.peers(),
                 mClock);
     }
 
@@ -175,7 +184,7 @@
                 settings.nodes().entrySet().stream()
                         .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue().zone()));
         PeerSettings peers = settings.peers();
-        return new EpochPolicy(mParts.self(), nodes, peers.silence(), peers.heartbeat());
+        return new EpochPolicy(mContext.self(), nodes, peers.silence(), peers.heartbeat());
     }
 
     private Settings settings() {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerLiveness.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerLiveness.java
@@ -15,7 +15,7 @@
 /** Tells from the peer link since when a node has been away. */
 public final class PeerLiveness implements PeerView {
     /** Longer than any wait: a node that has said that it leaves is not waited for. */
-    private static final Duration LEFT = Duration.ofDays(1);
+    private static final Duration LEFT_SILENCE = Duration.ofDays(1);
 
     private final PeerLink mLink;
     private final NodeId mSelf;
@@ -37,7 +37,7 @@
         mSilence = silence;
         mClock = clock;
         mStarted = clock.instant();
-        link.onChange(this::changed);
+        link.onChange(this::memberChanged);
     }
 
     @Override
@@ -48,7 +48,7 @@
         MemberState state = mLink.member(node).map(Member::state).orElse(MemberState.AWAY);
         return switch (state) {
             case ALIVE, SUSPECT -> Duration.ZERO;
-            case LEFT -> LEFT;
+            case LEFT -> LEFT_SILENCE;
             case AWAY -> silenceSince(mAwaySince.getOrDefault(node, mStarted));
         };
     }
@@ -64,7 +64,7 @@
         return mSilence.plus(Duration.between(away, mClock.instant()));
     }
 
-    private void changed(Member member) {
+    private void memberChanged(Member member) {
         if (member.state() == MemberState.AWAY) {
             mAwaySince.put(member.node(), mClock.instant());
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsChecker.java
@@ -16,26 +16,26 @@
     private static final String BASE = "base";
 
     @Override
-    public Checked check(String base, Map<ZoneId, String> overlays) {
+    public Result check(String base, Map<ZoneId, String> overlays) {
         SettingsReader reader = SettingsReader.base(BASE, base);
         SettingsResult whole = reader.read();
         if (whole instanceof SettingsResult.Invalid invalid) {
-            return Checked.bad(lines(invalid.problems()));
+            return Result.invalid(describe(invalid.problems()));
         }
         List<String> errors = new ArrayList<>();
         for (Map.Entry<ZoneId, String> overlay : new TreeMap<>(overlays).entrySet()) {
             String name = "overlay " + overlay.getKey();
             SettingsResult merged = reader.withOverlay(name, overlay.getValue()).read();
             if (merged instanceof SettingsResult.Invalid invalid) {
-                errors.addAll(lines(invalid.problems()));
+                errors.addAll(describe(invalid.problems()));
             }
         }
         return errors.isEmpty()
-                ? Checked.good(FleetShapes.of(((SettingsResult.Valid) whole).settings()))
-                : Checked.bad(errors);
+                ? Result.valid(FleetShapes.of(((SettingsResult.Valid) whole).settings()))
+                : Result.invalid(errors);
     }
 
-    private static List<String> lines(List<SettingsProblem> problems) {
+    private static List<String> describe(List<SettingsProblem> problems) {
         return problems.stream().map(SettingsProblem::toString).toList();
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/Derived.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsDerivedValue.java
@@ -9,24 +9,24 @@
  *
  * @param <T> what is made
  */
-public final class Derived<T> implements Supplier<T> {
+public final class SettingsDerivedValue<T> implements Supplier<T> {
     private final Supplier<Settings> mSettings;
-    private final Function<Settings, T> mMaker;
-    private Settings mMadeFrom;
+    private final Function<Settings, T> mFactory;
+    private Settings mSource;
     private T mValue;
 
     /** Makes a value from settings that may change. */
-    public Derived(Supplier<Settings> settings, Function<Settings, T> maker) {
+    public SettingsDerivedValue(Supplier<Settings> settings, Function<Settings, T> maker) {
         mSettings = settings;
-        mMaker = maker;
+        mFactory = maker;
     }
 
     @Override
     public synchronized T get() {
         Settings now = mSettings.get();
-        if (now != mMadeFrom) {
-            mValue = mMaker.apply(now);
-            mMadeFrom = now;
+        if (now != mSource) {
+            mValue = mFactory.apply(now);
+            mSource = now;
         }
         return mValue;
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/BackendHealth.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/BackendHealthClient.java
@@ -7,7 +7,7 @@
 
 /** Asks backend servers for their own word. */
 @FunctionalInterface
-public interface BackendHealth {
+public interface BackendHealthClient {
     /** The health answer of a backend server; empty when it gives none. */
-    CompletionStage<Optional<BackendReport>> ask(InetSocketAddress address);
+    CompletionStage<Optional<BackendReport>> fetch(InetSocketAddress address);
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochContext.java
@@ -15,7 +15,7 @@
  * @param liveness how long other nodes have been silent
  * @param clock decides only when to try
  */
-public record EpochParts(
+public record EpochContext(
         NodeId self,
         RecordWriter writer,
         Supplier<EpochPolicy> policy,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochKeeper.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochElection.java
@@ -19,7 +19,7 @@
 import org.foxtailplank.state.Verdict;
 
 /** Holds the epoch of one shard for this process, or tries for it when it is this one's turn. */
-public final class EpochKeeper {
+public final class EpochElection {
     private static final Log LOG = Log.of("control");
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -32,11 +32,11 @@
     private final Mailbox mMailbox;
     private final Instant mStarted;
     private OptionalLong mHeld = OptionalLong.empty();
-    private Instant mNextTry = Instant.MIN;
-    private boolean mTrying;
+    private Instant mNextAttempt = Instant.MIN;
+    private boolean mAttemptPending;
 
     /** A keeper that holds nothing yet; the mailbox brings back what became of a try. */
-    public EpochKeeper(ZoneId shard, EpochParts parts, Mailbox mailbox) {
+    public EpochElection(ZoneId shard, EpochContext parts, Mailbox mailbox) {
         mShard = shard;
         mSelf = parts.self();
         mPolicy = parts.policy();
@@ -60,22 +60,24 @@
         if (decision instanceof EpochDecision.Held) {
             return Optional.of(new ActingEpoch(mShard, read.number()));
         }
-        lose(read.number());
-        if (decision instanceof EpochDecision.Take take && !mTrying && !now.isBefore(mNextTry)) {
-            take(take, taken);
+        clearIfLost(read.number());
+        if (decision instanceof EpochDecision.Take take
+                && !mAttemptPending
+                && !now.isBefore(mNextAttempt)) {
+            acquire(take, taken);
         }
         return Optional.empty();
     }
 
-    private void lose(long number) {
+    private void clearIfLost(long number) {
         if (mHeld.isPresent() && mHeld.getAsLong() < number) {
             LOG.warn("Lost epoch {1} of {0} to another controller.", mShard, mHeld.getAsLong());
             mHeld = OptionalLong.empty();
         }
     }
 
-    private void take(EpochDecision.Take take, Runnable taken) {
-        mTrying = true;
+    private void acquire(EpochDecision.Take take, Runnable taken) {
+        mAttemptPending = true;
         long number = take.replaces() + 1;
         LOG.info("Tries for epoch {1} of {0}: {2}.", mShard, number, take.why());
         mMailbox.deliver(
@@ -84,12 +86,12 @@
                         Optional.empty(),
                         Map.of(),
                         new EpochTaken(mShard, take.replaces(), mSelf)),
-                verdict -> tried(number, verdict, taken));
+                verdict -> attemptCompleted(number, verdict, taken));
     }
 
-    private void tried(long number, Optional<Verdict> verdict, Runnable taken) {
-        mTrying = false;
-        mNextTry = mClock.instant().plus(RETRY_AFTER);
+    private void attemptCompleted(long number, Optional<Verdict> verdict, Runnable taken) {
+        mAttemptPending = false;
+        mNextAttempt = mClock.instant().plus(RETRY_AFTER);
         if (verdict.filter(Verdict::isApplied).isPresent()) {
             LOG.info("Holds epoch {1} of {0}.", mShard, number);
             mHeld = OptionalLong.of(number);
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetWatch.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetMonitor.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.foxtailplank.controller.internal.plan.Sight;
+import org.foxtailplank.controller.internal.plan.PlatformObservation;
 import org.foxtailplank.fleet.Observation;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.internal.control.PlatformCall;
@@ -21,33 +21,33 @@
 import org.foxtailplank.state.VmState;
 
 /** Keeps the platform's lagging list, and says from it which VMs do not serve. */
-public final class FleetWatch {
+public final class FleetMonitor {
     /** The list is some seconds old, so a VM that was just woken may not be in it yet. */
     private static final Duration LIST_LAG = Duration.ofSeconds(10);
 
-    private static final Duration ASK_EVERY = Duration.ofSeconds(5);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(5);
 
     private final InstantSource mClock;
     private final Map<VmId, Instant> mAbsentSince = new HashMap<>();
-    private Instant mNextAsk = Instant.MIN;
+    private Instant mNextPoll = Instant.MIN;
     private Optional<Map<VmId, VmReport>> mReports = Optional.empty();
 
     /** A watch that has seen nothing. */
-    public FleetWatch(InstantSource clock) {
+    public FleetMonitor(InstantSource clock) {
         mClock = clock;
     }
 
     /** Whether the list is to be asked for; true once in a while. */
-    public synchronized boolean isDue(Instant now) {
-        if (now.isBefore(mNextAsk)) {
+    public synchronized boolean claimPoll(Instant now) {
+        if (now.isBefore(mNextPoll)) {
             return false;
         }
-        mNextAsk = now.plus(ASK_EVERY);
+        mNextPoll = now.plus(POLL_INTERVAL);
         return true;
     }
 
     /** Takes in the newest list. */
-    public synchronized void saw(VmList list) {
+    public synchronized void update(VmList list) {
         mReports =
                 Optional.of(
                         list.vms().stream()
@@ -57,7 +57,7 @@
     }
 
     /** What the list shows; empty before there was one. */
-    public synchronized Optional<Sight> observe(FleetView view) {
+    public synchronized Optional<PlatformObservation> observe(FleetView view) {
         if (mReports.isEmpty()) {
             return Optional.empty();
         }
@@ -73,7 +73,7 @@
             health.filter(h -> settled && h.observedIn(vm.phase()).isPresent())
                     .ifPresent(h -> surprises.put(vm.id(), h));
         }
-        return Optional.of(new Sight(new Observation(silent, Map.of()), surprises));
+        return Optional.of(new PlatformObservation(new Observation(silent, Map.of()), surprises));
     }
 
     private Optional<VmHealth> health(VmState vm, Instant now) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/HttpBackendHealth.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/HttpBackendHealthClient.java
@@ -15,21 +15,21 @@
 import org.foxtailplank.internal.control.BackendReport;
 
 /** Asks for {@code GET /health} over HTTP. */
-public final class HttpBackendHealth implements BackendHealth {
+public final class HttpBackendHealthClient implements BackendHealthClient {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MAX_ANSWER_BYTES = 4096;
+    private static final int MAX_RESPONSE_BYTES = 4096;
 
     private final ClassicActorSystemProvider mSystem;
     private final Duration mTimeout;
 
     /** A client whose calls count as unanswered after a timeout. */
-    public HttpBackendHealth(ClassicActorSystemProvider system, Duration timeout) {
+    public HttpBackendHealthClient(ClassicActorSystemProvider system, Duration timeout) {
         mSystem = system;
         mTimeout = timeout;
     }
 
     @Override
-    public CompletionStage<Optional<BackendReport>> ask(InetSocketAddress address) {
+    public CompletionStage<Optional<BackendReport>> fetch(InetSocketAddress address) {
         String uri = "http://" + address.getHostString() + ":" + address.getPort() + "/health";
         return Http.get(mSystem)
                 .singleRequest(HttpRequest.GET(uri))
@@ -41,7 +41,7 @@
 
     private CompletionStage<Optional<BackendReport>> read(HttpResponse response) {
         return response.entity()
-                .withSizeLimit(MAX_ANSWER_BYTES)
+                .withSizeLimit(MAX_RESPONSE_BYTES)
                 .toStrict(mTimeout.toMillis(), mSystem)
                 .thenApply(body -> parse(body.getData().utf8String()));
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/LoopActor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/LoopActor.java
@@ -18,13 +18,13 @@
     public sealed interface Command {}
 
     /** It is time to look, or the state has changed. */
-    public enum Look implements Command {
+    public enum Reconcile implements Command {
         NOW
     }
 
     private record Deliver(Runnable handler) implements Command {}
 
-    private final Runnable mLook;
+    private final Runnable mReconcile;
 
     /**
      * The behavior of a loop.
@@ -45,21 +45,21 @@
             Function<Mailbox, Runnable> loop,
             Duration lookEvery) {
         super(context);
-        mLook = loop.apply(new PipeToSelf(context));
-        timers.startTimerWithFixedDelay(Look.NOW, lookEvery);
-        context.getSelf().tell(Look.NOW);
+        mReconcile = loop.apply(new PipeToSelf(context));
+        timers.startTimerWithFixedDelay(Reconcile.NOW, lookEvery);
+        context.getSelf().tell(Reconcile.NOW);
     }
 
     @Override
     public Receive<Command> createReceive() {
         return newReceiveBuilder()
-                .onMessage(Look.class, this::onLook)
+                .onMessage(Reconcile.class, this::onReconcile)
                 .onMessage(Deliver.class, this::onDeliver)
                 .build();
     }
 
-    private Behavior<Command> onLook(Look look) {
-        mLook.run();
+    private Behavior<Command> onReconcile(Reconcile look) {
+        mReconcile.run();
         return this;
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardContext.java
@@ -12,17 +12,17 @@
  * @param writer writes records
  * @param epochs what it takes to hold the shard's epoch
  * @param planner what to do next; of this shard alone
- * @param watch what is seen beside the log
+ * @param monitor what is seen beside the log
  * @param directory the platform's lagging list
- * @param runner takes the steps of pending intents; of this shard alone
+ * @param executor takes the steps of pending intents; of this shard alone
  * @param clock decides only when to look
  */
-public record ShardParts(
+public record ShardContext(
         FleetLog log,
         RecordWriter writer,
-        EpochParts epochs,
+        EpochContext epochs,
         ShardPlanner planner,
-        FleetWatch watch,
+        FleetMonitor monitor,
         VmDirectory directory,
-        VmRunner runner,
+        VmStepExecutor executor,
         InstantSource clock) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.stream.Collectors;
 import org.foxtailplank.controller.internal.plan.PlannedChange;
-import org.foxtailplank.controller.internal.plan.Sight;
+import org.foxtailplank.controller.internal.plan.PlatformObservation;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.internal.control.VmStep;
@@ -27,49 +27,50 @@
  * it doesn't matter which controller wrote an intent. Not thread-safe.
  */
 public final class ShardLoop {
-    public static final Duration LOOK_EVERY = Duration.ofMillis(250);
+    public static final Duration RECONCILE_INTERVAL = Duration.ofMillis(250);
     private static final Log LOG = Log.of("control");
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     /** A plan of a large fleet takes long; the pause keeps planning under 4% of a core. */
     private static final int PLAN_PAUSE_FACTOR = 25;
 
-    private static final int MAX_STEPS_AT_ONCE = 16;
+    private static final int MAX_CONCURRENT_STEPS = 16;
 
     private final ZoneId mZone;
-    private final ShardParts mParts;
+    private final ShardContext mContext;
     private final Mailbox mMailbox;
-    private final EpochKeeper mEpoch;
+    private final EpochElection mEpoch;
     private final Map<VmId, Instant> mNextStep = new HashMap<>();
-    private final Set<VmId> mStepping = new HashSet<>();
+    private final Set<VmId> mStepsInProgress = new HashSet<>();
     private Instant mNextPlan = Instant.MIN;
-    private boolean mLooking;
-    private boolean mLookAgain;
-    private int mWriting;
+    private boolean mReconciling;
+    private boolean mReconcileAgain;
+    private int mPendingWrites;
 
     /** A loop that has done nothing yet. */
-    public ShardLoop(ZoneId zone, ShardParts parts, Mailbox mailbox) {
+    public ShardLoop(ZoneId zone, ShardContext parts, Mailbox mailbox) {
         mZone = zone;
-        mParts = parts;
+        mContext = parts;
         mMailbox = mailbox;
-        mEpoch = new EpochKeeper(zone, parts.epochs(), mailbox);
+        mEpoch = new EpochElection(zone, parts.epochs(), mailbox);
     }
 
     /** Looks at the state and does what is next; at most one look is under way. */
-    public void look() {
-        mLookAgain = mLooking;
-        if (mLooking) {
+    public void reconcile() {
+        mReconcileAgain = mReconciling;
+        if (mReconciling) {
             return;
         }
-        mLooking = true;
-        Instant now = mParts.clock().instant();
-        boolean plans = mEpoch.mayHold() && mWriting == 0 && !now.isBefore(mNextPlan);
-        mMailbox.deliver(mParts.log().read(view -> look(view, plans, now)), this::looked);
+        mReconciling = true;
+        Instant now = mContext.clock().instant();
+        boolean plans = mEpoch.mayHold() && mPendingWrites == 0 && !now.isBefore(mNextPlan);
+        mMailbox.deliver(
+                mContext.log().read(view -> readSnapshot(view, plans, now)), this::snapshotRead);
     }
 
-    private ShardLook look(FleetView view, boolean plans, Instant now) {
-        ShardLook look = ShardLook.of(view, mZone);
-        Optional<Sight> sight = mParts.watch().observe(view);
+    private ShardSnapshot readSnapshot(FleetView view, boolean plans, Instant now) {
+        ShardSnapshot look = ShardSnapshot.of(view, mZone);
+        Optional<PlatformObservation> sight = mContext.monitor().observe(view);
         // Before the platform's list was seen, a fleet that runs already counts as powered off, and
         // a plan would wake all of it.
         if (!plans || view.configuration().isEmpty() || sight.isEmpty()) {
@@ -77,85 +78,86 @@
         }
         long begin = System.nanoTime();
         List<PlannedChange> changes =
-                mParts.planner().plan(view, mZone, sight.get(), now.toEpochMilli());
-        return look.with(changes, Duration.ofNanos(System.nanoTime() - begin));
+                mContext.planner().plan(view, mZone, sight.get(), now.toEpochMilli());
+        return look.withPlan(changes, Duration.ofNanos(System.nanoTime() - begin));
     }
 
-    private void looked(Optional<ShardLook> read) {
-        mLooking = false;
-        read.ifPresent(this::decide);
-        if (mLookAgain) {
-            look();
+    private void snapshotRead(Optional<ShardSnapshot> read) {
+        mReconciling = false;
+        read.ifPresent(this::actIfLeading);
+        if (mReconcileAgain) {
+            reconcile();
         }
     }
 
-    private void decide(ShardLook look) {
-        mEpoch.check(look.epoch(), this::look).ifPresent(epoch -> act(look, epoch));
+    private void actIfLeading(ShardSnapshot look) {
+        mEpoch.check(look.epoch(), this::reconcile).ifPresent(epoch -> act(look, epoch));
     }
 
-    private void act(ShardLook look, ActingEpoch epoch) {
-        Instant now = mParts.clock().instant();
+    private void act(ShardSnapshot look, ActingEpoch epoch) {
+        Instant now = mContext.clock().instant();
         Set<VmId> pending =
                 look.pending().stream().map(p -> p.vm().id()).collect(Collectors.toSet());
-        mParts.runner().keepOnly(pending);
+        mContext.executor().retainOnly(pending);
         mNextStep.keySet().retainAll(pending);
         for (PendingVm vm : look.pending()) {
-            step(vm, epoch, now);
+            startStep(vm, epoch, now);
         }
-        if (mWriting == 0 && look.planned().isPresent()) {
-            mNextPlan = now.plus(look.planning().multipliedBy(PLAN_PAUSE_FACTOR));
-            write(look.planned().get(), epoch);
+        if (mPendingWrites == 0 && look.plannedChanges().isPresent()) {
+            mNextPlan = now.plus(look.planningTime().multipliedBy(PLAN_PAUSE_FACTOR));
+            writeChanges(look.plannedChanges().get(), epoch);
         }
-        if (mParts.watch().isDue(now)) {
+        if (mContext.monitor().claimPoll(now)) {
             mMailbox.deliver(
-                    mParts.directory().list(Optional.empty()),
-                    list -> list.ifPresent(mParts.watch()::saw));
+                    mContext.directory().list(Optional.empty()),
+                    list -> list.ifPresent(mContext.monitor()::update));
         }
     }
 
-    private void step(PendingVm pending, ActingEpoch epoch, Instant now) {
+    private void startStep(PendingVm pending, ActingEpoch epoch, Instant now) {
         VmId vm = pending.vm().id();
         boolean due = !now.isBefore(mNextStep.getOrDefault(vm, Instant.MIN));
-        if (!due || mStepping.size() >= MAX_STEPS_AT_ONCE || !mStepping.add(vm)) {
+        if (!due || mStepsInProgress.size() >= MAX_CONCURRENT_STEPS || !mStepsInProgress.add(vm)) {
             return;
         }
-        mMailbox.deliver(mParts.runner().step(pending, epoch), step -> stepped(vm, step));
+        mMailbox.deliver(
+                mContext.executor().executeNext(pending, epoch), step -> stepCompleted(vm, step));
     }
 
-    private void stepped(VmId vm, Optional<VmStep> step) {
-        mStepping.remove(vm);
-        Duration pause = step.isPresent() ? LOOK_EVERY : RETRY_AFTER;
-        mNextStep.put(vm, mParts.clock().instant().plus(pause));
+    private void stepCompleted(VmId vm, Optional<VmStep> step) {
+        mStepsInProgress.remove(vm);
+        Duration pause = step.isPresent() ? RECONCILE_INTERVAL : RETRY_AFTER;
+        mNextStep.put(vm, mContext.clock().instant().plus(pause));
     }
 
-    private void write(List<PlannedChange> planned, ActingEpoch epoch) {
-        mWriting = planned.size();
+    private void writeChanges(List<PlannedChange> planned, ActingEpoch epoch) {
+        mPendingWrites = planned.size();
         for (PlannedChange change : planned) {
             CompletionStage<Verdict> verdict =
-                    mParts.writer()
+                    mContext.writer()
                             .write(
-                                    mParts.writer().nextId(),
+                                    mContext.writer().nextId(),
                                     Optional.of(epoch),
-                                    change.expects(),
+                                    change.expectedVersions(),
                                     change.change());
-            mMailbox.deliver(verdict, v -> written(change, v));
+            mMailbox.deliver(verdict, v -> changeWritten(change, v));
         }
     }
 
-    private void written(PlannedChange planned, Optional<Verdict> verdict) {
-        mWriting--;
+    private void changeWritten(PlannedChange planned, Optional<Verdict> verdict) {
+        mPendingWrites--;
         if (verdict.isEmpty()) {
-            mNextPlan = mParts.clock().instant().plus(RETRY_AFTER);
+            mNextPlan = mContext.clock().instant().plus(RETRY_AFTER);
         }
         if (verdict.orElse(null) instanceof Verdict.Void v) {
             // Whatever stood against it is in the state that the next look reads.
             LOG.info(
                     "In {0} a {1} is void: {2}, {3}.",
                     mZone, planned.change().getClass().getSimpleName(), v.reason(), v.detail());
-            mNextPlan = mParts.clock().instant().plus(LOOK_EVERY);
+            mNextPlan = mContext.clock().instant().plus(RECONCILE_INTERVAL);
         }
-        if (mWriting == 0) {
-            look();
+        if (mPendingWrites == 0) {
+            reconcile();
         }
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLook.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardSnapshot.java
@@ -17,16 +17,16 @@
  *
  * @param epoch who may act
  * @param pending VMs whose next step is due
- * @param planned changes to be written; empty where none were asked for
- * @param planning time that the plan took
+ * @param plannedChanges changes to be written; empty where none were asked for
+ * @param planningTime time that the plan took
  */
-record ShardLook(
+record ShardSnapshot(
         EpochState epoch,
         List<PendingVm> pending,
-        Optional<List<PlannedChange>> planned,
-        Duration planning) {
+        Optional<List<PlannedChange>> plannedChanges,
+        Duration planningTime) {
     /** Reads without planning. */
-    static ShardLook of(FleetView view, ZoneId zone) {
+    static ShardSnapshot of(FleetView view, ZoneId zone) {
         List<VmState> due =
                 view.vms().stream()
                         .filter(vm -> vm.zone().equals(zone) && PendingVm.isDue(view, vm))
@@ -36,11 +36,11 @@
                 due.stream()
                         .map(vm -> PendingVm.of(view, vm, tasks.getOrDefault(vm.id(), 0)))
                         .toList();
-        return new ShardLook(view.epoch(zone), pending, Optional.empty(), Duration.ZERO);
+        return new ShardSnapshot(view.epoch(zone), pending, Optional.empty(), Duration.ZERO);
     }
 
     /** Adds what was planned from the same state. */
-    ShardLook with(List<PlannedChange> changes, Duration planning) {
-        return new ShardLook(epoch, pending, Optional.of(changes), planning);
+    ShardSnapshot withPlan(List<PlannedChange> changes, Duration planning) {
+        return new ShardSnapshot(epoch, pending, Optional.of(changes), planning);
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmWatch.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
@@ -18,7 +18,7 @@
  *
  * <p>A controller that takes over starts these waits again; nothing is agreed by them.
  */
-final class VmWatch {
+final class VmObserver {
     private final Map<VmId, Instant> mLeavingSince = new HashMap<>();
     private final Map<VmId, Instant> mEndedSince = new HashMap<>();
 
@@ -30,22 +30,22 @@
                         .filter(a -> a.progress() != ActionReport.Progress.RUNNING)
                         .isPresent();
         return new VmObservation(
-                atPlatform(report),
+                toVmAtPlatform(report),
                 report.instance().isPresent(),
                 pending.willServe(),
                 pending.tasks(),
                 backend,
-                since(mLeavingSince, report.id(), report.leaving(), now),
-                since(mEndedSince, report.id(), ended && !report.leaving(), now));
+                elapsed(mLeavingSince, report.id(), report.leaving(), now),
+                elapsed(mEndedSince, report.id(), ended && !report.leaving(), now));
     }
 
     /** Forgets VMs that have nothing pending any more. */
-    synchronized void keepOnly(Set<VmId> vms) {
+    synchronized void retainOnly(Set<VmId> vms) {
         mLeavingSince.keySet().retainAll(vms);
         mEndedSince.keySet().retainAll(vms);
     }
 
-    private static Duration since(Map<VmId, Instant> times, VmId vm, boolean holds, Instant now) {
+    private static Duration elapsed(Map<VmId, Instant> times, VmId vm, boolean holds, Instant now) {
         if (!holds) {
             times.remove(vm);
             return Duration.ZERO;
@@ -53,7 +53,7 @@
         return Duration.between(times.computeIfAbsent(vm, v -> now), now);
     }
 
-    private static VmAtPlatform atPlatform(VmReport report) {
+    private static VmAtPlatform toVmAtPlatform(VmReport report) {
         VmAtPlatform.Power power =
                 switch (report.power()) {
                     case OFF, FAILED -> VmAtPlatform.Power.DOWN;
@@ -61,11 +61,12 @@
                     case ON, DRAINING -> VmAtPlatform.Power.UP;
                 };
         Optional<VmAtPlatform.ReportedAction> action =
-                report.lastAction().map(a -> new VmAtPlatform.ReportedAction(a.id(), progress(a)));
+                report.lastAction()
+                        .map(a -> new VmAtPlatform.ReportedAction(a.id(), toProgress(a)));
         return new VmAtPlatform(power, report.leaving(), report.generation(), action);
     }
 
-    private static VmAtPlatform.Progress progress(ActionReport action) {
+    private static VmAtPlatform.Progress toProgress(ActionReport action) {
         return switch (action.progress()) {
             case RUNNING -> VmAtPlatform.Progress.RUNNING;
             case DONE -> VmAtPlatform.Progress.DONE;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmRunner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
@@ -31,57 +31,57 @@
 import org.foxtailplank.state.VmState;
 
 /** Takes one step at a time for a VM whose intent is pending: looks, decides, does. */
-public final class VmRunner {
+public final class VmStepExecutor {
     private static final Log LOG = Log.of("control");
 
     private final VmDirectory mDirectory;
     private final VmActions mActions;
-    private final BackendHealth mHealth;
+    private final BackendHealthClient mBackendHealth;
     private final Supplier<VmProcedure> mProcedure;
     private final RecordWriter mWriter;
     private final InstantSource mClock;
-    private final VmWatch mWatch = new VmWatch();
+    private final VmObserver mObserver = new VmObserver();
 
     /** A runner over the platform and the log. */
-    public VmRunner(
+    public VmStepExecutor(
             VmDirectory directory,
             VmActions actions,
-            BackendHealth health,
+            BackendHealthClient health,
             Supplier<VmProcedure> procedure,
             RecordWriter writer,
             InstantSource clock) {
         mDirectory = directory;
         mActions = actions;
-        mHealth = health;
+        mBackendHealth = health;
         mProcedure = procedure;
         mWriter = writer;
         mClock = clock;
     }
 
     /** Takes the next step of a VM; the stage holds the step that was taken. */
-    CompletionStage<VmStep> step(PendingVm pending, ActingEpoch epoch) {
+    CompletionStage<VmStep> executeNext(PendingVm pending, ActingEpoch epoch) {
         return mDirectory
                 .find(pending.vm().id())
                 .thenCompose(
                         report ->
-                                report.map(r -> lookCloser(pending, r, epoch))
-                                        .orElseGet(VmRunner::unknownVm));
+                                report.map(r -> inspectAndExecute(pending, r, epoch))
+                                        .orElseGet(VmStepExecutor::unknownVm));
     }
 
-    void keepOnly(Set<VmId> vms) {
-        mWatch.keepOnly(vms);
+    void retainOnly(Set<VmId> vms) {
+        mObserver.retainOnly(vms);
     }
 
     private static CompletionStage<VmStep> unknownVm() {
         return completedFuture(new VmStep.Wait("the platform to know the VM"));
     }
 
-    private CompletionStage<VmStep> lookCloser(
+    private CompletionStage<VmStep> inspectAndExecute(
             PendingVm pending, VmReport report, ActingEpoch epoch) {
         CompletionStage<Optional<BackendReport>> health =
                 report.instance()
                         .map(InstanceReport::address)
-                        .map(mHealth::ask)
+                        .map(mBackendHealth::fetch)
                         .orElseGet(() -> completedFuture(Optional.empty()));
         return health.thenCompose(
                 word -> {
@@ -90,33 +90,33 @@
                                     .get()
                                     .next(
                                             pending.vm(),
-                                            mWatch.observe(
+                                            mObserver.observe(
                                                     pending, report, word, mClock.instant()));
-                    return take(step, pending, epoch).thenApply(done -> step);
+                    return execute(step, pending, epoch).thenApply(done -> step);
                 });
     }
 
-    private CompletionStage<?> take(VmStep step, PendingVm pending, ActingEpoch epoch) {
+    private CompletionStage<?> execute(VmStep step, PendingVm pending, ActingEpoch epoch) {
         VmId vm = pending.vm().id();
         if (step instanceof VmStep.AskDrain ask) {
-            return ask(pending, ask.call(), PlatformAction.DRAIN, "it is to stop");
+            return requestAction(pending, ask.call(), PlatformAction.DRAIN, "it is to stop");
         }
         if (step instanceof VmStep.AskAction ask) {
-            return ask(pending, ask.call(), toPlatform(ask.action()), ask.note());
+            return requestAction(pending, ask.call(), toPlatform(ask.action()), ask.note());
         }
         if (step instanceof VmStep.Confirm confirm) {
             long generation = pending.vm().generation();
             Change change = new VmActionConfirmed(vm, generation, confirm.outcome());
-            return record(pending, change, epoch, confirm.outcome() + ", " + confirm.note());
+            return writeRecord(pending, change, epoch, confirm.outcome() + ", " + confirm.note());
         }
         if (step instanceof VmStep.Join join) {
             Change change = new VmJoined(vm, join.to());
-            return record(pending, change, epoch, "joins " + join.to() + ", " + join.note());
+            return writeRecord(pending, change, epoch, "joins " + join.to() + ", " + join.note());
         }
         return completedFuture(null);
     }
 
-    private CompletionStage<ActionReply> ask(
+    private CompletionStage<ActionReply> requestAction(
             PendingVm pending, PlatformCall call, PlatformAction action, String note) {
         VmState state = pending.vm();
         VmId vm = state.id();
@@ -131,7 +131,7 @@
                         state.poolGeneration()));
     }
 
-    private CompletionStage<Verdict> record(
+    private CompletionStage<Verdict> writeRecord(
             PendingVm pending, Change change, ActingEpoch epoch, String note) {
         VmId vm = pending.vm().id();
         LOG.info("Records of {0}: {1}.", vm, note);
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
@@ -27,25 +27,27 @@
     private static final long BODY_TIMEOUT_MS = 10_000;
 
     private final ClassicActorSystemProvider mSystem;
-    private final Tokens mTokens;
+    private final TokenAuthenticator mAuthenticator;
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
     /** An API over the agreed state. */
-    public AdminApi(ClassicActorSystemProvider system, AdminParts parts) {
+    public AdminApi(ClassicActorSystemProvider system, AdminContext parts) {
         mSystem = system;
         FleetLog log = parts.log();
         Supplier<Settings> settings = parts.settings();
-        Submitter submitter = new Submitter(log, parts.writer());
-        mTokens = new Tokens(() -> settings.get().teams());
-        mEndpoints.addAll(new Explains(log, settings, parts.watch(), parts.clock()).endpoints());
-        mEndpoints.addAll(new Reads(log, settings, parts.self(), parts.peers()).endpoints());
-        mEndpoints.addAll(new Publications(log, submitter, parts.checker()).endpoints());
-        mEndpoints.addAll(new Changes(log, submitter, settings).endpoints());
+        ChangeSubmitter submitter = new ChangeSubmitter(log, parts.writer());
+        mAuthenticator = new TokenAuthenticator(() -> settings.get().teams());
+        mEndpoints.addAll(
+                new ExplainEndpoints(log, settings, parts.monitor(), parts.clock()).endpoints());
+        mEndpoints.addAll(
+                new ReadEndpoints(log, settings, parts.self(), parts.peers()).endpoints());
+        mEndpoints.addAll(new ConfigurationEndpoints(log, submitter, parts.checker()).endpoints());
+        mEndpoints.addAll(new ChangeEndpoints(log, submitter, settings).endpoints());
     }
 
     /** Answers for service-level burn as well. */
-    public void serveBurn(BurnLog burn, Settings settings) {
-        mEndpoints.addAll(new BurnReads(burn, settings, InstantSource.system()).endpoints());
+    public void addBurnEndpoints(BurnLog burn, Settings settings) {
+        mEndpoints.addAll(new BurnEndpoints(burn, settings, InstantSource.system()).endpoints());
     }
 
     /** Answers one call; the stage never fails. */
@@ -54,25 +56,26 @@
                 .withSizeLimit(MAX_BODY_BYTES)
                 .toStrict(BODY_TIMEOUT_MS, mSystem)
                 .handle((body, error) -> error == null ? body.getData().utf8String() : null)
-                .thenCompose(body -> answer(request, body))
-                .exceptionally(AdminApi::failed)
+                .thenCompose(body -> respond(request, body))
+                .exceptionally(AdminApi::internalError)
                 .thenApply(a -> JsonRoutes.answer(a.status(), a.body()));
     }
 
-    private CompletionStage<Answer> answer(HttpRequest request, String body) {
-        Optional<Caller> caller =
-                mTokens.find(request.getHeader("Authorization").map(h -> h.value()));
+    private CompletionStage<ApiResponse> respond(HttpRequest request, String body) {
+        Optional<Principal> caller =
+                mAuthenticator.authenticate(request.getHeader("Authorization").map(h -> h.value()));
         if (caller.isEmpty()) {
-            return completedFuture(Answer.problem(Problem.noToken()));
+            return completedFuture(ApiResponse.problem(Problem.unauthenticated()));
         }
         if (body == null) {
             String detail = "It did not arrive whole, or is over " + MAX_BODY_BYTES + " bytes.";
-            return completedFuture(Answer.problem(Problem.badBody(detail)));
+            return completedFuture(ApiResponse.problem(Problem.invalidBody(detail)));
         }
         return dispatch(request, caller.get(), body);
     }
 
-    private CompletionStage<Answer> dispatch(HttpRequest request, Caller caller, String body) {
+    private CompletionStage<ApiResponse> dispatch(
+            HttpRequest request, Principal caller, String body) {
         String path = request.getUri().path();
         List<String> segments = Endpoint.segments(path);
         String method = request.method().value();
@@ -84,24 +87,29 @@
             }
             pathKnown = true;
             if (endpoint.method().equals(method)) {
-                return call(endpoint, new Call(caller, names.get(), query(request), body));
+                return invoke(endpoint, new ApiRequest(caller, names.get(), query(request), body));
             }
         }
         return completedFuture(
-                Answer.problem(pathKnown ? Problem.noMethod(method, path) : Problem.noPath(path)));
+                ApiResponse.problem(
+                        pathKnown
+                                ? Problem.methodNotAllowed(method, path)
+                                : Problem.pathNotFound(path)));
     }
 
-    private static CompletionStage<Answer> call(Endpoint endpoint, Call call) {
-        Caller caller = call.caller();
-        if (!caller.role().includes(endpoint.role())) {
+    private static CompletionStage<ApiResponse> invoke(Endpoint endpoint, ApiRequest call) {
+        Principal caller = call.principal();
+        if (!caller.role().includes(endpoint.requiredRole())) {
             String team = caller.team().value();
             return completedFuture(
-                    Answer.problem(Problem.roleTooLow(team, caller.role(), endpoint.role())));
+                    ApiResponse.problem(
+                            Problem.insufficientRole(
+                                    team, caller.role(), endpoint.requiredRole())));
         }
         try {
             return endpoint.handler().handle(call);
-        } catch (Call.BadBodyException | IllegalArgumentException e) {
-            return completedFuture(Answer.problem(Problem.badBody(e.getMessage())));
+        } catch (ApiRequest.InvalidBodyException | IllegalArgumentException e) {
+            return completedFuture(ApiResponse.problem(Problem.invalidBody(e.getMessage())));
         }
     }
 
@@ -110,8 +118,8 @@
                 .collect(Collectors.toMap(Pair::first, Pair::second, (a, b) -> b));
     }
 
-    private static Answer failed(Throwable error) {
+    private static ApiResponse internalError(Throwable error) {
         LOG.error("A call failed: {0}.", error);
-        return Answer.problem(Problem.internal());
+        return ApiResponse.problem(Problem.internalError());
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminContext.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.foxtailplank.controller.ConfigurationChecker;
 import org.foxtailplank.controller.internal.PeerView;
-import org.foxtailplank.controller.internal.act.FleetWatch;
+import org.foxtailplank.controller.internal.act.FleetMonitor;
 import org.foxtailplank.controller.internal.act.RecordWriter;
 import org.foxtailplank.id.NodeId;
 import org.foxtailplank.platform.FleetLog;
@@ -18,16 +18,16 @@
  * @param writer writes records
  * @param settings the settings in force
  * @param peers what is heard of the other nodes
- * @param watch what the platform's list shows
+ * @param monitor what the platform's list shows
  * @param checker checks configurations before they are published
  * @param clock time for explanations
  */
-public record AdminParts(
+public record AdminContext(
         NodeId self,
         FleetLog log,
         RecordWriter writer,
         Supplier<Settings> settings,
         PeerView peers,
-        FleetWatch watch,
+        FleetMonitor monitor,
         ConfigurationChecker checker,
         InstantSource clock) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Call.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
@@ -12,48 +12,49 @@
 /**
  * A call to the administration API, after its token was accepted.
  *
- * @param caller who calls
- * @param names values of the path's placeholders, in order
+ * @param principal who calls
+ * @param pathParameters values of the path's placeholders, in order
  * @param query query parameters
  * @param body the body as text
  */
-record Call(Caller caller, List<String> names, Map<String, String> query, String body) {
+record ApiRequest(
+        Principal principal, List<String> pathParameters, Map<String, String> query, String body) {
     static final ObjectMapper JSON =
             new ObjectMapper()
                     .registerModule(new Jdk8Module())
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    String name() {
-        return names.get(0);
+    String pathParameter() {
+        return pathParameters.get(0);
     }
 
     /** Who asks for a change and why, as the log keeps it. */
-    Author author(Bodies.ChangeBody body) {
-        String team = caller.team().value();
+    Author author(RequestBodies.ChangeBody body) {
+        String team = principal.team().value();
         String who = body.who() == null || body.who().isBlank() ? team : team + "/" + body.who();
         return new Author(who, body.why());
     }
 
     /** Reads the body into a typed record. */
-    <T> T read(Class<T> type) throws BadBodyException {
+    <T> T parseBody(Class<T> type) throws InvalidBodyException {
         if (body.isBlank()) {
-            throw new BadBodyException("The body is empty.");
+            throw new InvalidBodyException("The body is empty.");
         }
         try {
             T read = JSON.readValue(body, type);
             if (read == null) {
-                throw new BadBodyException("The body is null.");
+                throw new InvalidBodyException("The body is null.");
             }
             return read;
         } catch (ValueInstantiationException e) {
-            throw new BadBodyException(e.getCause().getMessage());
+            throw new InvalidBodyException(e.getCause().getMessage());
         } catch (JsonProcessingException e) {
-            throw new BadBodyException(e.getOriginalMessage() + at(e));
+            throw new InvalidBodyException(e.getOriginalMessage() + location(e));
         }
     }
 
-    private static String at(JsonProcessingException e) {
+    private static String location(JsonProcessingException e) {
         return e.getLocation() == null
                 ? ""
                 : " (line %d, column %d)"
@@ -61,8 +62,8 @@
     }
 
     /** The body could not be read. */
-    static final class BadBodyException extends Exception {
-        BadBodyException(String message) {
+    static final class InvalidBodyException extends Exception {
+        InvalidBodyException(String message) {
             super(message);
         }
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Answer.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiResponse.java
@@ -6,17 +6,17 @@
  * @param status HTTP status
  * @param body record that is written as JSON
  */
-record Answer(int status, Object body) {
-    static Answer ok(Object body) {
-        return new Answer(200, body);
+record ApiResponse(int status, Object body) {
+    static ApiResponse ok(Object body) {
+        return new ApiResponse(200, body);
     }
 
-    static Answer problem(Problem problem) {
-        return new Answer(problem.status(), new ProblemBody(problem, null));
+    static ApiResponse problem(Problem problem) {
+        return new ApiResponse(problem.status(), new ProblemBody(problem, null));
     }
 
-    static Answer conflict(Problem problem, Object current) {
-        return new Answer(problem.status(), new ProblemBody(problem, current));
+    static ApiResponse conflict(Problem problem, Object current) {
+        return new ApiResponse(problem.status(), new ProblemBody(problem, current));
     }
 
     /**
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/BurnReads.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/BurnEndpoints.java
@@ -16,35 +16,37 @@
 import org.foxtailplank.slo.Spend;
 
 /** The call that reads service-level burn. */
-final class BurnReads {
+final class BurnEndpoints {
     private static final long DEFAULT_WINDOW_SECONDS = 3600;
 
     private final BurnLog mBurn;
     private final Map<ServiceId, Double> mObjectives = new TreeMap<>();
     private final InstantSource mClock;
 
-    BurnReads(BurnLog burn, Settings settings, InstantSource clock) {
+    BurnEndpoints(BurnLog burn, Settings settings, InstantSource clock) {
         mBurn = burn;
         mClock = clock;
         settings.services().forEach((id, service) -> mObjectives.put(id, service.objective()));
     }
 
     List<Endpoint> endpoints() {
-        return List.of(Endpoint.of("GET", "/v1/burn", Role.READER, this::burn));
+        return List.of(Endpoint.of("GET", "/v1/burn", Role.READER, this::readBurn));
     }
 
-    private CompletionStage<Answer> burn(Call call) throws Call.BadBodyException {
+    private CompletionStage<ApiResponse> readBurn(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
         Duration window = window(Optional.ofNullable(call.query().get("windowSeconds")));
         Optional<String> service = Optional.ofNullable(call.query().get("service"));
         return mBurn.refresh()
                 .thenApply(
                         done -> {
                             BurnReport report = mBurn.report(mObjectives, window, mClock.instant());
-                            return Answer.ok(BurnView.of(report, service));
+                            return ApiResponse.ok(BurnView.of(report, service));
                         });
     }
 
-    private static Duration window(Optional<String> seconds) throws Call.BadBodyException {
+    private static Duration window(Optional<String> seconds)
+            throws ApiRequest.InvalidBodyException {
         try {
             long s = seconds.map(Long::valueOf).orElse(DEFAULT_WINDOW_SECONDS);
             if (s <= 0) {
@@ -52,7 +54,8 @@
             }
             return Duration.ofSeconds(s);
         } catch (NumberFormatException e) {
-            throw new Call.BadBodyException("windowSeconds is not a whole number above 0.");
+            throw new ApiRequest.InvalidBodyException(
+                    "windowSeconds is not a whole number above 0.");
         }
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Changes.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeEndpoints.java
@@ -9,7 +9,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.foxtailplank.controller.internal.admin.Bodies.ChangeBody;
+import org.foxtailplank.controller.internal.admin.RequestBodies.ChangeBody;
 import org.foxtailplank.id.JobId;
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.id.TeamId;
@@ -35,12 +35,12 @@
 import org.foxtailplank.state.WaveStarted;
 
 /** The calls that change something; each is one record on condition of a version. */
-final class Changes {
+final class ChangeEndpoints {
     private final FleetLog mLog;
-    private final Submitter mSubmitter;
+    private final ChangeSubmitter mSubmitter;
     private final Supplier<Settings> mSettings;
 
-    Changes(FleetLog log, Submitter submitter, Supplier<Settings> settings) {
+    ChangeEndpoints(FleetLog log, ChangeSubmitter submitter, Supplier<Settings> settings) {
         mLog = log;
         mSubmitter = submitter;
         mSettings = settings;
@@ -48,32 +48,34 @@
 
     List<Endpoint> endpoints() {
         return List.of(
-                operator("PUT", "/v1/pools/*/target", this::target),
-                operator("POST", "/v1/vms/*/move", this::move),
+                operator("PUT", "/v1/pools/*/target", this::setTarget),
+                operator("POST", "/v1/vms/*/move", this::moveVm),
                 operator("POST", "/v1/waves", this::startWave),
-                operator("POST", "/v1/waves/*/pause", call -> order(call, WaveOrder.PAUSE)),
-                operator("POST", "/v1/waves/*/resume", call -> order(call, WaveOrder.RESUME)),
-                operator("POST", "/v1/waves/*/cancel", call -> order(call, WaveOrder.CANCEL)),
+                operator("POST", "/v1/waves/*/pause", call -> controlWave(call, WaveOrder.PAUSE)),
+                operator("POST", "/v1/waves/*/resume", call -> controlWave(call, WaveOrder.RESUME)),
+                operator("POST", "/v1/waves/*/cancel", call -> controlWave(call, WaveOrder.CANCEL)),
                 Endpoint.of("POST", "/v1/jobs", Role.SUBMITTER, this::submitJob),
                 Endpoint.of("POST", "/v1/jobs/*/cancel", Role.SUBMITTER, this::cancelJob),
-                operator("PUT", "/v1/teams/*/quota", this::quota));
+                operator("PUT", "/v1/teams/*/quota", this::setQuota));
     }
 
     private static Endpoint operator(String method, String path, Endpoint.Handler handler) {
         return Endpoint.of(method, path, Role.OPERATOR, handler);
     }
 
-    private CompletionStage<Answer> target(Call call) throws Call.BadBodyException {
-        Bodies.TargetBody body = call.read(Bodies.TargetBody.class);
-        PoolId pool = PoolId.of(call.name());
+    private CompletionStage<ApiResponse> setTarget(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.TargetBody body = call.parseBody(RequestBodies.TargetBody.class);
+        PoolId pool = PoolId.of(call.pathParameter());
         Change change =
                 new PoolTargetChanged(pool, body.target(), body.reserve(), call.author(body));
-        return write(body, ObjectKey.of(pool), change);
+        return submit(body, ObjectKey.of(pool), change);
     }
 
-    private CompletionStage<Answer> move(Call call) throws Call.BadBodyException {
-        Bodies.MoveBody body = call.read(Bodies.MoveBody.class);
-        VmId vm = VmId.of(call.name());
+    private CompletionStage<ApiResponse> moveVm(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.MoveBody body = call.parseBody(RequestBodies.MoveBody.class);
+        VmId vm = VmId.of(call.pathParameter());
         PoolId to = PoolId.of(body.to());
         Author author = call.author(body);
         return mLog.read(view -> view.vm(vm).map(state -> state.pool()))
@@ -81,45 +83,48 @@
                         from ->
                                 from.map(
                                                 p ->
-                                                        write(
+                                                        submit(
                                                                 body,
                                                                 ObjectKey.of(vm),
                                                                 new VmReleased(vm, p, to, author)))
-                                        .orElseGet(() -> unknown(ObjectKey.of(vm))));
+                                        .orElseGet(() -> objectNotFound(ObjectKey.of(vm))));
     }
 
-    private CompletionStage<Answer> startWave(Call call) throws Call.BadBodyException {
-        Bodies.WaveBody body = call.read(Bodies.WaveBody.class);
+    private CompletionStage<ApiResponse> startWave(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.WaveBody body = call.parseBody(RequestBodies.WaveBody.class);
         WaveId wave = WaveId.of(body.id());
         Set<ZoneId> zones = ids(body.zones(), ZoneId::of);
         Optional<ZoneId> strange =
                 zones.stream().filter(z -> !mSettings.get().zones().containsKey(z)).findFirst();
         if (strange.isPresent()) {
-            return completedFuture(Answer.problem(Problem.unknownZone(strange.get())));
+            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(strange.get())));
         }
         Change change =
                 new WaveStarted(wave, zones, ids(body.pools(), PoolId::of), call.author(body));
-        return write(body, ObjectKey.of(wave), change);
+        return submit(body, ObjectKey.of(wave), change);
     }
 
-    private CompletionStage<Answer> order(Call call, WaveOrder order) throws Call.BadBodyException {
-        Bodies.OrderBody body = call.read(Bodies.OrderBody.class);
-        WaveId wave = WaveId.of(call.name());
+    private CompletionStage<ApiResponse> controlWave(ApiRequest call, WaveOrder order)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.ControlBody body = call.parseBody(RequestBodies.ControlBody.class);
+        WaveId wave = WaveId.of(call.pathParameter());
         Change change = new WaveControlled(wave, order, call.author(body));
-        return write(body, ObjectKey.of(wave), change);
+        return submit(body, ObjectKey.of(wave), change);
     }
 
-    private CompletionStage<Answer> submitJob(Call call) throws Call.BadBodyException {
-        Bodies.JobBody body = call.read(Bodies.JobBody.class);
-        TeamId team = body.team() == null ? call.caller().team() : TeamId.of(body.team());
-        if (!call.caller().mayActFor(team)) {
-            return completedFuture(Answer.problem(otherTeam(call, team)));
+    private CompletionStage<ApiResponse> submitJob(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.JobBody body = call.parseBody(RequestBodies.JobBody.class);
+        TeamId team = body.team() == null ? call.principal().team() : TeamId.of(body.team());
+        if (!call.principal().mayActFor(team)) {
+            return completedFuture(ApiResponse.problem(teamMismatch(call, team)));
         }
         RequestClass urgency =
                 RequestClass.parse(body.urgency())
                         .orElseThrow(
                                 () ->
-                                        new Call.BadBodyException(
+                                        new ApiRequest.InvalidBodyException(
                                                 "The field 'urgency' is none of urgent,"
                                                         + " interactive, batch."));
         JobId job = JobId.of(body.id());
@@ -133,46 +138,49 @@
                         body.accelerators(),
                         body.tasks());
         Change change = new JobSubmitted(job, spec, call.author(body));
-        return write(body, ObjectKey.of(job), change);
+        return submit(body, ObjectKey.of(job), change);
     }
 
-    private CompletionStage<Answer> cancelJob(Call call) throws Call.BadBodyException {
-        Bodies.OrderBody body = call.read(Bodies.OrderBody.class);
-        JobId job = JobId.of(call.name());
+    private CompletionStage<ApiResponse> cancelJob(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.ControlBody body = call.parseBody(RequestBodies.ControlBody.class);
+        JobId job = JobId.of(call.pathParameter());
         Change change = new JobCancelled(job, call.author(body));
         return mLog.read(view -> view.job(job).map(JobState::spec).map(JobSpec::team))
                 .thenCompose(
                         team -> {
                             if (team.isEmpty()) {
-                                return unknown(ObjectKey.of(job));
+                                return objectNotFound(ObjectKey.of(job));
                             }
-                            if (!call.caller().mayActFor(team.get())) {
-                                return completedFuture(Answer.problem(otherTeam(call, team.get())));
+                            if (!call.principal().mayActFor(team.get())) {
+                                return completedFuture(
+                                        ApiResponse.problem(teamMismatch(call, team.get())));
                             }
-                            return write(body, ObjectKey.of(job), change);
+                            return submit(body, ObjectKey.of(job), change);
                         });
     }
 
-    private CompletionStage<Answer> quota(Call call) throws Call.BadBodyException {
-        Bodies.QuotaBody body = call.read(Bodies.QuotaBody.class);
-        TeamId team = TeamId.of(call.name());
+    private CompletionStage<ApiResponse> setQuota(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.QuotaBody body = call.parseBody(RequestBodies.QuotaBody.class);
+        TeamId team = TeamId.of(call.pathParameter());
         if (!mSettings.get().teams().containsKey(team)) {
-            return unknown(ObjectKey.of(team));
+            return objectNotFound(ObjectKey.of(team));
         }
         Change change = new TeamQuotaChanged(team, body.quota(), call.author(body));
-        return write(body, ObjectKey.of(team), change);
+        return submit(body, ObjectKey.of(team), change);
     }
 
-    private CompletionStage<Answer> write(ChangeBody body, ObjectKey key, Change change) {
+    private CompletionStage<ApiResponse> submit(ChangeBody body, ObjectKey key, Change change) {
         return mSubmitter.submit(change, key, body.version());
     }
 
-    private static CompletionStage<Answer> unknown(ObjectKey key) {
-        return completedFuture(Answer.problem(Problem.unknown(key)));
+    private static CompletionStage<ApiResponse> objectNotFound(ObjectKey key) {
+        return completedFuture(ApiResponse.problem(Problem.objectNotFound(key)));
     }
 
-    private static Problem otherTeam(Call call, TeamId team) {
-        return Problem.otherTeam(call.caller().team().value(), team.value());
+    private static Problem teamMismatch(ApiRequest call, TeamId team) {
+        return Problem.teamMismatch(call.principal().team().value(), team.value());
     }
 
     private static <T> Set<T> ids(Set<String> names, Function<String, T> id) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Submitter.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeSubmitter.java
@@ -14,11 +14,11 @@
 import org.foxtailplank.state.Verdict;
 
 /** Writes an operator's change and answers with the verdict. */
-final class Submitter {
+final class ChangeSubmitter {
     private final FleetLog mLog;
     private final RecordWriter mWriter;
 
-    Submitter(FleetLog log, RecordWriter writer) {
+    ChangeSubmitter(FleetLog log, RecordWriter writer) {
         mLog = log;
         mWriter = writer;
     }
@@ -32,26 +32,28 @@
      */
     record AppliedBody(String verdict, String record, long version) {}
 
-    CompletionStage<Answer> submit(Change change, ObjectKey key, long version) {
+    CompletionStage<ApiResponse> submit(Change change, ObjectKey key, long version) {
         RecordId id = mWriter.nextId();
         return mWriter.write(id, Optional.empty(), Map.of(key, version), change)
                 .handle(
                         (verdict, error) ->
-                                error == null ? answer(id, key, verdict) : failed(error))
+                                error == null ? respond(id, key, verdict) : failed(error))
                 .thenCompose(Function.identity());
     }
 
-    private CompletionStage<Answer> answer(RecordId id, ObjectKey key, Verdict verdict) {
+    private CompletionStage<ApiResponse> respond(RecordId id, ObjectKey key, Verdict verdict) {
         return mLog.read(
                 view -> {
                     if (verdict instanceof Verdict.Void v) {
-                        return Answer.conflict(Problem.refused(v), Views.current(view, key));
+                        return ApiResponse.conflict(
+                                Problem.voidChange(v), Views.current(view, key));
                     }
-                    return Answer.ok(new AppliedBody("applied", id.value(), view.version(key)));
+                    return ApiResponse.ok(
+                            new AppliedBody("applied", id.value(), view.version(key)));
                 });
     }
 
-    private static CompletionStage<Answer> failed(Throwable error) {
+    private static CompletionStage<ApiResponse> failed(Throwable error) {
         Throwable cause = error instanceof CompletionException ? error.getCause() : error;
         if (!(cause instanceof PlatformException)) {
             return java.util.concurrent.CompletableFuture.failedFuture(cause);
@@ -59,8 +61,8 @@
         PlatformException failure = (PlatformException) cause;
         Problem problem =
                 failure.effect() == PlatformException.Effect.NONE
-                        ? Problem.platformAway(failure.getMessage())
-                        : Problem.platformSilent(failure.getMessage());
-        return java.util.concurrent.CompletableFuture.completedFuture(Answer.problem(problem));
+                        ? Problem.platformUnavailable(failure.getMessage())
+                        : Problem.outcomeUnknown(failure.getMessage());
+        return java.util.concurrent.CompletableFuture.completedFuture(ApiResponse.problem(problem));
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Publications.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
@@ -22,15 +22,15 @@
 import org.foxtailplank.state.VoidReason;
 
 /** The calls that publish a configuration; it is checked as a whole before it is appended. */
-final class Publications {
+final class ConfigurationEndpoints {
     private static final ObjectKey KEY = ObjectKey.configuration();
     private static final String EMPTY = "{}";
 
     private final FleetLog mLog;
-    private final Submitter mSubmitter;
+    private final ChangeSubmitter mSubmitter;
     private final ConfigurationChecker mChecker;
 
-    Publications(FleetLog log, Submitter submitter, ConfigurationChecker checker) {
+    ConfigurationEndpoints(FleetLog log, ChangeSubmitter submitter, ConfigurationChecker checker) {
         mLog = log;
         mSubmitter = submitter;
         mChecker = checker;
@@ -42,39 +42,41 @@
                 Endpoint.of("PATCH", "/v1/config", Role.OPERATOR, this::patch));
     }
 
-    private CompletionStage<Answer> publish(Call call) throws Call.BadBodyException {
-        Bodies.ConfigBody body = call.read(Bodies.ConfigBody.class);
+    private CompletionStage<ApiResponse> publish(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.ConfigBody body = call.parseBody(RequestBodies.ConfigBody.class);
         Map<ZoneId, String> overlays = byZone(body.overlays());
-        ConfigurationChecker.Checked checked = mChecker.check(body.base(), overlays);
+        ConfigurationChecker.Result checked = mChecker.check(body.base(), overlays);
         if (checked.shape().isEmpty()) {
-            return bad(checked);
+            return invalidConfiguration(checked);
         }
-        return append(
+        return appendChange(
                 new Publication(body.base(), overlays, checked.shape().get(), call.author(body)),
                 body.version());
     }
 
     /** Appends the smallest change that leads to the publication. */
-    private CompletionStage<Answer> append(Publication publication, long version) {
+    private CompletionStage<ApiResponse> appendChange(Publication publication, long version) {
         return mLog.read(view -> publication.on(view, version))
                 .thenCompose(change -> mSubmitter.submit(change, KEY, version));
     }
 
-    private CompletionStage<Answer> patch(Call call) throws Call.BadBodyException {
-        Bodies.ConfigPatchBody body = call.read(Bodies.ConfigPatchBody.class);
+    private CompletionStage<ApiResponse> patch(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.ConfigPatchBody body = call.parseBody(RequestBodies.ConfigPatchBody.class);
         return mLog.read(FleetView::configuration)
                 .thenCompose(
                         now ->
                                 now.map(c -> patch(c, body, call.author(body)))
-                                        .orElseGet(Publications::noConfiguration));
+                                        .orElseGet(ConfigurationEndpoints::noConfiguration));
     }
 
-    private static CompletionStage<Answer> noConfiguration() {
-        return completedFuture(Answer.problem(Problem.noConfiguration()));
+    private static CompletionStage<ApiResponse> noConfiguration() {
+        return completedFuture(ApiResponse.problem(Problem.noConfiguration()));
     }
 
-    private CompletionStage<Answer> patch(
-            Configuration now, Bodies.ConfigPatchBody body, Author author) {
+    private CompletionStage<ApiResponse> patch(
+            Configuration now, RequestBodies.ConfigPatchBody body, Author author) {
         if (now.version() != body.version()) {
             String detail = "configuration is at version %d, not %d";
             Verdict.Void stale =
@@ -82,21 +84,22 @@
                             VoidReason.STALE_VERSION,
                             detail.formatted(now.version(), body.version()));
             return completedFuture(
-                    Answer.conflict(Problem.refused(stale), Views.ConfigView.of(now)));
+                    ApiResponse.conflict(Problem.voidChange(stale), Views.ConfigView.of(now)));
         }
         Map<ZoneId, String> patches = byZone(body.overlayPatches());
         Optional<Merged> merged = merge(now, body.basePatch(), patches);
         if (merged.isEmpty()) {
             return completedFuture(
-                    Answer.problem(Problem.badBody("A merge patch is not a JSON object.")));
+                    ApiResponse.problem(
+                            Problem.invalidBody("A merge patch is not a JSON object.")));
         }
-        ConfigurationChecker.Checked checked =
+        ConfigurationChecker.Result checked =
                 mChecker.check(merged.get().base(), merged.get().overlays());
         if (checked.shape().isEmpty()) {
-            return bad(checked);
+            return invalidConfiguration(checked);
         }
         Merged m = merged.get();
-        return append(
+        return appendChange(
                 new Publication(m.base(), m.overlays(), checked.shape().get(), author),
                 body.version());
     }
@@ -119,9 +122,10 @@
         return base.map(b -> new Merged(b, overlays));
     }
 
-    private static CompletionStage<Answer> bad(ConfigurationChecker.Checked checked) {
+    private static CompletionStage<ApiResponse> invalidConfiguration(
+            ConfigurationChecker.Result checked) {
         String errors = String.join("\n", checked.errors());
-        return completedFuture(Answer.problem(Problem.badConfiguration(errors)));
+        return completedFuture(ApiResponse.problem(Problem.invalidConfiguration(errors)));
     }
 
     private static Map<ZoneId, String> byZone(Map<String, String> texts) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Endpoint.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Endpoint.java
@@ -11,14 +11,14 @@
  *
  * @param method HTTP method
  * @param path path segments; {@code *} stands for a name
- * @param role role that it needs
+ * @param requiredRole role that it needs
  * @param handler what it does
  */
-record Endpoint(String method, List<String> path, Role role, Handler handler) {
+record Endpoint(String method, List<String> path, Role requiredRole, Handler handler) {
     /** What a call does. */
     @FunctionalInterface
     interface Handler {
-        CompletionStage<Answer> handle(Call call) throws Call.BadBodyException;
+        CompletionStage<ApiResponse> handle(ApiRequest call) throws ApiRequest.InvalidBodyException;
     }
 
     static Endpoint of(String method, String path, Role role, Handler handler) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Explains.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ExplainEndpoints.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.foxtailplank.controller.internal.act.FleetWatch;
+import org.foxtailplank.controller.internal.act.FleetMonitor;
 import org.foxtailplank.controller.internal.place.JobExplainer;
-import org.foxtailplank.controller.internal.plan.Sight;
+import org.foxtailplank.controller.internal.plan.PlatformObservation;
 import org.foxtailplank.fleet.BufferHistory;
 import org.foxtailplank.fleet.BufferPlan;
 import org.foxtailplank.fleet.BufferPlanner;
@@ -36,19 +36,20 @@
 import org.foxtailplank.state.WaveState;
 
 /** The calls that say why something is where it is, and what a wave would do. */
-final class Explains {
-    private static final WaveId NO_WAVE = WaveId.of("plan");
+final class ExplainEndpoints {
+    private static final WaveId PLANNED_WAVE = WaveId.of("plan");
 
     private final FleetLog mLog;
     private final Supplier<Settings> mSettings;
-    private final FleetWatch mWatch;
+    private final FleetMonitor mMonitor;
     private final InstantSource mClock;
     private final WavePlanner mWaves = WavePlanner.byRack();
 
-    Explains(FleetLog log, Supplier<Settings> settings, FleetWatch watch, InstantSource clock) {
+    ExplainEndpoints(
+            FleetLog log, Supplier<Settings> settings, FleetMonitor watch, InstantSource clock) {
         mLog = log;
         mSettings = settings;
-        mWatch = watch;
+        mMonitor = watch;
         mClock = clock;
     }
 
@@ -74,64 +75,76 @@
     List<Endpoint> endpoints() {
         return List.of(
                 Endpoint.of("GET", "/v1/explain/*/*", Role.READER, this::explain),
-                Endpoint.of("POST", "/v1/waves/plan", Role.READER, this::plan));
+                Endpoint.of("POST", "/v1/waves/plan", Role.READER, this::planWave));
     }
 
-    private CompletionStage<Answer> explain(Call call) {
-        String kind = call.names().get(0);
-        String name = call.names().get(1);
+    private CompletionStage<ApiResponse> explain(ApiRequest call) {
+        String kind = call.pathParameters().get(0);
+        String name = call.pathParameters().get(1);
         return mLog.read(
                 view ->
                         explain(view, kind, name)
-                                .map(Answer::ok)
-                                .orElseGet(() -> Answer.problem(Problem.unexplained(kind, name))));
+                                .map(ApiResponse::ok)
+                                .orElseGet(
+                                        () ->
+                                                ApiResponse.problem(
+                                                        Problem.explanationNotFound(kind, name))));
     }
 
     private Optional<Explanation> explain(FleetView view, String kind, String name) {
         return switch (kind) {
-            case "vm" -> fleet(view).vm(VmId.of(name));
-            case "pool" -> fleet(view).pool(PoolId.of(name));
-            case "wave" -> fleet(view).wave(WaveId.of(name), mWaves);
-            case "job" -> jobs(view).job(JobId.of(name));
-            case "worker" -> jobs(view).worker(VmId.of(name));
+            case "vm" -> fleetExplainer(view).vm(VmId.of(name));
+            case "pool" -> fleetExplainer(view).pool(PoolId.of(name));
+            case "wave" -> fleetExplainer(view).wave(WaveId.of(name), mWaves);
+            case "job" -> jobExplainer(view).job(JobId.of(name));
+            case "worker" -> jobExplainer(view).worker(VmId.of(name));
             default -> Optional.empty();
         };
     }
 
-    private JobExplainer jobs(FleetView view) {
+    private JobExplainer jobExplainer(FleetView view) {
         return new JobExplainer(view, mSettings.get(), mClock.millis());
     }
 
-    private FleetExplainer fleet(FleetView view) {
-        Observation seen = seen(view);
+    private FleetExplainer fleetExplainer(FleetView view) {
+        Observation seen = observation(view);
         BufferPlan buffer =
                 BufferPlanner.byDemand(mSettings.get().fleet())
                         .plan(view, seen, BufferHistory.none(), mClock.millis());
         return new FleetExplainer(view, seen, buffer);
     }
 
-    private Observation seen(FleetView view) {
-        return mWatch.observe(view).map(Sight::seen).orElseGet(Observation::none);
+    private Observation observation(FleetView view) {
+        return mMonitor.observe(view)
+                .map(PlatformObservation::observation)
+                .orElseGet(Observation::none);
     }
 
-    private CompletionStage<Answer> plan(Call call) throws Call.BadBodyException {
-        Bodies.PlanBody body = call.read(Bodies.PlanBody.class);
+    private CompletionStage<ApiResponse> planWave(ApiRequest call)
+            throws ApiRequest.InvalidBodyException {
+        RequestBodies.PlanBody body = call.parseBody(RequestBodies.PlanBody.class);
         Set<ZoneId> zones =
                 body.zones().stream().map(ZoneId::of).collect(Collectors.toUnmodifiableSet());
         Optional<ZoneId> strange =
                 zones.stream().filter(z -> !mSettings.get().zones().containsKey(z)).findFirst();
         if (strange.isPresent()) {
-            return completedFuture(Answer.problem(Problem.unknownZone(strange.get())));
+            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(strange.get())));
         }
         Set<PoolId> pools =
                 body.pools().stream().map(PoolId::of).collect(Collectors.toUnmodifiableSet());
         return mLog.read(
-                view -> Answer.ok(view(mWaves.plan(view, wave(view, zones, pools), seen(view)))));
+                view ->
+                        ApiResponse.ok(
+                                view(
+                                        mWaves.plan(
+                                                view,
+                                                plannedWave(view, zones, pools),
+                                                observation(view)))));
     }
 
-    private static WaveState wave(FleetView view, Set<ZoneId> zones, Set<PoolId> pools) {
+    private static WaveState plannedWave(FleetView view, Set<ZoneId> zones, Set<PoolId> pools) {
         return new WaveState(
-                NO_WAVE,
+                PLANNED_WAVE,
                 zones,
                 pools,
                 Set.of(),
@@ -144,7 +157,7 @@
     private static PlanView view(WavePlan plan) {
         return new PlanView(
                 plan.vms(),
-                plan.steps().stream().map(Explains::view).toList(),
+                plan.steps().stream().map(ExplainEndpoints::view).toList(),
                 plan.blocked().stream().map(WaveLimit::text).toList());
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Caller.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Principal.java
@@ -9,7 +9,7 @@
  * @param team team whose token was presented
  * @param role what it may do
  */
-record Caller(TeamId team, Role role) {
+record Principal(TeamId team, Role role) {
     /** Whether it may act for a team. */
     boolean mayActFor(TeamId other) {
         return team.equals(other) || role == Role.OPERATOR;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Problem.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Problem.java
@@ -16,7 +16,7 @@
  * @param todo what to do about it
  */
 record Problem(int status, String code, String what, String why, String todo) {
-    static Problem noToken() {
+    static Problem unauthenticated() {
         return new Problem(
                 401,
                 "no-token",
@@ -25,16 +25,22 @@
                 "Send 'Authorization: Bearer TOKEN' with the token of a team in the settings.");
     }
 
-    static Problem roleTooLow(String team, Role has, Role needs) {
+    static Problem insufficientRole(String team, Role has, Role needs) {
         return new Problem(
                 403,
                 "role-too-low",
                 "The call was refused.",
-                "Team " + team + " has the role " + text(has) + "; this needs " + text(needs) + ".",
+                "Team "
+                        + team
+                        + " has the role "
+                        + roleName(has)
+                        + "; this needs "
+                        + roleName(needs)
+                        + ".",
                 "Ask an operator to make the call, or to raise the role in the settings.");
     }
 
-    static Problem otherTeam(String team, String other) {
+    static Problem teamMismatch(String team, String other) {
         return new Problem(
                 403,
                 "other-team",
@@ -43,7 +49,7 @@
                 "Use the token of team " + other + ", or one with the role operator.");
     }
 
-    static Problem noPath(String path) {
+    static Problem pathNotFound(String path) {
         return new Problem(
                 404,
                 "no-path",
@@ -52,7 +58,7 @@
                 "See docs/ADMIN-API.md for the paths.");
     }
 
-    static Problem noMethod(String method, String path) {
+    static Problem methodNotAllowed(String method, String path) {
         return new Problem(
                 405,
                 "no-method",
@@ -61,7 +67,7 @@
                 "See docs/ADMIN-API.md for its methods.");
     }
 
-    static Problem unknown(ObjectKey key) {
+    static Problem objectNotFound(ObjectKey key) {
         String kind = key.kind().name().toLowerCase(java.util.Locale.ROOT);
         return new Problem(
                 404,
@@ -71,7 +77,7 @@
                 "List what there is with GET, and check the name.");
     }
 
-    static Problem unexplained(String kind, String name) {
+    static Problem explanationNotFound(String kind, String name) {
         return new Problem(
                 404,
                 "unknown-object",
@@ -81,11 +87,11 @@
                 "List what there is with GET, and check kind and name.");
     }
 
-    static Problem unknownZone(ZoneId zone) {
-        return badBody("There is no zone " + zone + ".");
+    static Problem zoneNotFound(ZoneId zone) {
+        return invalidBody("There is no zone " + zone + ".");
     }
 
-    static Problem badBody(String detail) {
+    static Problem invalidBody(String detail) {
         return new Problem(
                 400,
                 "bad-body",
@@ -94,7 +100,7 @@
                 "Correct the body; docs/ADMIN-API.md gives the fields of each call.");
     }
 
-    static Problem badQuery(String detail) {
+    static Problem invalidQuery(String detail) {
         return new Problem(
                 400,
                 "bad-query",
@@ -112,7 +118,7 @@
                 "Publish one first: foxtail config publish BASE [OVERLAY...].");
     }
 
-    static Problem badConfiguration(String detail) {
+    static Problem invalidConfiguration(String detail) {
         return new Problem(
                 400,
                 "bad-configuration",
@@ -121,16 +127,16 @@
                 "Correct every error above, then publish again from the version in force.");
     }
 
-    static Problem refused(Verdict.Void verdict) {
+    static Problem voidChange(Verdict.Void verdict) {
         return new Problem(
                 409,
                 verdict.reason().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
                 "The change is void, and nothing was changed.",
-                why(verdict),
-                todo(verdict));
+                voidReason(verdict),
+                voidRemedy(verdict));
     }
 
-    static Problem platformAway(String detail) {
+    static Problem platformUnavailable(String detail) {
         return new Problem(
                 503,
                 Outcome.NOT_RUN.text(),
@@ -139,7 +145,7 @@
                 "Send it again once the platform answers; it certainly had no effect.");
     }
 
-    static Problem platformSilent(String detail) {
+    static Problem outcomeUnknown(String detail) {
         return new Problem(
                 503,
                 Outcome.UNKNOWN.text(),
@@ -149,7 +155,7 @@
                         + " effect at most once.");
     }
 
-    static Problem internal() {
+    static Problem internalError() {
         return new Problem(
                 500,
                 "internal",
@@ -158,7 +164,7 @@
                 "Report it with the log's lines of this time.");
     }
 
-    private static String why(Verdict.Void verdict) {
+    private static String voidReason(Verdict.Void verdict) {
         return switch (verdict.reason()) {
             case STALE_VERSION -> sentence(verdict.detail());
             case TOO_LATE -> "The log had gone on too far before it took the change.";
@@ -181,7 +187,7 @@
         return Character.toUpperCase(detail.charAt(0)) + detail.substring(1) + ".";
     }
 
-    private static String todo(Verdict.Void verdict) {
+    private static String voidRemedy(Verdict.Void verdict) {
         return switch (verdict.reason()) {
             case STALE_VERSION -> "Look at 'current', decide again, and send its version.";
             case DUPLICATE_ID, STALE_EPOCH, TOO_LATE, OTHER_HISTORY ->
@@ -194,7 +200,7 @@
         };
     }
 
-    private static String text(Role role) {
+    private static String roleName(Role role) {
         return role.name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Reads.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ReadEndpoints.java
@@ -28,7 +28,7 @@
 import org.foxtailplank.state.ObjectKey;
 
 /** The calls that only read. */
-final class Reads {
+final class ReadEndpoints {
     private static final int DEFAULT_LIMIT = 100;
     private static final int MAX_LIMIT = 1000;
 
@@ -37,7 +37,7 @@
     private final NodeId mSelf;
     private final PeerView mPeers;
 
-    Reads(FleetLog log, Supplier<Settings> settings, NodeId self, PeerView peers) {
+    ReadEndpoints(FleetLog log, Supplier<Settings> settings, NodeId self, PeerView peers) {
         mLog = log;
         mSettings = settings;
         mSelf = self;
@@ -46,12 +46,12 @@
 
     List<Endpoint> endpoints() {
         return List.of(
-                get("/v1/config", this::config),
-                get("/v1/pools", call -> list(call, FleetView::pools, this::poolId, this::pool)),
-                get("/v1/pools/*", this::onePool),
-                get("/v1/vms", this::vms),
-                get("/v1/vms/*", this::oneVm),
-                get(
+                reader("/v1/config", this::config),
+                reader("/v1/pools", call -> list(call, FleetView::pools, this::poolId, this::pool)),
+                reader("/v1/pools/*", this::onePool),
+                reader("/v1/vms", this::vms),
+                reader("/v1/vms/*", this::oneVm),
+                reader(
                         "/v1/waves",
                         call ->
                                 list(
@@ -59,8 +59,8 @@
                                         FleetView::waves,
                                         w -> w.id().value(),
                                         Views.WaveView::of)),
-                get("/v1/waves/*", this::oneWave),
-                get(
+                reader("/v1/waves/*", this::oneWave),
+                reader(
                         "/v1/jobs",
                         call ->
                                 list(
@@ -68,21 +68,21 @@
                                         FleetView::jobs,
                                         j -> j.id().value(),
                                         (view, j) -> Views.JobView.of(j))),
-                get("/v1/jobs/*", this::oneJob),
-                get("/v1/teams", this::teams),
-                get("/v1/nodes", this::nodes));
+                reader("/v1/jobs/*", this::oneJob),
+                reader("/v1/teams", this::teams),
+                reader("/v1/nodes", this::nodes));
     }
 
-    private static Endpoint get(String path, Endpoint.Handler handler) {
+    private static Endpoint reader(String path, Endpoint.Handler handler) {
         return Endpoint.of("GET", path, Role.READER, handler);
     }
 
-    private CompletionStage<Answer> config(Call call) {
+    private CompletionStage<ApiResponse> config(ApiRequest call) {
         return mLog.read(
                 view ->
                         view.configuration()
-                                .map(c -> Answer.ok(Views.ConfigView.of(c)))
-                                .orElseGet(() -> Answer.problem(Problem.noConfiguration())));
+                                .map(c -> ApiResponse.ok(Views.ConfigView.of(c)))
+                                .orElseGet(() -> ApiResponse.problem(Problem.noConfiguration())));
     }
 
     private String poolId(org.foxtailplank.state.PoolState pool) {
@@ -93,12 +93,12 @@
         return Views.PoolView.of(view, pool);
     }
 
-    private CompletionStage<Answer> onePool(Call call) {
-        PoolId id = PoolId.of(call.name());
-        return one(ObjectKey.of(id), v -> v.pool(id).map(p -> Views.PoolView.of(v, p)));
+    private CompletionStage<ApiResponse> onePool(ApiRequest call) {
+        PoolId id = PoolId.of(call.pathParameter());
+        return findOne(ObjectKey.of(id), v -> v.pool(id).map(p -> Views.PoolView.of(v, p)));
     }
 
-    private CompletionStage<Answer> vms(Call call) {
+    private CompletionStage<ApiResponse> vms(ApiRequest call) {
         String pool = call.query().get("pool");
         String zone = call.query().get("zone");
         return list(
@@ -112,22 +112,22 @@
                 (view, vm) -> Views.VmView.of(vm));
     }
 
-    private CompletionStage<Answer> oneVm(Call call) {
-        VmId id = VmId.of(call.name());
-        return one(ObjectKey.of(id), v -> v.vm(id).map(Views.VmView::of));
+    private CompletionStage<ApiResponse> oneVm(ApiRequest call) {
+        VmId id = VmId.of(call.pathParameter());
+        return findOne(ObjectKey.of(id), v -> v.vm(id).map(Views.VmView::of));
     }
 
-    private CompletionStage<Answer> oneWave(Call call) {
-        WaveId id = WaveId.of(call.name());
-        return one(ObjectKey.of(id), v -> v.wave(id).map(w -> Views.WaveView.of(v, w)));
+    private CompletionStage<ApiResponse> oneWave(ApiRequest call) {
+        WaveId id = WaveId.of(call.pathParameter());
+        return findOne(ObjectKey.of(id), v -> v.wave(id).map(w -> Views.WaveView.of(v, w)));
     }
 
-    private CompletionStage<Answer> oneJob(Call call) {
-        JobId id = JobId.of(call.name());
-        return one(ObjectKey.of(id), v -> v.job(id).map(Views.JobView::of));
+    private CompletionStage<ApiResponse> oneJob(ApiRequest call) {
+        JobId id = JobId.of(call.pathParameter());
+        return findOne(ObjectKey.of(id), v -> v.job(id).map(Views.JobView::of));
     }
 
-    private CompletionStage<Answer> teams(Call call) {
+    private CompletionStage<ApiResponse> teams(ApiRequest call) {
         return list(
                 call,
                 view -> mSettings.get().teams().entrySet(),
@@ -144,7 +144,7 @@
                 view.version(ObjectKey.of(team.getKey())));
     }
 
-    private CompletionStage<Answer> nodes(Call call) {
+    private CompletionStage<ApiResponse> nodes(ApiRequest call) {
         return list(
                 call,
                 view -> mSettings.get().nodes().entrySet(),
@@ -174,37 +174,38 @@
                 shards);
     }
 
-    private CompletionStage<Answer> one(ObjectKey key, Function<FleetView, Optional<?>> finder) {
+    private CompletionStage<ApiResponse> findOne(
+            ObjectKey key, Function<FleetView, Optional<?>> finder) {
         return mLog.read(
                 view ->
                         finder.apply(view)
-                                .<Answer>map(Answer::ok)
-                                .orElseGet(() -> Answer.problem(Problem.unknown(key))));
+                                .<ApiResponse>map(ApiResponse::ok)
+                                .orElseGet(() -> ApiResponse.problem(Problem.objectNotFound(key))));
     }
 
-    private interface Shown<T> {
-        Object show(FleetView view, T item);
+    private interface ItemView<T> {
+        Object of(FleetView view, T item);
     }
 
-    private <T> CompletionStage<Answer> list(
-            Call call,
+    private <T> CompletionStage<ApiResponse> list(
+            ApiRequest call,
             Function<FleetView, Collection<T>> items,
             Function<T, String> name,
-            Shown<T> shown) {
+            ItemView<T> shown) {
         Optional<Integer> limit = limit(call.query());
         if (limit.isEmpty()) {
             String detail = "limit is '" + call.query().get("limit") + "'.";
-            return completedFuture(Answer.problem(Problem.badQuery(detail)));
+            return completedFuture(ApiResponse.problem(Problem.invalidQuery(detail)));
         }
         String after = call.query().getOrDefault("after", "");
         return mLog.read(view -> page(view, items.apply(view), name, shown, limit.get(), after));
     }
 
-    private static <T> Answer page(
+    private static <T> ApiResponse page(
             FleetView view,
             Collection<T> all,
             Function<T, String> name,
-            Shown<T> shown,
+            ItemView<T> shown,
             int limit,
             String after) {
         List<T> rest =
@@ -218,8 +219,8 @@
                 rest.size() > limit
                         ? Optional.of(name.apply(page.get(page.size() - 1)))
                         : Optional.empty();
-        List<Object> shownPage = page.stream().map(t -> shown.show(view, t)).toList();
-        return Answer.ok(new Views.Page<>(view.nextOffset(), shownPage, next));
+        List<Object> shownPage = page.stream().map(t -> shown.of(view, t)).toList();
+        return ApiResponse.ok(new Views.Page<>(view.nextOffset(), shownPage, next));
     }
 
     private static Optional<Integer> limit(Map<String, String> query) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Bodies.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/RequestBodies.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /** Bodies of the calls that change something. */
-final class Bodies {
-    private Bodies() {}
+final class RequestBodies {
+    private RequestBodies() {}
 
     /** What every change carries. */
     interface ChangeBody {
@@ -67,8 +67,8 @@
         }
     }
 
-    record OrderBody(Long version, String who, String why) implements ChangeBody {
-        public OrderBody {
+    record ControlBody(Long version, String who, String why) implements ChangeBody {
+        public ControlBody {
             require(version, "version");
             requireText(why, "why");
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Tokens.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/TokenAuthenticator.java
@@ -9,32 +9,32 @@
 import org.foxtailplank.settings.TeamSettings;
 
 /** Finds the team that a token belongs to. */
-final class Tokens {
+final class TokenAuthenticator {
     private static final String SCHEME = "Bearer ";
 
     private final Supplier<Map<TeamId, TeamSettings>> mTeams;
 
-    Tokens(Supplier<Map<TeamId, TeamSettings>> teams) {
+    TokenAuthenticator(Supplier<Map<TeamId, TeamSettings>> teams) {
         mTeams = teams;
     }
 
     /** The caller behind an {@code Authorization} header. */
-    Optional<Caller> find(Optional<String> authorization) {
+    Optional<Principal> authenticate(Optional<String> authorization) {
         return authorization
                 .filter(text -> text.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
                 .map(text -> text.substring(SCHEME.length()).trim())
                 .filter(token -> !token.isEmpty())
-                .flatMap(this::callerOf);
+                .flatMap(this::principalOf);
     }
 
-    private Optional<Caller> callerOf(String token) {
+    private Optional<Principal> principalOf(String token) {
         byte[] given = token.getBytes(StandardCharsets.UTF_8);
-        Optional<Caller> found = Optional.empty();
+        Optional<Principal> found = Optional.empty();
         // Every token is compared, in constant time: the time of the answer tells nothing of them.
         for (Map.Entry<TeamId, TeamSettings> team : mTeams.get().entrySet()) {
             byte[] known = team.getValue().token().getBytes(StandardCharsets.UTF_8);
             if (MessageDigest.isEqual(known, given)) {
-                found = Optional.of(new Caller(team.getKey(), team.getValue().role()));
+                found = Optional.of(new Principal(team.getKey(), team.getValue().role()));
             }
         }
         return found;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/JobExplainer.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/JobExplainer.java
@@ -15,23 +15,23 @@
  * is missing at those that don't place.
  */
 public final class JobExplainer {
-    private final PlacementMind mMind;
+    private final PlacementPlanner mPlanner;
     private final long mNowMs;
 
     /** An explainer of the state as it is now. */
     public JobExplainer(FleetView view, Settings settings, long nowMs) {
-        mMind = new PlacementMind(() -> settings, PlacementSettings.standard());
-        mMind.follow(view, nowMs);
+        mPlanner = new PlacementPlanner(() -> settings, PlacementSettings.standard());
+        mPlanner.synchronize(view, nowMs);
         mNowMs = nowMs;
     }
 
     /** Why a job is where it is. */
     public Optional<Explanation> job(JobId job) {
-        return mMind.explain(job, mNowMs);
+        return mPlanner.explain(job, mNowMs);
     }
 
     /** Why a worker gets tasks or gets none. */
     public Optional<Explanation> worker(VmId worker) {
-        return mMind.explain(worker, mNowMs);
+        return mPlanner.explain(worker, mNowMs);
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/Renewal.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/LeaseRenewal.java
@@ -10,4 +10,4 @@
  * @param worker worker that runs it
  * @param attempt attempt that it runs
  */
-record Renewal(TaskId task, VmId worker, long attempt) {}
+record LeaseRenewal(TaskId task, VmId worker, long attempt) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementLoop.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementLoop.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletionStage;
-import org.foxtailplank.controller.internal.act.EpochKeeper;
+import org.foxtailplank.controller.internal.act.EpochElection;
 import org.foxtailplank.controller.internal.act.Mailbox;
 import org.foxtailplank.fleet.PlacementAction;
 import org.foxtailplank.fleet.TaskId;
@@ -36,95 +36,96 @@
     /** Name of the shard; it stands beside those of the availability zones. */
     public static final ZoneId SHARD = ZoneId.of("placement");
 
-    public static final Duration LOOK_EVERY = Duration.ofMillis(250);
+    public static final Duration RECONCILE_INTERVAL = Duration.ofMillis(250);
     private static final Log LOG = Log.of("placement");
-    private static final Duration REPORT_EVERY = Duration.ofSeconds(1);
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
 
-    private final PlacementParts mParts;
+    private final PlacementContext mContext;
     private final Mailbox mMailbox;
-    private final EpochKeeper mEpoch;
-    private final Set<TaskId> mRecording = new HashSet<>();
-    private PlacementMind mMind;
+    private final EpochElection mEpoch;
+    private final Set<TaskId> mPendingConfirmations = new HashSet<>();
+    private PlacementPlanner mPlanner;
     private Optional<WorkerList> mReports = Optional.empty();
-    private Instant mNextReport = Instant.MIN;
-    private boolean mLooking;
+    private Instant mNextReportPoll = Instant.MIN;
+    private boolean mReconciling;
 
     /** A loop that has done nothing yet. */
-    public PlacementLoop(PlacementParts parts, Mailbox mailbox) {
-        mParts = parts;
+    public PlacementLoop(PlacementContext parts, Mailbox mailbox) {
+        mContext = parts;
         mMailbox = mailbox;
-        mEpoch = new EpochKeeper(SHARD, parts.epochs(), mailbox);
-        mMind = newMind();
+        mEpoch = new EpochElection(SHARD, parts.epochs(), mailbox);
+        mPlanner = newPlanner();
     }
 
     /** Looks at the state and does what is next; at most one look is under way. */
-    public void look() {
-        if (mLooking) {
+    public void reconcile() {
+        if (mReconciling) {
             return;
         }
-        mLooking = true;
+        mReconciling = true;
         Optional<WorkerList> reports = mReports;
         mReports = Optional.empty();
-        mMailbox.deliver(mParts.log().read(view -> look(view, reports)), this::looked);
+        mMailbox.deliver(
+                mContext.log().read(view -> readSnapshot(view, reports)), this::snapshotRead);
     }
 
-    private PlacementLook look(FleetView view, Optional<WorkerList> reports) {
+    private PlacementSnapshot readSnapshot(FleetView view, Optional<WorkerList> reports) {
         if (!mEpoch.mayHold() || view.configuration().isEmpty()) {
-            return new PlacementLook(view.epoch(SHARD), Optional.empty());
+            return new PlacementSnapshot(view.epoch(SHARD), Optional.empty());
         }
-        return new PlacementLook(
-                view.epoch(SHARD), Optional.of(mMind.plan(view, reports, nowMs())));
+        return new PlacementSnapshot(
+                view.epoch(SHARD), Optional.of(mPlanner.plan(view, reports, nowMs())));
     }
 
-    private void looked(Optional<PlacementLook> look) {
-        mLooking = false;
+    private void snapshotRead(Optional<PlacementSnapshot> look) {
+        mReconciling = false;
         if (look.isEmpty()) {
             return;
         }
-        Optional<ActingEpoch> epoch = mEpoch.check(look.get().epoch(), this::taken);
+        Optional<ActingEpoch> epoch = mEpoch.check(look.get().epoch(), this::epochAcquired);
         if (epoch.isPresent()) {
             look.get().plan().ifPresent(plan -> act(plan, epoch.get()));
-            askForReports();
+            pollReports();
         }
     }
 
     /** What an earlier epoch's mind proposed was never intended, so a new one starts anew. */
-    private void taken() {
-        mMind = newMind();
-        look();
+    private void epochAcquired() {
+        mPlanner = newPlanner();
+        reconcile();
     }
 
-    private PlacementMind newMind() {
-        return new PlacementMind(mParts.settings(), mParts.times());
+    private PlacementPlanner newPlanner() {
+        return new PlacementPlanner(mContext.settings(), mContext.policy());
     }
 
-    private void askForReports() {
-        Instant now = mParts.clock().instant();
-        if (now.isBefore(mNextReport)) {
+    private void pollReports() {
+        Instant now = mContext.clock().instant();
+        if (now.isBefore(mNextReportPoll)) {
             return;
         }
-        mNextReport = now.plus(REPORT_EVERY);
+        mNextReportPoll = now.plus(REPORT_INTERVAL);
         mMailbox.deliver(
-                mParts.workers().list(Optional.empty()),
+                mContext.workers().list(Optional.empty()),
                 list -> mReports = list.isPresent() ? list : mReports);
     }
 
-    private void act(PlacementLook.Plan plan, ActingEpoch epoch) {
+    private void act(PlacementSnapshot.Plan plan, ActingEpoch epoch) {
         plan.decision()
                 .refused()
                 .forEach((job, why) -> LOG.warn("Job {0} will never run: {1}.", job, why));
         plan.decision()
                 .quarantined()
                 .forEach((vm, why) -> LOG.warn("Worker {0} gets no tasks: {1}.", vm, why));
-        plan.ended().forEach(ended -> record(ended, epoch));
-        plan.calls().forEach(call -> start(call, epoch));
+        plan.confirmations().forEach(ended -> writeConfirmation(ended, epoch));
+        plan.commands().forEach(call -> writeIntent(call, epoch));
         plan.renewals().forEach(this::renew);
     }
 
-    private void start(TaskCall call, ActingEpoch epoch) {
+    private void writeIntent(TaskCommand call, ActingEpoch epoch) {
         PlacementAction action = call.action();
         if (action.repeated()) {
-            ask(call, epoch);
+            sendCommand(call, epoch);
             return;
         }
         TaskIntended intent =
@@ -138,12 +139,12 @@
                 write(intent, epoch),
                 verdict -> {
                     if (verdict.filter(Verdict::isApplied).isPresent()) {
-                        ask(call, epoch);
+                        sendCommand(call, epoch);
                     }
                 });
     }
 
-    private void ask(TaskCall call, ActingEpoch epoch) {
+    private void sendCommand(TaskCommand call, ActingEpoch epoch) {
         PlacementAction action = call.action();
         LOG.debug(
                 "Asks worker {0} to {1} task {2}/{3}: {4}.",
@@ -152,13 +153,13 @@
                 action.task().job(),
                 action.task().index(),
                 action.why());
-        mMailbox.deliver(send(call), reply -> reply.ifPresent(r -> answered(call, r, epoch)));
+        mMailbox.deliver(send(call), reply -> reply.ifPresent(r -> replyReceived(call, r, epoch)));
     }
 
-    private CompletionStage<TaskReply> send(TaskCall call) {
+    private CompletionStage<TaskReply> send(TaskCommand call) {
         PlacementAction action = call.action();
         if (action.action() != TaskAction.START) {
-            return mParts.workers()
+            return mContext.workers()
                     .act(
                             action.worker(),
                             toPlatform(action.task()),
@@ -169,23 +170,23 @@
                 new TaskStart(
                         toPlatform(action.task()),
                         action.attempt(),
-                        mParts.times().lease(),
+                        mContext.policy().lease(),
                         call.spec().processors(),
                         call.spec().memoryBytes(),
                         call.spec().accelerators());
-        return mParts.workers().start(action.worker(), start);
+        return mContext.workers().start(action.worker(), start);
     }
 
     // A worker that has run an attempt and doesn't know it any more, or is off, runs nothing of it.
     // Where it never said that it runs, a start may still be on its way to it: taken as stopped,
     // the
     // task would be started elsewhere and run twice. Such an attempt ends with its lease.
-    private void answered(TaskCall call, TaskReply reply, ActingEpoch epoch) {
+    private void replyReceived(TaskCommand call, TaskReply reply, ActingEpoch epoch) {
         PlacementAction action = call.action();
         boolean isGone = reply == TaskReply.UNKNOWN_TASK || reply == TaskReply.UNKNOWN_WORKER;
-        if (isGone && call.ran()) {
+        if (isGone && call.confirmedRunning()) {
             TaskId task = action.task();
-            record(
+            writeConfirmation(
                     new TaskConfirmed(
                             task.job(),
                             task.index(),
@@ -196,44 +197,44 @@
         }
     }
 
-    private void record(TaskConfirmed ended, ActingEpoch epoch) {
+    private void writeConfirmation(TaskConfirmed ended, ActingEpoch epoch) {
         TaskId task = new TaskId(ended.job(), ended.task());
-        if (mRecording.add(task)) {
-            mMailbox.deliver(write(ended, epoch), verdict -> mRecording.remove(task));
+        if (mPendingConfirmations.add(task)) {
+            mMailbox.deliver(write(ended, epoch), verdict -> mPendingConfirmations.remove(task));
         }
     }
 
-    private void renew(Renewal due) {
+    private void renew(LeaseRenewal due) {
         mMailbox.deliver(
-                mParts.workers()
+                mContext.workers()
                         .renew(
                                 due.worker(),
                                 toPlatform(due.task()),
                                 due.attempt(),
-                                mParts.times().lease()),
+                                mContext.policy().lease()),
                 reply -> {
                     if (reply.equals(Optional.of(TaskReply.ACCEPTED))) {
-                        renewed(due.task());
+                        leaseRenewed(due.task());
                     }
                 });
     }
 
-    private void renewed(TaskId task) {
-        mParts.log()
+    private void leaseRenewed(TaskId task) {
+        mContext.log()
                 .read(
                         view -> {
-                            mMind.renewed(task, nowMs());
+                            mPlanner.leaseRenewed(task, nowMs());
                             return task;
                         });
     }
 
     private CompletionStage<Verdict> write(Change change, ActingEpoch epoch) {
-        return mParts.writer()
-                .write(mParts.writer().nextId(), Optional.of(epoch), Map.of(), change);
+        return mContext.writer()
+                .write(mContext.writer().nextId(), Optional.of(epoch), Map.of(), change);
     }
 
     private long nowMs() {
-        return mParts.clock().millis();
+        return mContext.clock().millis();
     }
 
     private static org.foxtailplank.platform.TaskId toPlatform(TaskId task) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementMind.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementPlanner.java
@@ -41,48 +41,49 @@
  * <p>It lives as long as one epoch and is used only on the thread that owns the state. What it
  * knows can be told anew from the log and the workers.
  */
-final class PlacementMind {
+final class PlacementPlanner {
     private static final int RENEWALS_PER_LEASE = 3;
 
     private final Supplier<Settings> mSettings;
-    private final long mRenewMs;
+    private final long mRenewalIntervalMs;
     private final Placer mPlacer;
     private final Map<VmId, Worker> mWorkers = new HashMap<>();
-    private final Map<JobId, Long> mJobs = new HashMap<>();
+    private final Map<JobId, Long> mJobVersions = new HashMap<>();
     private final Map<TeamId, Double> mQuotas = new HashMap<>();
-    private final Map<TaskId, Long> mRenewedAt = new HashMap<>();
-    private final Set<TaskId> mCheckpointed = new HashSet<>();
+    private final Map<TaskId, Long> mLastRenewalMs = new HashMap<>();
+    private final Set<TaskId> mCheckpointRequested = new HashSet<>();
 
-    PlacementMind(Supplier<Settings> settings, PlacementSettings times) {
+    PlacementPlanner(Supplier<Settings> settings, PlacementSettings times) {
         mSettings = settings;
-        mRenewMs = times.lease().dividedBy(RENEWALS_PER_LEASE).toMillis();
+        mRenewalIntervalMs = times.lease().dividedBy(RENEWALS_PER_LEASE).toMillis();
         mPlacer = Placer.indexed(times);
     }
 
     /** Takes in the state and the newest reports, and decides. */
-    PlacementLook.Plan plan(FleetView view, Optional<WorkerList> reports, long nowMs) {
-        follow(view, nowMs);
+    PlacementSnapshot.Plan plan(FleetView view, Optional<WorkerList> reports, long nowMs) {
+        synchronize(view, nowMs);
         reports.ifPresent(list -> list.workers().forEach(w -> report(w, list, nowMs)));
         PlacementDecision decision = mPlacer.decide(nowMs);
-        List<TaskCall> calls = new ArrayList<>();
+        List<TaskCommand> calls = new ArrayList<>();
         for (PlacementAction action : decision.actions()) {
-            view.job(action.task().job()).ifPresent(job -> calls.add(call(action, job)));
+            view.job(action.task().job()).ifPresent(job -> calls.add(command(action, job)));
         }
         calls.addAll(checkpoints(view));
-        List<TaskConfirmed> ended = reports.map(list -> news(view, list)).orElseGet(ArrayList::new);
+        List<TaskConfirmed> ended =
+                reports.map(list -> newOutcomes(view, list)).orElseGet(ArrayList::new);
         for (PlacementDecision.LapsedTask l : decision.lapsed()) {
             ended.add(confirmed(l.task(), l.worker(), l.attempt(), TaskOutcome.LOST));
         }
-        return new PlacementLook.Plan(decision, calls, ended, renewals(view, nowMs));
+        return new PlacementSnapshot.Plan(decision, calls, ended, renewals(view, nowMs));
     }
 
     /** A worker has renewed a lease. */
-    void renewed(TaskId task, long nowMs) {
+    void leaseRenewed(TaskId task, long nowMs) {
         mPlacer.renewed(task, nowMs);
     }
 
     /** Brings the placer to the state without deciding. */
-    void follow(FleetView view, long nowMs) {
+    void synchronize(FleetView view, long nowMs) {
         Map<TeamId, Double> quotas = new HashMap<>();
         mSettings
                 .get()
@@ -92,15 +93,15 @@
             mQuotas.putAll(quotas);
             mPlacer.quotas(quotas);
         }
-        view.vms().forEach(vm -> follow(vm, nowMs));
-        mWorkers.keySet().removeIf(id -> isGone(view, id, nowMs));
+        view.vms().forEach(vm -> synchronize(vm, nowMs));
+        mWorkers.keySet().removeIf(id -> removeIfGone(view, id, nowMs));
         for (JobState job : view.jobs()) {
-            Long known = mJobs.put(job.id(), job.version());
+            Long known = mJobVersions.put(job.id(), job.version());
             if (known == null || known != job.version()) {
                 mPlacer.job(job, nowMs);
             }
         }
-        mJobs.keySet().removeIf(id -> view.job(id).isEmpty());
+        mJobVersions.keySet().removeIf(id -> view.job(id).isEmpty());
     }
 
     Optional<Explanation> explain(JobId job, long nowMs) {
@@ -111,7 +112,7 @@
         return mPlacer.explain(worker, nowMs);
     }
 
-    private void follow(VmState vm, long nowMs) {
+    private void synchronize(VmState vm, long nowMs) {
         VmSettings size = mSettings.get().vms().get(vm.id());
         if (size == null) {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    private boolean isGone(FleetView view, VmId id, long nowMs) {
+    private boolean removeIfGone(FleetView view, VmId id, long nowMs) {
         boolean gone = view.vm(id).isEmpty();
         if (gone) {
             mPlacer.workerGone(id, nowMs);
@@ -140,7 +141,7 @@
             if (isLive(task)) {
                 running.add(
                         new org.foxtailplank.fleet.WorkerReport.Running(
-                                id(task), task.attempt(), used(task)));
+                                taskId(task), task.attempt(), usedResources(task)));
             }
         }
         mPlacer.report(
@@ -154,11 +155,11 @@
                 || task.status() == TaskReport.Status.RUNNING;
     }
 
-    private static TaskId id(TaskReport report) {
+    private static TaskId taskId(TaskReport report) {
         return new TaskId(report.task().job(), report.task().index());
     }
 
-    private static Resources used(TaskReport task) {
+    private static Resources usedResources(TaskReport task) {
         return new Resources(
                 Math.round(task.processors() * Duration.ofSeconds(1).toMillis()),
                 task.memoryBytes(),
@@ -166,13 +167,13 @@
     }
 
     /** What workers say became of their tasks, where the log does not say so yet. */
-    private static List<TaskConfirmed> news(FleetView view, WorkerList list) {
+    private static List<TaskConfirmed> newOutcomes(FleetView view, WorkerList list) {
         List<TaskConfirmed> news = new ArrayList<>();
         for (WorkerReport worker : list.workers()) {
             for (TaskReport report : worker.tasks()) {
-                TaskId id = id(report);
+                TaskId id = taskId(report);
                 outcome(report)
-                        .filter(o -> isNews(view, worker.id(), report, o))
+                        .filter(o -> isNewOutcome(view, worker.id(), report, o))
                         .map(o -> confirmed(id, worker.id(), report.attempt(), o))
                         .ifPresent(news::add);
             }
@@ -180,9 +181,9 @@
         return news;
     }
 
-    private static boolean isNews(
+    private static boolean isNewOutcome(
             FleetView view, VmId worker, TaskReport report, TaskOutcome outcome) {
-        return task(view, id(report))
+        return task(view, taskId(report))
                 .filter(t -> t.worker().equals(worker) && t.attempt() == report.attempt())
                 .filter(t -> t.outcome().map(o -> !o.isEnded() && o != outcome).orElse(true))
                 .isPresent();
@@ -209,28 +210,28 @@
     }
 
     /** Tasks on VMs that are to stop write a checkpoint, and go on elsewhere. */
-    private List<TaskCall> checkpoints(FleetView view) {
-        List<TaskCall> calls = new ArrayList<>();
+    private List<TaskCommand> checkpoints(FleetView view) {
+        List<TaskCommand> calls = new ArrayList<>();
         Set<TaskId> still = new HashSet<>();
         for (JobState job : view.jobs()) {
             job.tasks()
                     .forEach(
                             (index, task) -> {
                                 TaskId id = new TaskId(job.id(), index);
-                                if (!mustLeave(view, task)) {
+                                if (!mustMove(view, task)) {
                                     return;
                                 }
                                 still.add(id);
-                                if (mCheckpointed.add(id)) {
+                                if (mCheckpointRequested.add(id)) {
                                     calls.add(checkpoint(id, task, job));
                                 }
                             });
         }
-        mCheckpointed.retainAll(still);
+        mCheckpointRequested.retainAll(still);
         return calls;
     }
 
-    private static boolean mustLeave(FleetView view, TaskState task) {
+    private static boolean mustMove(FleetView view, TaskState task) {
         return LiveTasks.isLive(task)
                 && view.vm(task.worker())
                         .filter(
@@ -240,8 +241,8 @@
                         .isPresent();
     }
 
-    private static TaskCall checkpoint(TaskId id, TaskState task, JobState job) {
-        return call(
+    private static TaskCommand checkpoint(TaskId id, TaskState task, JobState job) {
+        return command(
                 new PlacementAction(
                         id,
                         task.worker(),
@@ -252,18 +253,18 @@
                 job);
     }
 
-    private static TaskCall call(PlacementAction action, JobState job) {
+    private static TaskCommand command(PlacementAction action, JobState job) {
         boolean ran =
                 Optional.ofNullable(job.tasks().get(action.task().index()))
                         .filter(t -> t.attempt() == action.attempt())
                         .flatMap(TaskState::outcome)
                         .filter(o -> o == TaskOutcome.RUNNING)
                         .isPresent();
-        return new TaskCall(action, job.spec(), ran);
+        return new TaskCommand(action, job.spec(), ran);
     }
 
-    private List<Renewal> renewals(FleetView view, long nowMs) {
-        List<Renewal> due = new ArrayList<>();
+    private List<LeaseRenewal> renewals(FleetView view, long nowMs) {
+        List<LeaseRenewal> due = new ArrayList<>();
         Set<TaskId> live = new HashSet<>();
         for (JobState job : view.jobs()) {
             job.tasks()
@@ -274,14 +275,14 @@
                                     return;
                                 }
                                 live.add(id);
-                                long last = mRenewedAt.computeIfAbsent(id, t -> nowMs);
-                                if (nowMs - last >= mRenewMs) {
-                                    mRenewedAt.put(id, nowMs);
-                                    due.add(new Renewal(id, task.worker(), task.attempt()));
+                                long last = mLastRenewalMs.computeIfAbsent(id, t -> nowMs);
+                                if (nowMs - last >= mRenewalIntervalMs) {
+                                    mLastRenewalMs.put(id, nowMs);
+                                    due.add(new LeaseRenewal(id, task.worker(), task.attempt()));
                                 }
                             });
         }
-        mRenewedAt.keySet().retainAll(live);
+        mLastRenewalMs.keySet().retainAll(live);
         return due;
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementLook.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementSnapshot.java
@@ -12,18 +12,18 @@
  * @param epoch who may act
  * @param plan what to do; empty where another node holds the epoch
  */
-record PlacementLook(EpochState epoch, Optional<Plan> plan) {
+record PlacementSnapshot(EpochState epoch, Optional<Plan> plan) {
     /**
      * What to do now.
      *
      * @param decision what the placer decided
-     * @param calls calls that it leads to, with what each task declares
-     * @param ended what workers reported and the log does not say yet
+     * @param commands calls that it leads to, with what each task declares
+     * @param confirmations what workers reported and the log does not say yet
      * @param renewals tasks whose leases are due
      */
     record Plan(
             PlacementDecision decision,
-            List<TaskCall> calls,
-            List<TaskConfirmed> ended,
-            List<Renewal> renewals) {}
+            List<TaskCommand> commands,
+            List<TaskConfirmed> confirmations,
+            List<LeaseRenewal> renewals) {}
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/TaskCall.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/TaskCommand.java
@@ -8,6 +8,6 @@
  *
  * @param action the action
  * @param spec what its job asks for
- * @param ran whether the worker has said that it runs this attempt
+ * @param confirmedRunning whether the worker has said that it runs this attempt
  */
-record TaskCall(PlacementAction action, JobSpec spec, boolean ran) {}
+record TaskCommand(PlacementAction action, JobSpec spec, boolean confirmedRunning) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
@@ -42,7 +42,7 @@
 public final class FleetPlanner implements ShardPlanner {
     private static final String REASSIGN_REASON = "it has joined its pool";
 
-    private final String mWho;
+    private final String mAuthor;
     private final WavePlanner mWaves;
     private final Supplier<BufferPlanner> mBuffer;
     private BufferHistory mHistory = BufferHistory.none();
@@ -55,54 +55,55 @@
      * @param buffer decides which VMs are powered on
      */
     public FleetPlanner(String who, WavePlanner waves, Supplier<BufferPlanner> buffer) {
-        mWho = who;
+        mAuthor = who;
         mWaves = waves;
         mBuffer = buffer;
     }
 
     @Override
-    public List<PlannedChange> plan(FleetView view, ZoneId zone, Sight sight, long nowMs) {
-        Batch batch = new Batch(view, zone);
-        sight.surprises().forEach(batch::observe);
+    public List<PlannedChange> plan(
+            FleetView view, ZoneId zone, PlatformObservation sight, long nowMs) {
+        ChangeBatch batch = new ChangeBatch(view, zone);
+        sight.discrepancies().forEach(batch::observe);
         if (!batch.changes().isEmpty()) {
             // The state is about to change: a wave planned now would end over VMs that count as
             // off.
             return batch.changes();
         }
         view.vms().stream()
-                .filter(vm -> vm.zone().equals(zone) && isJoined(vm))
+                .filter(vm -> vm.zone().equals(zone) && hasJoinedPool(vm))
                 .forEach(vm -> batch.intend(vm, VmAction.REASSIGN, REASSIGN_REASON));
-        Observation seen = sight.seen();
+        Observation seen = sight.observation();
         for (WaveState wave : view.waves()) {
             if (wave.phase() == WavePhase.RUNNING) {
-                wave(batch, wave, mWaves.next(view, wave, zone, seen));
+                applyWaveDecision(batch, wave, mWaves.next(view, wave, zone, seen));
             }
         }
         BufferPlan plan = mBuffer.get().plan(view, seen, mHistory, nowMs);
         mHistory = plan.history();
-        plan.wake().forEach(vm -> batch.intend(vm, VmAction.WAKE, want(plan, view, vm)));
-        plan.sleep().forEach(vm -> batch.intend(vm, VmAction.SLEEP, want(plan, view, vm)));
-        plan.moves().forEach(batch::move);
+        plan.wake().forEach(vm -> batch.intend(vm, VmAction.WAKE, bufferReason(plan, view, vm)));
+        plan.sleep().forEach(vm -> batch.intend(vm, VmAction.SLEEP, bufferReason(plan, view, vm)));
+        plan.moves().forEach(batch::release);
         return batch.changes();
     }
 
     /** It has joined its new pool, and nothing of that pool runs on it yet. */
-    private static boolean isJoined(VmState vm) {
+    private static boolean hasJoinedPool(VmState vm) {
         return vm.phase() == VmPhase.RELEASING && vm.joining().isEmpty() && vm.pending().isEmpty();
     }
 
-    private void wave(Batch batch, WaveState wave, WaveDecision decision) {
+    private void applyWaveDecision(ChangeBatch batch, WaveState wave, WaveDecision decision) {
         if (decision instanceof WaveDecision.Go go) {
             go.step().vms().forEach(vm -> batch.reboot(vm, wave));
         } else if (decision instanceof WaveDecision.Pause pause) {
-            Author author = new Author(mWho, pause.reason());
-            batch.order(wave, new WaveControlled(wave.id(), WaveOrder.PAUSE, author));
+            Author author = new Author(mAuthor, pause.reason());
+            batch.addWaveChange(wave, new WaveControlled(wave.id(), WaveOrder.PAUSE, author));
         } else if (decision instanceof WaveDecision.Finished) {
-            batch.order(wave, new WaveFinished(wave.id(), batch.mZone));
+            batch.addWaveChange(wave, new WaveFinished(wave.id(), batch.mZone));
         }
     }
 
-    private static String want(BufferPlan plan, FleetView view, VmId id) {
+    private static String bufferReason(BufferPlan plan, FleetView view, VmId id) {
         return view.vm(id)
                 .map(vm -> plan.wants().get(vm.pool()))
                 .map(want -> want.text())
@@ -110,13 +111,13 @@
     }
 
     /** The changes of one plan; each VM has at most one. */
-    private final class Batch {
+    private final class ChangeBatch {
         private final FleetView mView;
         private final ZoneId mZone;
-        private final Set<VmId> mTaken = new HashSet<>();
+        private final Set<VmId> mChangedVms = new HashSet<>();
         private final List<PlannedChange> mChanges = new ArrayList<>();
 
-        Batch(FleetView view, ZoneId zone) {
+        ChangeBatch(FleetView view, ZoneId zone) {
             mView = view;
             mZone = zone;
         }
@@ -126,7 +127,8 @@
         }
 
         void reboot(VmId id, WaveState wave) {
-            own(id).ifPresent(
+            findChangeable(id)
+                    .ifPresent(
                             vm ->
                                     add(
                                             vm,
@@ -141,57 +143,58 @@
         }
 
         void observe(VmId id, VmHealth health) {
-            Author author = new Author(mWho, "the platform's list");
-            own(id).ifPresent(
+            Author author = new Author(mAuthor, "the platform's list");
+            findChangeable(id)
+                    .ifPresent(
                             vm ->
                                     add(
                                             vm,
                                             new VmObserved(id, vm.generation(), health, author),
-                                            expects(vm)));
+                                            expectedVersions(vm)));
         }
 
         void intend(VmId id, VmAction action, String why) {
-            own(id).ifPresent(vm -> intend(vm, action, why));
+            findChangeable(id).ifPresent(vm -> intend(vm, action, why));
         }
 
         void intend(VmState vm, VmAction action, String why) {
-            add(vm, intent(vm, action, Optional.empty(), why), expects(vm));
+            add(vm, intent(vm, action, Optional.empty(), why), expectedVersions(vm));
         }
 
-        void move(VmMove move) {
-            Author author = new Author(mWho, move.reason());
-            own(move.vm())
+        void release(VmMove move) {
+            Author author = new Author(mAuthor, move.reason());
+            findChangeable(move.vm())
                     .ifPresent(
                             vm ->
                                     add(
                                             vm,
                                             new VmReleased(vm.id(), move.from(), move.to(), author),
-                                            expects(vm)));
+                                            expectedVersions(vm)));
         }
 
-        void order(WaveState wave, Change change) {
+        void addWaveChange(WaveState wave, Change change) {
             mChanges.add(
                     new PlannedChange(change, Map.of(ObjectKey.of(wave.id()), wave.version())));
         }
 
-        private Optional<VmState> own(VmId id) {
+        private Optional<VmState> findChangeable(VmId id) {
             return mView.vm(id)
                     .filter(vm -> vm.zone().equals(mZone))
                     .filter(vm -> !mView.isFrozen(ObjectKey.of(id)));
         }
 
         private void add(VmState vm, Change change, Map<ObjectKey, Long> expects) {
-            if (mTaken.add(vm.id())) {
+            if (mChangedVms.add(vm.id())) {
                 mChanges.add(new PlannedChange(change, expects));
             }
         }
 
-        private Map<ObjectKey, Long> expects(VmState vm) {
+        private Map<ObjectKey, Long> expectedVersions(VmState vm) {
             return Map.of(ObjectKey.of(vm.id()), vm.version());
         }
 
         private Change intent(VmState vm, VmAction action, Optional<WaveId> wave, String why) {
-            Author author = new Author(mWho, why);
+            Author author = new Author(mAuthor, why);
             return new VmActionIntended(vm.id(), action, vm.generation() + 1, wave, author);
         }
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
@@ -8,10 +8,10 @@
  * A change that a shard wants to write.
  *
  * @param change the change
- * @param expects versions that the decision was made from
+ * @param expectedVersions versions that the decision was made from
  */
-public record PlannedChange(Change change, Map<ObjectKey, Long> expects) {
+public record PlannedChange(Change change, Map<ObjectKey, Long> expectedVersions) {
     public PlannedChange {
-        expects = Map.copyOf(expects);
+        expectedVersions = Map.copyOf(expectedVersions);
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/ShardPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/ShardPlanner.java
@@ -14,5 +14,5 @@
      * @param sight what is seen beside the log
      * @param nowMs time, for what has to last before it counts
      */
-    List<PlannedChange> plan(FleetView view, ZoneId zone, Sight sight, long nowMs);
+    List<PlannedChange> plan(FleetView view, ZoneId zone, PlatformObservation sight, long nowMs);
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Map;
-import org.foxtailplank.controller.AdminClient.Patch;
-import org.foxtailplank.controller.AdminClient.Publication;
+import org.foxtailplank.controller.TestAdminClient.Patch;
+import org.foxtailplank.controller.TestAdminClient.Publication;
 import org.foxtailplank.id.NodeId;
 import org.foxtailplank.id.TeamId;
 import org.foxtailplank.platform.FleetFollower;
@@ -36,7 +36,7 @@
     private PlatformStandin mPlatform;
     private FleetFollower mLog;
     private Controller mController;
-    private AdminClient mOperator;
+    private TestAdminClient mOperator;
     private String mBase;
 
     @BeforeClass
@@ -52,7 +52,7 @@
         mController =
                 Controller.start(mRuntime, ControllerParts.of(node, settings, mLog, platform));
         mOperator =
-                AdminClient.serving(mRuntime, mController.route())
+                TestAdminClient.serving(mRuntime, mController.route())
                         .withToken(settings.teams().get(operators(settings)).token());
     }
 
@@ -67,7 +67,7 @@
     @Test
     public void publishesPatchesAndTellsWhoIsLate() throws Exception {
         HttpAnswer none = mOperator.patch("/v1/config", new Patch(0, "{}", "too early"));
-        assertEquals(AdminClient.code(none), "no-configuration");
+        assertEquals(TestAdminClient.errorCode(none), "no-configuration");
 
         String overlay = Files.readString(EXAMPLE.resolve("sofia-1.jsonc"));
         Map<String, String> overlays = Map.of("sofia-1", overlay);
@@ -76,33 +76,33 @@
 
         String weight = "{\"fleet\":{\"rolloutWeight\":0.25}}";
         long second = applied(mOperator.patch("/v1/config", new Patch(first, weight, "faster")));
-        JsonNode now = mOperator.read("/v1/config");
+        JsonNode now = mOperator.getOk("/v1/config");
         assertEquals(now.path("version").asLong(), second);
         assertTrue(now.path("base").asText().contains("\"rolloutWeight\" : 0.25"));
         assertEquals(now.path("why").asText(), "faster");
 
         HttpAnswer late = mOperator.patch("/v1/config", new Patch(first, weight, "late"));
         assertEquals(late.status(), 409);
-        assertEquals(AdminClient.code(late), "stale-version");
+        assertEquals(TestAdminClient.errorCode(late), "stale-version");
         assertEquals(late.tree().path("current").path("version").asLong(), second);
     }
 
     @Test(dependsOnMethods = "publishesPatchesAndTellsWhoIsLate")
     public void refusesAConfigurationThatNoNodeCouldRead() throws Exception {
-        long version = mOperator.read("/v1/config").path("version").asLong();
+        long version = mOperator.getOk("/v1/config").path("version").asLong();
         String wrong = "{\"fleet\":{\"rolloutWait\":1},\"platform\":{\"appendsPerSecond\":-1}}";
         HttpAnswer answer = mOperator.patch("/v1/config", new Patch(version, wrong, "typo"));
-        assertEquals(AdminClient.code(answer), "bad-configuration");
+        assertEquals(TestAdminClient.errorCode(answer), "bad-configuration");
         String why = answer.tree().path("error").path("why").asText();
         assertTrue(why.contains("rolloutWait") && why.contains("appendsPerSecond"), why);
-        assertEquals(mOperator.read("/v1/config").path("version").asLong(), version);
+        assertEquals(mOperator.getOk("/v1/config").path("version").asLong(), version);
     }
 
     @Test(dependsOnMethods = "publishesPatchesAndTellsWhoIsLate")
     public void saysWhichVersionThisNodeHas() throws Exception {
-        long version = mOperator.read("/v1/config").path("version").asLong();
+        long version = mOperator.getOk("/v1/config").path("version").asLong();
         boolean found = false;
-        for (JsonNode node : mOperator.read("/v1/nodes").path("items")) {
+        for (JsonNode node : mOperator.getOk("/v1/nodes").path("items")) {
             found |= node.path("configVersion").asLong() == version;
         }
         assertTrue(found);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
@@ -55,8 +55,8 @@
     private PlatformStandin mPlatform;
     private FleetFollower mLog;
     private Controller mController;
-    private AdminClient mOperator;
-    private AdminClient mStranger;
+    private TestAdminClient mOperator;
+    private TestAdminClient mAnonymous;
 
     @BeforeClass
     public void start() throws Exception {
@@ -76,9 +76,9 @@
         publish(settings);
         mController =
                 Controller.start(mRuntime, ControllerParts.of(node, settings, mLog, platform));
-        mStranger = AdminClient.serving(mRuntime, mController.route());
-        mOperator = mStranger.withToken("survey-token");
-        until(TARGETS_MET);
+        mAnonymous = TestAdminClient.serving(mRuntime, mController.route());
+        mOperator = mAnonymous.withToken("survey-token");
+        awaitState(TARGETS_MET);
     }
 
     @AfterClass
@@ -91,32 +91,32 @@
 
     @Test
     public void refusesACallWithoutAToken() throws Exception {
-        HttpAnswer answer = mStranger.get("/v1/pools");
+        HttpAnswer answer = mAnonymous.get("/v1/pools");
         assertEquals(answer.status(), 401);
-        assertEquals(AdminClient.code(answer), "no-token");
+        assertEquals(TestAdminClient.errorCode(answer), "no-token");
         assertTrue(answer.tree().path("error").path("todo").asText().contains("Bearer"));
     }
 
     @Test
     public void listsPagesOfVms() throws Exception {
-        JsonNode first = mOperator.read("/v1/vms?zone=z1&limit=3");
+        JsonNode first = mOperator.getOk("/v1/vms?zone=z1&limit=3");
         assertEquals(first.path("items").size(), 3);
         JsonNode rest =
-                mOperator.read("/v1/vms?zone=z1&limit=3&after=" + first.path("next").asText());
+                mOperator.getOk("/v1/vms?zone=z1&limit=3&after=" + first.path("next").asText());
         assertEquals(rest.path("items").size(), 1);
         assertTrue(rest.path("next").isNull());
     }
 
     @Test
     public void givesOneOfTwoRacingOperatorsTheConflictAndTheObjectAsItIs() throws Exception {
-        long version = mOperator.read("/v1/pools/claims").path("version").asLong();
+        long version = mOperator.getOk("/v1/pools/claims").path("version").asLong();
         ObjectNode change = Json.object().put("version", version).put("target", 2);
         change.put("reserve", 2).put("why", "first");
         assertEquals(mOperator.put("/v1/pools/claims/target", change).status(), 200);
         change.put("reserve", 1).put("why", "second");
         HttpAnswer second = mOperator.put("/v1/pools/claims/target", change);
         assertEquals(second.status(), 409);
-        assertEquals(AdminClient.code(second), "stale-version");
+        assertEquals(TestAdminClient.errorCode(second), "stale-version");
         assertEquals(second.tree().path("current").path("reserve").asInt(), 2);
     }
 
@@ -136,8 +136,8 @@
         HttpAnswer started = mOperator.post("/v1/waves", wave);
         assertEquals(started.status(), 200, started.body());
         WaveId id = WaveId.of("march");
-        until(v -> v.wave(id).filter(w -> w.phase() == WavePhase.FINISHED).isPresent());
-        long maintained = mOperator.read("/v1/waves/march").path("maintained").asLong();
+        awaitState(v -> v.wave(id).filter(w -> w.phase() == WavePhase.FINISHED).isPresent());
+        long maintained = mOperator.getOk("/v1/waves/march").path("maintained").asLong();
         assertEquals(maintained, 4);
         assertEquals(mPlatform.cutOff(), 0);
     }
@@ -155,10 +155,10 @@
 
     @Test
     public void explainsWhyAVmIsWhereItIs() throws Exception {
-        JsonNode vm = mOperator.read("/v1/explain/vm/z1-r1-vm2");
+        JsonNode vm = mOperator.getOk("/v1/explain/vm/z1-r1-vm2");
         assertEquals(vm.path("subject").asText(), "vm z1-r1-vm2");
         assertTrue(vm.path("reasons").size() > 0);
-        assertTrue(mOperator.read("/v1/explain/pool/claims").path("reasons").size() > 0);
+        assertTrue(mOperator.getOk("/v1/explain/pool/claims").path("reasons").size() > 0);
         assertEquals(mOperator.get("/v1/explain/vm/nobody").status(), 404);
     }
 
@@ -168,7 +168,7 @@
         job.put("processors", 1000).put("memoryBytes", 1);
         HttpAnswer answer = mOperator.post("/v1/jobs", job);
         assertEquals(answer.status(), 200, answer.body());
-        JsonNode reasons = mOperator.read("/v1/explain/job/huge").path("reasons");
+        JsonNode reasons = mOperator.getOk("/v1/explain/job/huge").path("reasons");
         assertEquals(reasons.path(0).path("kind").asText(), "NEVER", reasons.toString());
     }
 
@@ -177,7 +177,7 @@
         ObjectNode job = Json.object().put("id", "batch").put("pool", "claims").put("why", "test");
         job.put("processors", 1).put("memoryBytes", 1 << 20).put("tasks", 4);
         assertEquals(mOperator.post("/v1/jobs", job).status(), 200);
-        until(
+        awaitState(
                 view ->
                         view.job(JobId.of("batch")).orElseThrow().tasks().values().stream()
                                         .filter(t -> t.outcome().equals(SUCCEEDED))
@@ -188,12 +188,12 @@
     @Test(dependsOnMethods = "carriesOutAWaveAndCutsOffNothing")
     public void movesAVmToAnotherPool() throws Exception {
         VmId vm = VmId.of("z1-r1-vm1");
-        long version = mOperator.read("/v1/vms/" + vm).path("version").asLong();
+        long version = mOperator.getOk("/v1/vms/" + vm).path("version").asLong();
         ObjectNode move = Json.object().put("version", version).put("to", "quotes");
         HttpAnswer answer =
                 mOperator.post("/v1/vms/" + vm + "/move", move.put("why", "busy phones"));
         assertEquals(answer.status(), 200, answer.body());
-        until(
+        awaitState(
                 v ->
                         v.vm(vm)
                                 .filter(s -> s.pool().equals(PoolId.of("quotes")))
@@ -221,7 +221,7 @@
         assertTrue(mLog.submit(record).toCompletableFuture().get(10, TimeUnit.SECONDS).isApplied());
     }
 
-    private void until(Predicate<FleetView> condition) throws Exception {
+    private void awaitState(Predicate<FleetView> condition) throws Exception {
         CompletableFuture<Void> held = new CompletableFuture<>();
         Runnable check =
                 () ->
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/AdminClient.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/TestAdminClient.java
@@ -14,32 +14,32 @@
 import org.foxtailplank.process.PekkoRuntime;
 
 /** Calls an administration API over HTTP. */
-final class AdminClient {
+final class TestAdminClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private final JsonHttpClient mHttp;
     private final URI mAddress;
 
-    private AdminClient(JsonHttpClient http, URI address) {
+    private TestAdminClient(JsonHttpClient http, URI address) {
         mHttp = http;
         mAddress = address;
     }
 
     /** Serves routes on a port that the system gives, and calls them without a token. */
-    static AdminClient serving(PekkoRuntime runtime, Route route) throws Exception {
+    static TestAdminClient serving(PekkoRuntime runtime, Route route) throws Exception {
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
         int port = HttpListener.bind(runtime, any, route).address().getPort();
-        return new AdminClient(
+        return new TestAdminClient(
                 JsonHttpClient.withTimeout(runtime, TIMEOUT),
                 URI.create("http://127.0.0.1:" + port));
     }
 
-    AdminClient withToken(String token) {
-        return new AdminClient(mHttp.withHeader("Authorization", "Bearer " + token), mAddress);
+    TestAdminClient withToken(String token) {
+        return new TestAdminClient(mHttp.withHeader("Authorization", "Bearer " + token), mAddress);
     }
 
     /** The body of an answer that must be good. */
-    JsonNode read(String path) throws Exception {
+    JsonNode getOk(String path) throws Exception {
         HttpAnswer answer = get(path);
         assertEquals(answer.status(), 200, answer.body());
         return answer.tree();
@@ -62,7 +62,7 @@
     }
 
     /** Name of the error that an answer carries. */
-    static String code(HttpAnswer answer) throws Exception {
+    static String errorCode(HttpAnswer answer) throws Exception {
         return answer.tree().path("error").path("code").asText();
     }
 
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeLog.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeFleetLog.java
@@ -14,18 +14,18 @@
 import org.foxtailplank.state.Verdict;
 
 /** One log in memory; every follower folds it for itself. */
-final class FakeLog {
+final class FakeFleetLog {
     private final List<LogRecord> mRecords = new ArrayList<>();
-    private boolean mAway;
-    private int mLostAnswers;
+    private boolean mUnavailable;
+    private int mResponsesToLose;
 
     /** Refuses appends without effect until it is back. */
-    void setAway(boolean away) {
-        mAway = away;
+    void setUnavailable(boolean away) {
+        mUnavailable = away;
     }
 
-    void loseAnswers(int times) {
-        mLostAnswers = times;
+    void loseResponses(int times) {
+        mResponsesToLose = times;
     }
 
     List<LogRecord> records() {
@@ -49,15 +49,15 @@
         @Override
         public CompletionStage<Verdict> submit(LogRecord record) {
             mInterruption.beforeCall();
-            if (mAway) {
+            if (mUnavailable) {
                 return CompletableFuture.failedFuture(
                         new PlatformException("the platform is away", Effect.NONE));
             }
             mRecords.add(record.basedOn(mState.basis()));
             int at = mRecords.size() - 1;
             mInterruption.afterCall();
-            if (mLostAnswers > 0) {
-                mLostAnswers--;
+            if (mResponsesToLose > 0) {
+                mResponsesToLose--;
                 return CompletableFuture.failedFuture(
                         new PlatformException("the answer was lost", Effect.UNKNOWN));
             }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeWorkers.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeTaskWorkers.java
@@ -22,48 +22,48 @@
 import org.foxtailplank.platform.Workers;
 
 /** Workers after docs/PLATFORM.md; a task runs for ten seconds, or until its lease lapses. */
-final class FakeWorkers {
+final class FakeTaskWorkers {
     private static final Duration TASK_TIME = Duration.ofSeconds(10);
 
     private final FakeClock mClock;
     private final List<Run> mRuns = new ArrayList<>();
     private final List<VmId> mVms;
     private Duration mTaskTime = TASK_TIME;
-    private boolean mAway;
-    private int mLostAnswers;
-    private Optional<List<Runnable>> mHeldStarts = Optional.empty();
+    private boolean mUnavailable;
+    private int mResponsesToLose;
+    private Optional<List<Runnable>> mDelayedStarts = Optional.empty();
 
     /** One attempt at a task. */
     private static final class Run {
         private VmId mWorker;
         private TaskStart mStart;
-        private Instant mBegan;
+        private Instant mStartedAt;
         private Instant mLeaseEnd;
-        private Optional<Instant> mStopped = Optional.empty();
+        private Optional<Instant> mStoppedAt = Optional.empty();
     }
 
-    FakeWorkers(FakeClock clock, List<VmId> vms) {
+    FakeTaskWorkers(FakeClock clock, List<VmId> vms) {
         mClock = clock;
         mVms = vms;
     }
 
-    void setAway(boolean away) {
-        mAway = away;
+    void setUnavailable(boolean away) {
+        mUnavailable = away;
     }
 
-    void loseAnswers(int times) {
-        mLostAnswers = times;
+    void loseResponses(int times) {
+        mResponsesToLose = times;
     }
 
     /** Holds starts on their way from now on; their callers see no answer. */
-    void holdStarts() {
-        mHeldStarts = Optional.of(new ArrayList<>());
+    void delayStarts() {
+        mDelayedStarts = Optional.of(new ArrayList<>());
     }
 
     /** Lets the starts that were held arrive. */
-    void releaseStarts() {
-        mHeldStarts.orElseThrow().forEach(Runnable::run);
-        mHeldStarts = Optional.empty();
+    void deliverDelayedStarts() {
+        mDelayedStarts.orElseThrow().forEach(Runnable::run);
+        mDelayedStarts = Optional.empty();
     }
 
     void setTaskTime(Duration time) {
@@ -76,13 +76,13 @@
     }
 
     /** Attempts that began while another attempt at the same task was still running. */
-    List<String> doubleRuns() {
+    List<String> overlappingRuns() {
         List<String> found = new ArrayList<>();
         for (Run a : mRuns) {
             for (Run b : mRuns) {
                 boolean same = a.mStart.task().equals(b.mStart.task());
                 boolean before = a.mStart.attempt() < b.mStart.attempt();
-                if (same && before && end(a).isAfter(b.mBegan)) {
+                if (same && before && end(a).isAfter(b.mStartedAt)) {
                     found.add(a.mStart.task().text() + " attempt " + b.mStart.attempt());
                 }
             }
@@ -96,18 +96,18 @@
                 .count();
     }
 
-    Workers interruptedBy(Interruption interruption) {
+    Workers client(Interruption interruption) {
         return new Workers() {
             @Override
             public CompletionStage<WorkerList> list(Optional<ZoneId> zone) {
-                return mAway ? away() : CompletableFuture.completedFuture(reports());
+                return mUnavailable ? unavailable() : CompletableFuture.completedFuture(reports());
             }
 
             @Override
             public CompletionStage<TaskReply> start(VmId worker, TaskStart start) {
-                if (mHeldStarts.isPresent()) {
-                    mHeldStarts.get().add(() -> started(worker, start));
-                    return unanswered();
+                if (mDelayedStarts.isPresent()) {
+                    mDelayedStarts.get().add(() -> started(worker, start));
+                    return responseLost();
                 }
                 return call(interruption, () -> started(worker, start));
             }
@@ -129,14 +129,14 @@
     private CompletionStage<TaskReply> call(
             Interruption interruption, java.util.function.Supplier<TaskReply> effect) {
         interruption.beforeCall();
-        if (mAway) {
-            return away();
+        if (mUnavailable) {
+            return unavailable();
         }
         TaskReply reply = effect.get();
         interruption.afterCall();
-        if (mLostAnswers > 0) {
-            mLostAnswers--;
-            return unanswered();
+        if (mResponsesToLose > 0) {
+            mResponsesToLose--;
+            return responseLost();
         }
         return CompletableFuture.completedFuture(reply);
     }
@@ -150,8 +150,8 @@
         Run run = new Run();
         run.mWorker = worker;
         run.mStart = start;
-        run.mBegan = mClock.instant();
-        run.mLeaseEnd = run.mBegan.plus(start.lease());
+        run.mStartedAt = mClock.instant();
+        run.mLeaseEnd = run.mStartedAt.plus(start.lease());
         mRuns.add(run);
         return TaskReply.ACCEPTED;
     }
@@ -162,7 +162,7 @@
             return run.isEmpty() ? TaskReply.UNKNOWN_TASK : TaskReply.OTHER_ATTEMPT;
         }
         if (request != TaskRequest.THROTTLE && status(run.get()) == Status.RUNNING) {
-            run.get().mStopped = Optional.of(mClock.instant());
+            run.get().mStoppedAt = Optional.of(mClock.instant());
         }
         return TaskReply.ACCEPTED;
     }
@@ -185,16 +185,16 @@
     }
 
     private Instant end(Run run) {
-        Instant done = run.mBegan.plus(mTaskTime);
+        Instant done = run.mStartedAt.plus(mTaskTime);
         Instant end = done.isBefore(run.mLeaseEnd) ? done : run.mLeaseEnd;
-        return run.mStopped.filter(s -> s.isBefore(end)).orElse(end);
+        return run.mStoppedAt.filter(s -> s.isBefore(end)).orElse(end);
     }
 
     private Status status(Run run) {
         if (mClock.instant().isBefore(end(run))) {
             return Status.RUNNING;
         }
-        if (run.mStopped.isPresent()) {
+        if (run.mStoppedAt.isPresent()) {
             return Status.STOPPED;
         }
         return end(run).equals(run.mLeaseEnd) ? Status.LOST : Status.SUCCEEDED;
@@ -221,12 +221,12 @@
         return new WorkerList(mClock.instant(), workers);
     }
 
-    private static <T> CompletionStage<T> unanswered() {
+    private static <T> CompletionStage<T> responseLost() {
         return CompletableFuture.failedFuture(
                 new PlatformException("the answer was lost", Effect.UNKNOWN));
     }
 
-    private static <T> CompletionStage<T> away() {
+    private static <T> CompletionStage<T> unavailable() {
         return CompletableFuture.failedFuture(
                 new PlatformException("the platform is away", Effect.NONE));
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakePlatform.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeVmPlatform.java
@@ -39,7 +39,7 @@
  * has not heard of it sends another one a second later, which takes three, and so meets a VM that
  * is stopped before that.
  */
-final class FakePlatform {
+final class FakeVmPlatform {
     private static final Duration ACTION_TIME = Duration.ofSeconds(1);
     private static final Duration LATE_REQUEST_AFTER = Duration.ofSeconds(1);
     private static final Duration LATE_REQUEST_UNTIL = Duration.ofSeconds(4);
@@ -49,8 +49,8 @@
     private final Map<VmId, Vm> mVms = new LinkedHashMap<>();
     private final List<String> mEffects = new ArrayList<>();
     private final List<String> mCutOff = new ArrayList<>();
-    private boolean mAway;
-    private int mLostAnswers;
+    private boolean mUnavailable;
+    private int mResponsesToLose;
     private Consumer<String> mOnStop = vm -> {};
 
     private static final class Vm {
@@ -62,16 +62,16 @@
         private VmPower mPower = VmPower.ON;
         private long mPoolGeneration = 1;
         private long mGeneration;
-        private boolean mFailsNext;
-        private boolean mStuck;
-        private Optional<Instant> mDrained = Optional.empty();
-        private Optional<ActionRequest> mLast = Optional.empty();
-        private Instant mLastAt = Instant.MIN;
-        private boolean mLastFailed;
-        private final Map<String, ActionRequest> mTaken = new HashMap<>();
+        private boolean mNextActionFails;
+        private boolean mRequestNeverEnds;
+        private Optional<Instant> mDrainedAt = Optional.empty();
+        private Optional<ActionRequest> mLastAction = Optional.empty();
+        private Instant mLastActionAt = Instant.MIN;
+        private boolean mLastActionFailed;
+        private final Map<String, ActionRequest> mAccepted = new HashMap<>();
     }
 
-    FakePlatform(FakeClock clock) {
+    FakeVmPlatform(FakeClock clock) {
         mClock = clock;
     }
 
@@ -85,31 +85,31 @@
         mVms.put(vm.mId, vm);
     }
 
-    void setAway(boolean away) {
-        mAway = away;
+    void setUnavailable(boolean away) {
+        mUnavailable = away;
     }
 
-    void loseAnswers(int times) {
-        mLostAnswers = times;
+    void loseResponses(int times) {
+        mResponsesToLose = times;
     }
 
-    void power(String id, VmPower power) {
+    void setPower(String id, VmPower power) {
         mVms.get(VmId.of(id)).mPower = power;
     }
 
-    void loseRack(String rack) {
+    void failRack(String rack) {
         mVms.values().stream()
                 .filter(vm -> vm.mRack.value().equals(rack))
                 .forEach(vm -> vm.mPower = VmPower.FAILED);
     }
 
     void failNextAction(String id) {
-        mVms.get(VmId.of(id)).mFailsNext = true;
+        mVms.get(VmId.of(id)).mNextActionFails = true;
     }
 
     /** A request on this VM never ends. */
-    void stick(String id) {
-        mVms.get(VmId.of(id)).mStuck = true;
+    void neverEndRequest(String id) {
+        mVms.get(VmId.of(id)).mRequestNeverEnds = true;
     }
 
     /** Is called with a VM at the moment at which it is stopped. */
@@ -130,23 +130,24 @@
     long serving(String service) {
         return mVms.values().stream()
                 .filter(vm -> vm.mService.value().equals(service))
-                .filter(vm -> power(vm) == VmPower.ON && vm.mDrained.isEmpty())
+                .filter(vm -> power(vm) == VmPower.ON && vm.mDrainedAt.isEmpty())
                 .count();
     }
 
     boolean isServing(String id) {
         Vm vm = mVms.get(VmId.of(id));
-        return power(vm) == VmPower.ON && vm.mDrained.isEmpty();
+        return power(vm) == VmPower.ON && vm.mDrainedAt.isEmpty();
     }
 
     VmDirectory directory(Interruption interruption) {
         return new VmDirectory() {
             @Override
             public CompletionStage<VmList> list(Optional<ZoneId> zone) {
-                if (mAway) {
-                    return away();
+                if (mUnavailable) {
+                    return unavailable();
                 }
-                List<VmReport> all = mVms.values().stream().map(FakePlatform.this::report).toList();
+                List<VmReport> all =
+                        mVms.values().stream().map(FakeVmPlatform.this::report).toList();
                 return CompletableFuture.completedFuture(new VmList(mClock.instant(), all));
             }
 
@@ -154,30 +155,30 @@
             public CompletionStage<Optional<VmReport>> find(VmId vm) {
                 interruption.beforeCall();
                 interruption.afterCall();
-                return mAway
-                        ? away()
+                return mUnavailable
+                        ? unavailable()
                         : CompletableFuture.completedFuture(
-                                Optional.ofNullable(mVms.get(vm)).map(FakePlatform.this::report));
+                                Optional.ofNullable(mVms.get(vm)).map(FakeVmPlatform.this::report));
             }
         };
     }
 
     VmActions actions(Interruption interruption) {
         return (id, request) -> {
-            interruption.beforeAsk(id.value());
+            interruption.beforeAction(id.value());
             interruption.beforeCall();
-            if (mAway) {
-                return away();
+            if (mUnavailable) {
+                return unavailable();
             }
             Vm vm = mVms.get(id);
-            boolean accepted = vm.mTaken.containsKey(request.id());
+            boolean accepted = vm.mAccepted.containsKey(request.id());
             if (!accepted && request.generation() > vm.mGeneration) {
                 accepted = true;
-                take(vm, request);
+                accept(vm, request);
             }
             interruption.afterCall();
-            if (mLostAnswers > 0) {
-                mLostAnswers--;
+            if (mResponsesToLose > 0) {
+                mResponsesToLose--;
                 return CompletableFuture.failedFuture(
                         new PlatformException("the answer was lost", Effect.UNKNOWN));
             }
@@ -185,57 +186,58 @@
         };
     }
 
-    BackendHealth health() {
+    BackendHealthClient health() {
         return address -> {
             Vm vm = List.copyOf(mVms.values()).get(address.getPort() - 1);
             boolean runs = power(vm) == VmPower.ON || power(vm) == VmPower.DRAINING;
             return CompletableFuture.completedFuture(
                     runs
-                            ? Optional.of(new BackendReport(vm.mDrained.isPresent(), inFlight(vm)))
+                            ? Optional.of(
+                                    new BackendReport(vm.mDrainedAt.isPresent(), inFlight(vm)))
                             : Optional.empty());
         };
     }
 
-    private void take(Vm vm, ActionRequest request) {
-        vm.mTaken.put(request.id(), request);
+    private void accept(Vm vm, ActionRequest request) {
+        vm.mAccepted.put(request.id(), request);
         vm.mGeneration = request.generation();
-        vm.mLast = Optional.of(request);
-        vm.mLastAt = mClock.instant();
-        vm.mLastFailed = vm.mFailsNext && request.action() != PlatformAction.DRAIN;
+        vm.mLastAction = Optional.of(request);
+        vm.mLastActionAt = mClock.instant();
+        vm.mLastActionFailed = vm.mNextActionFails && request.action() != PlatformAction.DRAIN;
         mEffects.add(request.action() + " " + vm.mId);
         if (request.action() == PlatformAction.DRAIN) {
-            vm.mDrained = Optional.of(mClock.instant());
+            vm.mDrainedAt = Optional.of(mClock.instant());
             return;
         }
-        if (inFlight(vm) > 0 || isStillSentTo(vm)) {
+        if (inFlight(vm) > 0 || receivesRequests(vm)) {
             mCutOff.add(request.action() + " " + vm.mId);
         }
         if (request.action() != PlatformAction.WAKE) {
             mOnStop.accept(vm.mId.value());
         }
-        vm.mDrained = Optional.empty();
+        vm.mDrainedAt = Optional.empty();
         vm.mPoolGeneration = request.poolGeneration();
         vm.mPool = request.pool();
         vm.mService = ServiceId.of(request.pool().value());
-        vm.mFailsNext = false;
-        vm.mPower = vm.mLastFailed ? VmPower.FAILED : after(request.action(), vm.mPower);
+        vm.mNextActionFails = false;
+        vm.mPower = vm.mLastActionFailed ? VmPower.FAILED : powerAfter(request.action(), vm.mPower);
     }
 
-    private static VmPower after(PlatformAction action, VmPower before) {
+    private static VmPower powerAfter(PlatformAction action, VmPower before) {
         boolean stays = action == PlatformAction.REASSIGN && before == VmPower.OFF;
         return action == PlatformAction.SLEEP || stays ? VmPower.OFF : VmPower.ON;
     }
 
-    private boolean isRunning(Vm vm) {
-        boolean acts = vm.mLast.filter(a -> a.action() != PlatformAction.DRAIN).isPresent();
-        return acts && mClock.instant().isBefore(vm.mLastAt.plus(ACTION_TIME));
+    private boolean isActionRunning(Vm vm) {
+        boolean acts = vm.mLastAction.filter(a -> a.action() != PlatformAction.DRAIN).isPresent();
+        return acts && mClock.instant().isBefore(vm.mLastActionAt.plus(ACTION_TIME));
     }
 
     private VmPower power(Vm vm) {
-        if (isRunning(vm)) {
+        if (isActionRunning(vm)) {
             return VmPower.REBOOTING;
         }
-        boolean draining = vm.mPower == VmPower.ON && vm.mDrained.isPresent();
+        boolean draining = vm.mPower == VmPower.ON && vm.mDrainedAt.isPresent();
         return draining ? VmPower.DRAINING : vm.mPower;
     }
 
@@ -243,24 +245,24 @@
         if (vm.mPower != VmPower.ON) {
             return 0;
         }
-        if (vm.mDrained.isEmpty()) {
+        if (vm.mDrainedAt.isEmpty()) {
             return 1;
         }
-        Duration since = Duration.between(vm.mDrained.get(), mClock.instant());
-        Duration until = vm.mStuck ? NEVER : LATE_REQUEST_UNTIL;
+        Duration since = Duration.between(vm.mDrainedAt.get(), mClock.instant());
+        Duration until = vm.mRequestNeverEnds ? NEVER : LATE_REQUEST_UNTIL;
         boolean late = since.compareTo(LATE_REQUEST_AFTER) >= 0 && since.compareTo(until) < 0;
         return late ? 1 : 0;
     }
 
-    private boolean isStillSentTo(Vm vm) {
+    private boolean receivesRequests(Vm vm) {
         Instant now = mClock.instant();
         return vm.mPower == VmPower.ON
-                && vm.mDrained.filter(t -> now.isBefore(t.plus(LATE_REQUEST_AFTER))).isPresent();
+                && vm.mDrainedAt.filter(t -> now.isBefore(t.plus(LATE_REQUEST_AFTER))).isPresent();
     }
 
     private VmReport report(Vm vm) {
         Optional<ActionReport> last =
-                vm.mLast.map(a -> new ActionReport(a.id(), a.action(), progress(vm)));
+                vm.mLastAction.map(a -> new ActionReport(a.id(), a.action(), progress(vm)));
         int port = List.copyOf(mVms.values()).indexOf(vm) + 1;
         return new VmReport(
                 vm.mId,
@@ -270,7 +272,7 @@
                 Optional.of(vm.mPool),
                 vm.mPoolGeneration,
                 vm.mGeneration,
-                vm.mDrained.isPresent(),
+                vm.mDrainedAt.isPresent(),
                 last,
                 Optional.of(
                         new InstanceReport(
@@ -278,13 +280,13 @@
     }
 
     private Progress progress(Vm vm) {
-        if (isRunning(vm)) {
+        if (isActionRunning(vm)) {
             return Progress.RUNNING;
         }
-        return vm.mLastFailed ? Progress.FAILED : Progress.DONE;
+        return vm.mLastActionFailed ? Progress.FAILED : Progress.DONE;
     }
 
-    private static <T> CompletionStage<T> away() {
+    private static <T> CompletionStage<T> unavailable() {
         return CompletableFuture.failedFuture(
                 new PlatformException("the platform is away", Effect.NONE));
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
@@ -4,17 +4,17 @@
 
 /** Interrupts a controller at one of its calls to the log or the platform. */
 final class Interruption {
-    private final int mAtCall;
+    private final int mCallIndex;
     private final boolean mAfterEffect;
-    private final Runnable mWhat;
-    private Optional<String> mAsked = Optional.empty();
+    private final Runnable mAction;
+    private Optional<String> mVm = Optional.empty();
     private int mCalls;
     private boolean mDead;
 
     private Interruption(int atCall, boolean afterEffect, Runnable what) {
-        mAtCall = atCall;
+        mCallIndex = atCall;
         mAfterEffect = afterEffect;
-        mWhat = what;
+        mAction = what;
     }
 
     static Interruption none() {
@@ -27,17 +27,17 @@
     }
 
     /** Does something before the first action that is asked of a VM. */
-    static Interruption atFirstAsk(String vm, Runnable what) {
+    static Interruption atFirstAction(String vm, Runnable what) {
         Interruption interruption = new Interruption(-1, false, what);
-        interruption.mAsked = Optional.of(vm);
+        interruption.mVm = Optional.of(vm);
         return interruption;
     }
 
     /** An action is about to be asked of a VM. */
-    void beforeAsk(String vm) {
-        if (mAsked.filter(vm::equals).isPresent()) {
-            mAsked = Optional.empty();
-            mWhat.run();
+    void beforeAction(String vm) {
+        if (mVm.filter(vm::equals).isPresent()) {
+            mVm = Optional.empty();
+            mAction.run();
         }
     }
 
@@ -53,7 +53,7 @@
 
     /** Whether the controller came as far as the call. */
     boolean wasReached() {
-        return mCalls > mAtCall;
+        return mCalls > mCallIndex;
     }
 
     void beforeCall() {
@@ -69,12 +69,12 @@
     }
 
     private void call() {
-        if (mDead || mCalls++ == mAtCall && mWhat == null) {
+        if (mDead || mCalls++ == mCallIndex && mAction == null) {
             mDead = true;
             throw new KilledError();
         }
-        if (mCalls == mAtCall + 1) {
-            mWhat.run();
+        if (mCalls == mCallIndex + 1) {
+            mAction.run();
         }
     }
 
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
@@ -72,7 +72,7 @@
     @Test(dataProvider = "scenarios")
     public void happensOnce(Scenario scenario) {
         TestFleet fleet = fleet(scenario);
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), node);
         assertEquals(fleet.platform().effects(), scenario.effects());
@@ -97,13 +97,13 @@
     private static boolean killedAt(Scenario scenario, int call, boolean afterEffect) {
         TestFleet fleet = fleet(scenario);
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         scenario.order().accept(fleet);
         fleet.runUntil(view -> kill.isDead() || scenario.goal().test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(scenario.goal(), fleet.start("a-2", Interruption.none()));
         assertDoneOnce(fleet, scenario);
         return true;
@@ -128,22 +128,22 @@
 
     private static boolean pausedAt(Scenario scenario, int call, boolean afterEffect) {
         TestFleet fleet = fleet(scenario);
-        TestNode[] second = new TestNode[1];
+        TestController[] second = new TestController[1];
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     second[0] = fleet.start("a-2", Interruption.none());
                     fleet.runUntil(scenario.goal(), second[0]);
-                    fleet.silent().clear();
+                    fleet.silentNodes().clear();
                 };
         Interruption pause = Interruption.at(call, afterEffect, whilePaused);
-        TestNode first = fleet.start("a-1", pause);
+        TestController first = fleet.start("a-1", pause);
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), first);
         if (second[0] == null) {
             return false;
         }
-        fleet.run(TestFleet.A_WHILE, first, second[0]);
+        fleet.run(TestFleet.SETTLING_TIME, first, second[0]);
         assertTrue(scenario.goal().test(fleet.view()));
         assertDoneOnce(fleet, scenario);
         return true;
@@ -153,10 +153,10 @@
     @Test(dataProvider = "scenarios")
     public void happensOnceWithTwoControllersThatTakeTheEpochFromEachOther(Scenario scenario) {
         TestFleet fleet = fleet(scenario);
-        fleet.silent().add(NodeId.of("a-1"));
-        fleet.silent().add(NodeId.of("a-2"));
-        TestNode first = fleet.start("a-1", Interruption.none());
-        TestNode second = fleet.start("a-2", Interruption.none());
+        fleet.silentNodes().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-2"));
+        TestController first = fleet.start("a-1", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         fleet.run(Duration.ofSeconds(5), first, second);
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), first, second);
@@ -184,11 +184,11 @@
     private static void release(TestFleet fleet) {
         VmState vm = fleet.view().vm(VM).orElseThrow();
         Change change = new VmReleased(VM, vm.pool(), QUOTES, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, ObjectKey.of(VM), vm.version()).isApplied());
+        assertTrue(fleet.submit(change, ObjectKey.of(VM), vm.version()).isApplied());
     }
 
     private static void powerOff(TestFleet fleet) {
-        fleet.platform().power("claims-0", VmPower.OFF);
+        fleet.platform().setPower("claims-0", VmPower.OFF);
         target(fleet, 3);
     }
 
@@ -196,7 +196,7 @@
         PoolId pool = PoolId.of("claims");
         ObjectKey key = ObjectKey.of(pool);
         Change change = new PoolTargetChanged(pool, target, 0, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, key, fleet.view().version(key)).isApplied());
+        assertTrue(fleet.submit(change, key, fleet.view().version(key)).isApplied());
     }
 
     private static boolean serves(FleetView view, PoolId pool) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
@@ -37,7 +37,7 @@
             view -> view.vms().stream().anyMatch(vm -> vm.pending().isPresent());
 
     private TestFleet mFleet;
-    private TestNode mNode;
+    private TestController mNode;
 
     @BeforeMethod
     public void startAWave() {
@@ -51,8 +51,8 @@
     @Test
     public void rebootsOnceThoughThePlatformsAnswersAreLost() {
         while (!isIn(WavePhase.FINISHED).test(mFleet.view())) {
-            mFleet.platform().loseAnswers(1);
-            mFleet.log().loseAnswers(1);
+            mFleet.platform().loseResponses(1);
+            mFleet.log().loseResponses(1);
             mFleet.run(Duration.ofSeconds(1), mNode);
         }
         assertMaintainedOnce();
@@ -65,13 +65,13 @@
     @Test
     public void goesOnAfterThePlatformWasGoneForAnHour() {
         mFleet.runUntil(SOMETHING_PENDING, mNode);
-        mFleet.platform().setAway(true);
-        mFleet.log().setAway(true);
+        mFleet.platform().setUnavailable(true);
+        mFleet.log().setUnavailable(true);
         List<String> before = List.copyOf(mFleet.platform().effects());
         mFleet.run(Duration.ofHours(1), mNode);
         assertEquals(mFleet.platform().effects(), before);
-        mFleet.platform().setAway(false);
-        mFleet.log().setAway(false);
+        mFleet.platform().setUnavailable(false);
+        mFleet.log().setUnavailable(false);
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertMaintainedOnce();
     }
@@ -80,7 +80,7 @@
     @Test
     public void keepsTheBudgetWhenARackIsLostInTheMiddle() {
         mFleet.runUntil(SOME_MAINTAINED, mNode);
-        mFleet.platform().loseRack("r2");
+        mFleet.platform().failRack("r2");
         mFleet.run(Duration.ofMinutes(5), mNode);
         mFleet.assertBudgetsHold();
         assertEquals(mFleet.platform().cutOff(), List.of());
@@ -101,10 +101,10 @@
         assertEquals(paused.lastOrder().who(), "a-1");
         assertTrue(paused.lastOrder().why().contains("claims-0"), paused.lastOrder().why());
         int before = mFleet.platform().effects().size();
-        mFleet.run(TestFleet.A_WHILE, mNode);
+        mFleet.run(TestFleet.SETTLING_TIME, mNode);
         assertEquals(mFleet.platform().effects().size(), before);
-        mFleet.platform().power("claims-0", VmPower.ON);
-        mFleet.platform().power("claims-1", VmPower.ON);
+        mFleet.platform().setPower("claims-0", VmPower.ON);
+        mFleet.platform().setPower("claims-1", VmPower.ON);
         order(WaveOrder.RESUME);
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertEquals(mFleet.platform().cutOff(), List.of());
@@ -116,7 +116,7 @@
         order(WaveOrder.CANCEL);
         mFleet.runUntil(SOMETHING_PENDING.negate(), mNode);
         List<String> before = List.copyOf(mFleet.platform().effects());
-        mFleet.run(TestFleet.A_WHILE, mNode);
+        mFleet.run(TestFleet.SETTLING_TIME, mNode);
         assertEquals(mFleet.platform().effects(), before);
         assertTrue(ALL_SERVE.test(mFleet.view()));
     }
@@ -124,7 +124,7 @@
     /** A request never ends. The stop waits for it as long as the settings say, and no longer. */
     @Test
     public void stopsAVmWhoseRequestNeverEndsAfterTheDrainTimeout() {
-        mFleet.platform().stick("claims-0");
+        mFleet.platform().neverEndRequest("claims-0");
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertEquals(mFleet.platform().cutOff(), List.of("REBOOT claims-0"));
     }
@@ -134,9 +134,9 @@
     public void seesAVmFailAndComeBack() {
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         int before = mFleet.platform().effects().size();
-        mFleet.platform().power("claims-0", VmPower.FAILED);
+        mFleet.platform().setPower("claims-0", VmPower.FAILED);
         mFleet.runUntil(view -> phase(view) == VmPhase.BROKEN, mNode);
-        mFleet.platform().power("claims-0", VmPower.ON);
+        mFleet.platform().setPower("claims-0", VmPower.ON);
         mFleet.runUntil(view -> phase(view) == VmPhase.SERVING, mNode);
         assertEquals(mFleet.platform().effects().size(), before);
     }
@@ -149,8 +149,8 @@
         long version = mFleet.view().version(key);
         Change first = new PoolTargetChanged(pool, 5, 0, TestFleet.OPERATOR);
         Change second = new PoolTargetChanged(pool, 4, 0, TestFleet.OPERATOR);
-        assertTrue(mFleet.order(first, key, version).isApplied());
-        Verdict verdict = mFleet.order(second, key, version);
+        assertTrue(mFleet.submit(first, key, version).isApplied());
+        Verdict verdict = mFleet.submit(second, key, version);
         assertFalse(verdict.isApplied());
         assertEquals(mFleet.view().pool(pool).orElseThrow().target(), 5);
     }
@@ -158,7 +158,7 @@
     private void order(WaveOrder order) {
         Change change = new WaveControlled(WAVE, order, TestFleet.OPERATOR);
         ObjectKey key = ObjectKey.of(WAVE);
-        assertTrue(mFleet.order(change, key, mFleet.view().version(key)).isApplied());
+        assertTrue(mFleet.submit(change, key, mFleet.view().version(key)).isApplied());
     }
 
     private static Predicate<FleetView> isIn(WavePhase phase) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
@@ -43,7 +43,7 @@
     public void runsEveryTaskOnceThoughAnswersAreLost() {
         TestFleet fleet = new TestFleet();
         submit(fleet);
-        fleet.workers().loseAnswers(TASKS);
+        fleet.workers().loseResponses(TASKS);
         fleet.runUntil(DONE, fleet.start("a-1", Interruption.none()));
         assertEquals(fleet.workers().starts(), TASKS);
     }
@@ -66,14 +66,14 @@
     public void startsTasksAgainOnlyAfterTheirLeasesHaveLapsed() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
-        fleet.workers().setAway(true);
+        fleet.workers().setUnavailable(true);
         fleet.run(Duration.ofMinutes(2), node);
-        fleet.workers().setAway(false);
+        fleet.workers().setUnavailable(false);
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         assertTrue(fleet.workers().starts() > TASKS, "no lease lapsed");
     }
 
@@ -96,14 +96,14 @@
         TestFleet fleet = new TestFleet();
         submit(fleet);
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         fleet.runUntil(view -> kill.isDead() || DONE.test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(DONE, fleet.start("a-2", Interruption.none()));
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         return true;
     }
 
@@ -125,21 +125,21 @@
     private static boolean pausedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
         submit(fleet);
-        TestNode[] second = new TestNode[1];
+        TestController[] second = new TestController[1];
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     second[0] = fleet.start("a-2", Interruption.none());
                     fleet.runUntil(DONE, second[0]);
-                    fleet.silent().clear();
+                    fleet.silentNodes().clear();
                 };
-        TestNode first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
+        TestController first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
         fleet.runUntil(DONE, first);
         if (second[0] == null) {
             return false;
         }
-        fleet.run(TestFleet.A_WHILE, first, second[0]);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        fleet.run(TestFleet.SETTLING_TIME, first, second[0]);
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         return true;
     }
 
@@ -148,7 +148,7 @@
     public void movesTasksAwayBeforeTheirWorkerIsRebooted() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(5));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
         fleet.platform()
@@ -161,7 +161,7 @@
         fleet.startWave("w");
         fleet.runUntil(view -> view.vms().stream().allMatch(vm -> vm.lastMaintained() > 0), node);
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
     }
 
     /**
@@ -173,30 +173,30 @@
     public void waitsForAStartThatMayStillBeOnItsWay() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         fleet.run(Duration.ofSeconds(2), node);
-        fleet.workers().holdStarts();
+        fleet.workers().delayStarts();
         submit(fleet);
         fleet.runUntil(view -> view.job(JOB).orElseThrow().tasks().size() == TASKS, node);
         fleet.startWave("w");
         fleet.run(Duration.ofSeconds(10), node);
-        fleet.workers().releaseStarts();
+        fleet.workers().deliverDelayedStarts();
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
     }
 
     @Test
     public void stopsTheTasksOfACancelledJob() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofHours(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
         ObjectKey key = ObjectKey.of(JOB);
         Change cancel = new JobCancelled(JOB, TestFleet.OPERATOR);
-        assertTrue(fleet.order(cancel, key, fleet.view().version(key)).isApplied());
+        assertTrue(fleet.submit(cancel, key, fleet.view().version(key)).isApplied());
         fleet.runUntil(view -> running(view) == 0, node);
-        fleet.run(TestFleet.A_WHILE, node);
+        fleet.run(TestFleet.SETTLING_TIME, node);
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
@@ -211,7 +211,7 @@
                         0,
                         TASKS);
         Change change = new JobSubmitted(JOB, spec, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, ObjectKey.of(JOB), 0).isApplied());
+        assertTrue(fleet.submit(change, ObjectKey.of(JOB), 0).isApplied());
     }
 
     private static long ended(FleetView view) {
