--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestNode.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
+import org.foxtailplank.controller.internal.place.PlacementContext;
 import org.foxtailplank.controller.internal.place.PlacementLoop;
-import org.foxtailplank.controller.internal.place.PlacementParts;
 import org.foxtailplank.controller.internal.plan.FleetPlanner;
 import org.foxtailplank.fleet.BufferPlanner;
 import org.foxtailplank.fleet.PlacementSettings;
@@ -19,14 +19,14 @@
 import org.foxtailplank.internal.control.VmWaits;
 
 /** One controller process of a test: the loop of a zone over the fakes, stepped by hand. */
-final class TestNode implements Mailbox {
+final class TestController implements Mailbox {
     private static final Duration SILENCE = Duration.ofSeconds(2);
     private static final Duration STAGGER = Duration.ofMillis(200);
 
     private final Deque<Runnable> mQueue = new ArrayDeque<>();
-    private final FakeLog.Follower mLog;
-    private final ShardLoop mLoop;
-    private final PlacementLoop mPlacement;
+    private final FakeFleetLog.Follower mLog;
+    private final ShardLoop mShardLoop;
+    private final PlacementLoop mPlacementLoop;
     private final Interruption mInterruption;
 
     /**
@@ -37,16 +37,16 @@
      * @param fleet what it works with
      * @param interruption where it is interrupted
      */
-    TestNode(String name, String life, TestFleet fleet, Interruption interruption) {
+    TestController(String name, String life, TestFleet fleet, Interruption interruption) {
         mInterruption = interruption;
         mLog = fleet.log().follow(interruption);
         NodeId self = NodeId.of(name);
         RecordWriter writer = new RecordWriter(self, life, mLog);
-        Set<NodeId> silent = fleet.silent();
+        Set<NodeId> silent = fleet.silentNodes();
         VmProcedure procedure = new VmProcedure(VmWaits.of(TestFleet.SETTINGS));
         BufferPlanner buffer = BufferPlanner.byDemand(TestFleet.SETTINGS);
-        VmRunner runner =
-                new VmRunner(
+        VmStepExecutor runner =
+                new VmStepExecutor(
                         fleet.platform().directory(interruption),
                         fleet.platform().actions(interruption),
                         fleet.platform().health(),
@@ -54,32 +54,32 @@
                         writer,
                         fleet.clock());
         EpochPolicy policy = new EpochPolicy(self, TestFleet.NODES, SILENCE, STAGGER);
-        EpochParts epochs =
-                new EpochParts(
+        EpochContext epochs =
+                new EpochContext(
                         self,
                         writer,
                         () -> policy,
                         node -> silent.contains(node) ? Duration.ofHours(1) : Duration.ZERO,
                         fleet.clock());
-        ShardParts parts =
-                new ShardParts(
+        ShardContext parts =
+                new ShardContext(
                         mLog,
                         writer,
                         epochs,
                         new FleetPlanner(name, WavePlanner.byRack(), () -> buffer),
-                        new FleetWatch(fleet.clock()),
+                        new FleetMonitor(fleet.clock()),
                         fleet.platform().directory(Interruption.none()),
                         runner,
                         fleet.clock());
-        mLoop = new ShardLoop(TestFleet.ZONE, parts, this);
-        mPlacement =
+        mShardLoop = new ShardLoop(TestFleet.ZONE, parts, this);
+        mPlacementLoop =
                 new PlacementLoop(
-                        new PlacementParts(
+                        new PlacementContext(
                                 fleet::settings,
                                 PlacementSettings.standard(),
                                 mLog,
                                 writer,
-                                fleet.workers().interruptedBy(interruption),
+                                fleet.workers().client(interruption),
                                 epochs,
                                 fleet.clock()),
                         this);
@@ -91,21 +91,21 @@
                 (value, error) -> mQueue.add(() -> handler.accept(Optional.ofNullable(value))));
     }
 
-    FakeLog.Follower log() {
+    FakeFleetLog.Follower log() {
         return mLog;
     }
 
     /** Looks once and does all that follows from it, unless it is killed meanwhile. */
-    void look() {
+    void reconcile() {
         try {
-            look(mLoop::look);
-            look(mPlacement::look);
+            runLoop(mShardLoop::reconcile);
+            runLoop(mPlacementLoop::reconcile);
         } catch (Interruption.KilledError e) {
             mQueue.clear();
         }
     }
 
-    private void look(Runnable loop) {
+    private void runLoop(Runnable loop) {
         if (!mInterruption.isDead()) {
             loop.run();
         }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
@@ -50,7 +50,7 @@
                     Duration.ofMinutes(10));
     static final Map<NodeId, ZoneId> NODES =
             Map.of(NodeId.of("a-1"), ZONE, NodeId.of("a-2"), ZONE, NodeId.of("a-3"), ZONE);
-    static final Duration A_WHILE = Duration.ofMinutes(2);
+    static final Duration SETTLING_TIME = Duration.ofMinutes(2);
     static final int MIN_AVAILABLE = 2;
     private static final Duration TICK = Duration.ofMillis(250);
     private static final int MAX_TICKS = 2_000;
@@ -61,12 +61,12 @@
     private static final int VMS_PER_RACK = 2;
 
     private final FakeClock mClock = new FakeClock();
-    private final FakeLog mLog = new FakeLog();
-    private final FakePlatform mPlatform = new FakePlatform(mClock);
+    private final FakeFleetLog mLog = new FakeFleetLog();
+    private final FakeVmPlatform mPlatform = new FakeVmPlatform(mClock);
     private final Map<VmId, VmSettings> mSizes = new HashMap<>();
-    private final FakeWorkers mWorkers;
+    private final FakeTaskWorkers mWorkers;
     private final Set<NodeId> mSilent = new HashSet<>();
-    private final FakeLog.Follower mObserver = mLog.follow(Interruption.none());
+    private final FakeFleetLog.Follower mObserver = mLog.follow(Interruption.none());
     private int mRecords;
 
     TestFleet() {
@@ -87,25 +87,25 @@
                 places.put(VmId.of(vm), new VmPlace(ZONE, RackId.of(rack), PoolId.of(service)));
             }
         }
-        mWorkers = new FakeWorkers(mClock, List.copyOf(mSizes.keySet()));
+        mWorkers = new FakeTaskWorkers(mClock, List.copyOf(mSizes.keySet()));
         FleetShape shape = new FleetShape(places, pools, budgets);
         Change change = new ConfigurationPublished("{}", Map.of(), shape, OPERATOR);
-        order(change, ObjectKey.configuration(), 0);
+        submit(change, ObjectKey.configuration(), 0);
     }
 
     FakeClock clock() {
         return mClock;
     }
 
-    FakeLog log() {
+    FakeFleetLog log() {
         return mLog;
     }
 
-    FakePlatform platform() {
+    FakeVmPlatform platform() {
         return mPlatform;
     }
 
-    FakeWorkers workers() {
+    FakeTaskWorkers workers() {
         return mWorkers;
     }
 
@@ -132,16 +132,16 @@
     }
 
     /** Nodes that the others no longer hear. */
-    Set<NodeId> silent() {
+    Set<NodeId> silentNodes() {
         return mSilent;
     }
 
-    TestNode start(String name, Interruption interruption) {
-        return new TestNode(name, "life" + mRecords++, this, interruption);
+    TestController start(String name, Interruption interruption) {
+        return new TestController(name, "life" + mRecords++, this, interruption);
     }
 
-    Verdict order(Change change, ObjectKey key, long version) {
-        FakeLog.Follower operator = mLog.follow(Interruption.none());
+    Verdict submit(Change change, ObjectKey key, long version) {
+        FakeFleetLog.Follower operator = mLog.follow(Interruption.none());
         return operator.submit(
                         new LogRecord(
                                 RecordId.of("operator-" + mRecords++),
@@ -156,26 +156,26 @@
     void startWave(String id) {
         WaveId wave = WaveId.of(id);
         Change change = new WaveStarted(wave, Set.of(ZONE), Set.of(), OPERATOR);
-        assertTrue(order(change, ObjectKey.of(wave), 0).isApplied());
+        assertTrue(submit(change, ObjectKey.of(wave), 0).isApplied());
     }
 
     /** Lets controllers look, and time go on, until something holds. */
-    void runUntil(Predicate<FleetView> goal, TestNode... nodes) {
+    void runUntil(Predicate<FleetView> goal, TestController... nodes) {
         for (int i = 0; i < MAX_TICKS && !goal.test(view()); i++) {
             tick(nodes);
         }
         assertTrue(goal.test(view()), "the fleet did not come to it: " + view().vms());
     }
 
-    void run(Duration time, TestNode... nodes) {
+    void run(Duration time, TestController... nodes) {
         for (long i = 0; i < time.dividedBy(TICK); i++) {
             tick(nodes);
         }
     }
 
-    private void tick(TestNode... nodes) {
-        for (TestNode node : nodes) {
-            node.look();
+    private void tick(TestController... nodes) {
+        for (TestController node : nodes) {
+            node.reconcile();
             assertBudgetsHold();
         }
         mClock.advance(TICK);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
@@ -33,7 +33,7 @@
     @Test
     public void rebootsEveryVmOnceAndCutsOffNothing() {
         TestFleet fleet = new TestFleet();
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         fleet.runUntil(ALL_SERVE, node);
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, node);
@@ -59,13 +59,13 @@
     private static boolean killedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         fleet.startWave("w");
         fleet.runUntil(view -> kill.isDead() || WAVE_FINISHED.test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(WAVE_FINISHED, fleet.start("a-2", Interruption.none()));
         assertMaintainedOnce(fleet);
         return true;
@@ -89,16 +89,16 @@
 
     private static boolean pausedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
-        TestNode second = fleet.start("a-2", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         boolean[] paused = {false};
         Runnable whilePaused =
                 () -> {
                     paused[0] = true;
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     long epoch = fleet.view().epoch(TestFleet.ZONE).number();
                     fleet.runUntil(v -> v.epoch(TestFleet.ZONE).number() > epoch, second);
                 };
-        TestNode first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
+        TestController first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, first, second);
         fleet.assertNothingAppliedAfterItsEpoch();
@@ -114,17 +114,18 @@
     @Test
     public void refusesADrainThatComesLate() {
         TestFleet fleet = new TestFleet();
-        TestNode second = fleet.start("a-2", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
-                    fleet.platform().power("claims-0", VmPower.FAILED);
+                    fleet.silentNodes().add(NodeId.of("a-1"));
+                    fleet.platform().setPower("claims-0", VmPower.FAILED);
                     fleet.runUntil(WAVE_FINISHED, second);
                 };
-        TestNode first = fleet.start("a-1", Interruption.atFirstAsk("claims-0", whilePaused));
+        TestController first =
+                fleet.start("a-1", Interruption.atFirstAction("claims-0", whilePaused));
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, first);
-        fleet.run(TestFleet.A_WHILE, first, second);
+        fleet.run(TestFleet.SETTLING_TIME, first, second);
         List<String> effects = fleet.platform().effects();
         assertTrue(effects.contains("REBOOT claims-0"), effects.toString());
         assertFalse(effects.contains("DRAIN claims-0"), effects.toString());
