--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/BackendHealthClient.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/BackendHealthClient.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CompletionStage;
 import org.foxtailplank.internal.control.BackendReport;
 
-/** Asks backend servers for their own word. */
+/** Fetches health reports from backend servers. */
 @FunctionalInterface
 public interface BackendHealthClient {
-    /** The health answer of a backend server; empty when it gives none. */
+    /** Returns the health report of a backend server; empty if it does not respond. */
     CompletionStage<Optional<BackendReport>> fetch(InetSocketAddress address);
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochContext.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochContext.java
@@ -7,13 +7,13 @@
 import org.foxtailplank.internal.control.Liveness;
 
 /**
- * What it takes to hold epochs.
+ * The dependencies of an epoch election.
  *
  * @param self this node
  * @param writer writes records
- * @param policy when to try
+ * @param policy decides when to try to acquire an epoch
  * @param liveness how long other nodes have been silent
- * @param clock decides only when to try
+ * @param clock used only to time attempts
  */
 public record EpochContext(
         NodeId self,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochElection.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/EpochElection.java
@@ -18,7 +18,7 @@
 import org.foxtailplank.state.EpochTaken;
 import org.foxtailplank.state.Verdict;
 
-/** Holds the epoch of one shard for this process, or tries for it when it is this one's turn. */
+/** Competes for the epoch of one shard on behalf of this process, as the epoch policy allows. */
 public final class EpochElection {
     private static final Log LOG = Log.of("control");
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -35,28 +35,31 @@
     private Instant mNextAttempt = Instant.MIN;
     private boolean mAttemptPending;
 
-    /** A keeper that holds nothing yet; the mailbox brings back what became of a try. */
-    public EpochElection(ZoneId shard, EpochContext parts, Mailbox mailbox) {
+    /** Creates an election without an epoch; the mailbox delivers the results of attempts. */
+    public EpochElection(ZoneId shard, EpochContext context, Mailbox mailbox) {
         mShard = shard;
-        mSelf = parts.self();
-        mPolicy = parts.policy();
-        mLiveness = parts.liveness();
-        mWriter = parts.writer();
-        mClock = parts.clock();
+        mSelf = context.self();
+        mPolicy = context.policy();
+        mLiveness = context.liveness();
+        mWriter = context.writer();
+        mClock = context.clock();
         mMailbox = mailbox;
         mStarted = mClock.instant();
     }
 
-    /** Whether an epoch was taken and is not known to be over. */
+    /** Returns whether an epoch was acquired and is not known to have ended. */
     public boolean mayHold() {
         return mHeld.isPresent();
     }
 
-    /** The epoch to act under, by what was just read; calls back once another one was taken. */
-    public Optional<ActingEpoch> check(EpochState read, Runnable taken) {
+    /**
+     * Returns the epoch to act under, given the state just read. If there is none, may try to
+     * acquire one and runs the callback on success.
+     */
+    public Optional<ActingEpoch> check(EpochState read, Runnable onAcquired) {
         Instant now = mClock.instant();
-        Duration waited = Duration.between(mStarted, now);
-        EpochDecision decision = mPolicy.get().decide(read, mHeld, waited, mLiveness);
+        Duration elapsed = Duration.between(mStarted, now);
+        EpochDecision decision = mPolicy.get().decide(read, mHeld, elapsed, mLiveness);
         if (decision instanceof EpochDecision.Held) {
             return Optional.of(new ActingEpoch(mShard, read.number()));
         }
@@ -64,38 +67,40 @@
         if (decision instanceof EpochDecision.Take take
                 && !mAttemptPending
                 && !now.isBefore(mNextAttempt)) {
-            acquire(take, taken);
+            acquire(take, onAcquired);
         }
         return Optional.empty();
     }
 
     private void clearIfLost(long number) {
         if (mHeld.isPresent() && mHeld.getAsLong() < number) {
-            LOG.warn("Lost epoch {1} of {0} to another controller.", mShard, mHeld.getAsLong());
+            LOG.warn(
+                    "Lost epoch {1} of shard {0} to another controller.",
+                    mShard, mHeld.getAsLong());
             mHeld = OptionalLong.empty();
         }
     }
 
-    private void acquire(EpochDecision.Take take, Runnable taken) {
+    private void acquire(EpochDecision.Take take, Runnable onAcquired) {
         mAttemptPending = true;
         long number = take.replaces() + 1;
-        LOG.info("Tries for epoch {1} of {0}: {2}.", mShard, number, take.why());
+        LOG.info("Trying to acquire epoch {1} of shard {0}: {2}.", mShard, number, take.why());
         mMailbox.deliver(
                 mWriter.write(
                         mWriter.nextId(),
                         Optional.empty(),
                         Map.of(),
                         new EpochTaken(mShard, take.replaces(), mSelf)),
-                verdict -> attemptCompleted(number, verdict, taken));
+                verdict -> attemptCompleted(number, verdict, onAcquired));
     }
 
-    private void attemptCompleted(long number, Optional<Verdict> verdict, Runnable taken) {
+    private void attemptCompleted(long number, Optional<Verdict> verdict, Runnable onAcquired) {
         mAttemptPending = false;
         mNextAttempt = mClock.instant().plus(RETRY_AFTER);
         if (verdict.filter(Verdict::isApplied).isPresent()) {
-            LOG.info("Holds epoch {1} of {0}.", mShard, number);
+            LOG.info("Acquired epoch {1} of shard {0}.", mShard, number);
             mHeld = OptionalLong.of(number);
-            taken.run();
+            onAcquired.run();
         }
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetMonitor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetMonitor.java
@@ -20,9 +20,12 @@
 import org.foxtailplank.state.VmPhase;
 import org.foxtailplank.state.VmState;
 
-/** Keeps the platform's lagging list, and says from it which VMs do not serve. */
+/** Caches the platform's VM list, which lags, and compares it with the state in the log. */
 public final class FleetMonitor {
-    /** The list is some seconds old, so a VM that was just woken may not be in it yet. */
+    /**
+     * How long a VM may be missing from the list before it counts as down; the list lags by
+     * seconds.
+     */
     private static final Duration LIST_LAG = Duration.ofSeconds(10);
 
     private static final Duration POLL_INTERVAL = Duration.ofSeconds(5);
@@ -32,12 +35,12 @@
     private Instant mNextPoll = Instant.MIN;
     private Optional<Map<VmId, VmReport>> mReports = Optional.empty();
 
-    /** A watch that has seen nothing. */
+    /** Creates a monitor without a list. */
     public FleetMonitor(InstantSource clock) {
         mClock = clock;
     }
 
-    /** Whether the list is to be asked for; true once in a while. */
+    /** Returns whether the list is due to be fetched, and if so schedules the next fetch. */
     public synchronized boolean claimPoll(Instant now) {
         if (now.isBefore(mNextPoll)) {
             return false;
@@ -46,7 +49,7 @@
         return true;
     }
 
-    /** Takes in the newest list. */
+    /** Replaces the cached list. */
     public synchronized void update(VmList list) {
         mReports =
                 Optional.of(
@@ -56,24 +59,25 @@
                                                 VmReport::id, r -> r, (first, second) -> second)));
     }
 
-    /** What the list shows; empty before there was one. */
+    /** Compares the cached list with the state; empty before the first list. */
     public synchronized Optional<PlatformObservation> observe(FleetView view) {
         if (mReports.isEmpty()) {
             return Optional.empty();
         }
         Instant now = mClock.instant();
-        Set<VmId> silent = new HashSet<>();
-        Map<VmId, VmHealth> surprises = new HashMap<>();
+        Set<VmId> notServing = new HashSet<>();
+        Map<VmId, VmHealth> discrepancies = new HashMap<>();
         for (VmState vm : view.vms()) {
             Optional<VmHealth> health = health(vm, now);
             if (vm.phase() == VmPhase.SERVING && health.equals(Optional.of(VmHealth.DOWN))) {
-                silent.add(vm.id());
+                notServing.add(vm.id());
             }
             boolean settled = vm.pending().isEmpty() && vm.joining().isEmpty();
             health.filter(h -> settled && h.observedIn(vm.phase()).isPresent())
-                    .ifPresent(h -> surprises.put(vm.id(), h));
+                    .ifPresent(h -> discrepancies.put(vm.id(), h));
         }
-        return Optional.of(new PlatformObservation(new Observation(silent, Map.of()), surprises));
+        return Optional.of(
+                new PlatformObservation(new Observation(notServing, Map.of()), discrepancies));
     }
 
     private Optional<VmHealth> health(VmState vm, Instant now) {
@@ -84,8 +88,8 @@
             return isGone ? Optional.of(VmHealth.DOWN) : Optional.empty();
         }
         mAbsentSince.remove(vm.id());
-        // The list may still show the reboot that was confirmed a moment ago; taken as a failure,
-        // a few of those would pause a healthy wave. The generation tells that it is older.
+        // A stale list may still show a reboot that is already confirmed; counted as failures, such
+        // reports would pause a healthy wave. The generation shows that a report is older.
         if (PlatformCall.isBefore(report.generation(), vm)) {
             return Optional.empty();
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/HttpBackendHealthClient.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/HttpBackendHealthClient.java
@@ -14,7 +14,7 @@
 import org.apache.pekko.http.javadsl.model.HttpResponse;
 import org.foxtailplank.internal.control.BackendReport;
 
-/** Asks for {@code GET /health} over HTTP. */
+/** Fetches health reports with {@code GET /health}. */
 public final class HttpBackendHealthClient implements BackendHealthClient {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_RESPONSE_BYTES = 4096;
@@ -22,7 +22,7 @@
     private final ClassicActorSystemProvider mSystem;
     private final Duration mTimeout;
 
-    /** A client whose calls count as unanswered after a timeout. */
+    /** Creates a client whose requests time out. */
     public HttpBackendHealthClient(ClassicActorSystemProvider system, Duration timeout) {
         mSystem = system;
         mTimeout = timeout;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/LoopActor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/LoopActor.java
@@ -12,12 +12,12 @@
 import org.apache.pekko.actor.typed.javadsl.Receive;
 import org.apache.pekko.actor.typed.javadsl.TimerScheduler;
 
-/** Runs a loop as an actor, so that it never runs on two threads at once. */
+/** Runs a loop as an actor, which confines it to one thread at a time. */
 public final class LoopActor extends AbstractBehavior<LoopActor.Command> {
-    /** What the loop is told. */
+    /** Messages of the actor. */
     public sealed interface Command {}
 
-    /** It is time to look, or the state has changed. */
+    /** Runs the loop once: the interval has elapsed or the state has changed. */
     public enum Reconcile implements Command {
         NOW
     }
@@ -27,10 +27,11 @@
     private final Runnable mReconcile;
 
     /**
-     * The behavior of a loop.
+     * Returns the behavior of a loop.
      *
-     * @param loop makes the loop's look from the mailbox that brings back its results
-     * @param lookEvery time between looks where nothing changes
+     * @param loop creates the function that runs the loop once; its results return through the
+     *     mailbox
+     * @param lookEvery time between runs while the state does not change
      */
     public static Behavior<Command> of(Function<Mailbox, Runnable> loop, Duration lookEvery) {
         return Behaviors.setup(
@@ -53,12 +54,12 @@
     @Override
     public Receive<Command> createReceive() {
         return newReceiveBuilder()
-                .onMessage(Reconcile.class, this::onReconcile)
+                .onMessage(Reconcile.class, this::onLook)
                 .onMessage(Deliver.class, this::onDeliver)
                 .build();
     }
 
-    private Behavior<Command> onReconcile(Reconcile look) {
+    private Behavior<Command> onLook(Reconcile message) {
         mReconcile.run();
         return this;
     }
@@ -68,7 +69,7 @@
         return this;
     }
 
-    /** Sends results to the actor itself. */
+    /** Delivers results to the actor as messages. */
     private record PipeToSelf(ActorContext<Command> context) implements Mailbox {
         @Override
         public <T> void deliver(CompletionStage<T> stage, Consumer<Optional<T>> handler) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/Mailbox.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/Mailbox.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Brings results back to the one thread at a time that a loop runs on. */
+/** Delivers asynchronous results on the thread that runs a loop. */
 public interface Mailbox {
-    /** Hands over a result, or nothing when the stage failed. */
+    /** Calls the handler with the result of a stage; empty if the stage failed. */
     <T> void deliver(CompletionStage<T> stage, Consumer<Optional<T>> handler);
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/PendingVm.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/PendingVm.java
@@ -7,10 +7,10 @@
 import org.foxtailplank.state.VmState;
 
 /**
- * A VM that waits for a controller to go on.
+ * A VM with an action or a move in progress.
  *
- * @param vm the VM as folded from the log
- * @param tasks tasks that it may be running
+ * @param vm state of the VM according to the log
+ * @param tasks number of tasks that may be running on it
  * @param willServe whether its pool runs a service, so that a backend server is expected on it
  */
 record PendingVm(VmState vm, int tasks, boolean willServe) {
@@ -19,7 +19,7 @@
         return new PendingVm(vm, tasks, willServe);
     }
 
-    /** Whether a controller has to go on with a VM. */
+    /** Returns whether a controller has to take the next step for a VM. */
     static boolean isDue(FleetView view, VmState vm) {
         boolean due = vm.pending().isPresent() || vm.phase() == VmPhase.RELEASING;
         return due && !view.isFrozen(ObjectKey.of(vm.id()));
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/RecordWriter.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/RecordWriter.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.Verdict;
 
-/** Writes records of this process to the log, each under an id of its own. */
+/** Writes records of this process to the log, each with a unique id. */
 public final class RecordWriter {
     private final NodeId mSelf;
     private final String mIncarnation;
@@ -21,10 +21,11 @@
     private final AtomicLong mCount = new AtomicLong();
 
     /**
-     * A writer.
+     * Creates a writer.
      *
      * @param self this node
-     * @param incarnation name of this process's life; ids of an earlier life never come again
+     * @param incarnation unique name of this run of the process, which keeps ids unique across
+     *     restarts
      * @param log the log
      */
     public RecordWriter(NodeId self, String incarnation, FleetLog log) {
@@ -33,12 +34,12 @@
         mLog = log;
     }
 
-    /** The next id. */
+    /** Returns a new record id. */
     public RecordId nextId() {
         return RecordId.of(mSelf + "-" + mIncarnation + "-" + mCount.incrementAndGet());
     }
 
-    /** Writes a change under an id. */
+    /** Writes a change in a record with the given id. */
     public CompletionStage<Verdict> write(
             RecordId id, Optional<ActingEpoch> epoch, Map<ObjectKey, Long> expects, Change change) {
         return mLog.submit(new LogRecord(id, mSelf, epoch, expects, change));
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardContext.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardContext.java
@@ -6,16 +6,16 @@
 import org.foxtailplank.platform.VmDirectory;
 
 /**
- * What one shard works with.
+ * The dependencies of a shard loop.
  *
- * @param log the agreed state
+ * @param log log of the fleet state
  * @param writer writes records
- * @param epochs what it takes to hold the shard's epoch
- * @param planner what to do next; of this shard alone
- * @param monitor what is seen beside the log
- * @param directory the platform's lagging list
- * @param executor takes the steps of pending intents; of this shard alone
- * @param clock decides only when to look
+ * @param epochs dependencies of the epoch election
+ * @param planner plans changes; not shared between shards
+ * @param monitor compares the platform's VM list with the log
+ * @param directory the platform's VM directory
+ * @param executor executes the steps of pending intents; not shared between shards
+ * @param clock used only for scheduling
  */
 public record ShardContext(
         FleetLog log,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
@@ -21,17 +21,17 @@
 import org.foxtailplank.state.Verdict;
 
 /**
- * Acts for one availability zone while it holds the zone's epoch.
+ * Reconciles one availability zone while this process holds the zone's epoch.
  *
- * <p>It keeps no plan of its own: each look reads the agreed state again and does what is next, so
- * it doesn't matter which controller wrote an intent. Not thread-safe.
+ * <p>It keeps no plan: each run reads the state again and takes the next steps, so any controller
+ * can continue the intents of another. Not thread-safe.
  */
 public final class ShardLoop {
     public static final Duration RECONCILE_INTERVAL = Duration.ofMillis(250);
     private static final Log LOG = Log.of("control");
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** A plan of a large fleet takes long; the pause keeps planning under 4% of a core. */
+    /** Pause after planning, as a multiple of its duration: keeps planning below 4% of a core. */
     private static final int PLAN_PAUSE_FACTOR = 25;
 
     private static final int MAX_CONCURRENT_STEPS = 16;
@@ -47,15 +47,15 @@
     private boolean mReconcileAgain;
     private int mPendingWrites;
 
-    /** A loop that has done nothing yet. */
-    public ShardLoop(ZoneId zone, ShardContext parts, Mailbox mailbox) {
+    /** Creates an idle loop. */
+    public ShardLoop(ZoneId zone, ShardContext context, Mailbox mailbox) {
         mZone = zone;
-        mContext = parts;
+        mContext = context;
         mMailbox = mailbox;
-        mEpoch = new EpochElection(zone, parts.epochs(), mailbox);
+        mEpoch = new EpochElection(zone, context.epochs(), mailbox);
     }
 
-    /** Looks at the state and does what is next; at most one look is under way. */
+    /** Reads the state and takes the next steps; at most one run is in progress. */
     public void reconcile() {
         mReconcileAgain = mReconciling;
         if (mReconciling) {
@@ -63,23 +63,24 @@
         }
         mReconciling = true;
         Instant now = mContext.clock().instant();
-        boolean plans = mEpoch.mayHold() && mPendingWrites == 0 && !now.isBefore(mNextPlan);
+        boolean shouldPlan = mEpoch.mayHold() && mPendingWrites == 0 && !now.isBefore(mNextPlan);
         mMailbox.deliver(
-                mContext.log().read(view -> readSnapshot(view, plans, now)), this::snapshotRead);
+                mContext.log().read(view -> readSnapshot(view, shouldPlan, now)),
+                this::snapshotRead);
     }
 
-    private ShardSnapshot readSnapshot(FleetView view, boolean plans, Instant now) {
-        ShardSnapshot look = ShardSnapshot.of(view, mZone);
-        Optional<PlatformObservation> sight = mContext.monitor().observe(view);
-        // Before the platform's list was seen, a fleet that runs already counts as powered off, and
-        // a plan would wake all of it.
-        if (!plans || view.configuration().isEmpty() || sight.isEmpty()) {
-            return look;
+    private ShardSnapshot readSnapshot(FleetView view, boolean shouldPlan, Instant now) {
+        ShardSnapshot snapshot = ShardSnapshot.of(view, mZone);
+        Optional<PlatformObservation> observation = mContext.monitor().observe(view);
+        // Without the platform's VM list, VMs of a running fleet count as powered off, and the plan
+        // would wake all of them.
+        if (!shouldPlan || view.configuration().isEmpty() || observation.isEmpty()) {
+            return snapshot;
         }
         long begin = System.nanoTime();
         List<PlannedChange> changes =
-                mContext.planner().plan(view, mZone, sight.get(), now.toEpochMilli());
-        return look.withPlan(changes, Duration.ofNanos(System.nanoTime() - begin));
+                mContext.planner().plan(view, mZone, observation.get(), now.toEpochMilli());
+        return snapshot.withPlan(changes, Duration.ofNanos(System.nanoTime() - begin));
     }
 
     private void snapshotRead(Optional<ShardSnapshot> read) {
@@ -90,22 +91,22 @@
         }
     }
 
-    private void actIfLeading(ShardSnapshot look) {
-        mEpoch.check(look.epoch(), this::reconcile).ifPresent(epoch -> act(look, epoch));
+    private void actIfLeading(ShardSnapshot snapshot) {
+        mEpoch.check(snapshot.epoch(), this::reconcile).ifPresent(epoch -> act(snapshot, epoch));
     }
 
-    private void act(ShardSnapshot look, ActingEpoch epoch) {
+    private void act(ShardSnapshot snapshot, ActingEpoch epoch) {
         Instant now = mContext.clock().instant();
         Set<VmId> pending =
-                look.pending().stream().map(p -> p.vm().id()).collect(Collectors.toSet());
+                snapshot.pending().stream().map(p -> p.vm().id()).collect(Collectors.toSet());
         mContext.executor().retainOnly(pending);
         mNextStep.keySet().retainAll(pending);
-        for (PendingVm vm : look.pending()) {
+        for (PendingVm vm : snapshot.pending()) {
             startStep(vm, epoch, now);
         }
-        if (mPendingWrites == 0 && look.plannedChanges().isPresent()) {
-            mNextPlan = now.plus(look.planningTime().multipliedBy(PLAN_PAUSE_FACTOR));
-            writeChanges(look.plannedChanges().get(), epoch);
+        if (mPendingWrites == 0 && snapshot.plannedChanges().isPresent()) {
+            mNextPlan = now.plus(snapshot.planningTime().multipliedBy(PLAN_PAUSE_FACTOR));
+            writeChanges(snapshot.plannedChanges().get(), epoch);
         }
         if (mContext.monitor().claimPoll(now)) {
             mMailbox.deliver(
@@ -150,9 +151,9 @@
             mNextPlan = mContext.clock().instant().plus(RETRY_AFTER);
         }
         if (verdict.orElse(null) instanceof Verdict.Void v) {
-            // Whatever stood against it is in the state that the next look reads.
+            // The next run reads the state that made the change void.
             LOG.info(
-                    "In {0} a {1} is void: {2}, {3}.",
+                    "Shard {0}: {1} is void: {2}, {3}.",
                     mZone, planned.change().getClass().getSimpleName(), v.reason(), v.detail());
             mNextPlan = mContext.clock().instant().plus(RECONCILE_INTERVAL);
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardSnapshot.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardSnapshot.java
@@ -13,19 +13,19 @@
 import org.foxtailplank.state.VmState;
 
 /**
- * What a shard needs of the state, read in one go.
+ * A consistent read of the state that a shard needs.
  *
- * @param epoch who may act
+ * @param epoch current epoch of the shard
  * @param pending VMs whose next step is due
- * @param plannedChanges changes to be written; empty where none were asked for
- * @param planningTime time that the plan took
+ * @param plannedChanges changes to be written; empty if nothing was planned
+ * @param planningTime time spent on planning
  */
 record ShardSnapshot(
         EpochState epoch,
         List<PendingVm> pending,
         Optional<List<PlannedChange>> plannedChanges,
         Duration planningTime) {
-    /** Reads without planning. */
+    /** Reads the state of a shard without planning. */
     static ShardSnapshot of(FleetView view, ZoneId zone) {
         List<VmState> due =
                 view.vms().stream()
@@ -39,7 +39,7 @@
         return new ShardSnapshot(view.epoch(zone), pending, Optional.empty(), Duration.ZERO);
     }
 
-    /** Adds what was planned from the same state. */
+    /** Returns a copy with the changes planned from the same state. */
     ShardSnapshot withPlan(List<PlannedChange> changes, Duration planning) {
         return new ShardSnapshot(epoch, pending, Optional.of(changes), planning);
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
@@ -14,15 +14,15 @@
 import org.foxtailplank.platform.VmReport;
 
 /**
- * Remembers since when this controller has seen VMs leaving and actions ended.
+ * Converts VM reports into observations, with the time since a VM is leaving or its action ended.
  *
- * <p>A controller that takes over starts these waits again; nothing is agreed by them.
+ * <p>The durations are local: a controller that takes over measures them from zero.
  */
 final class VmObserver {
     private final Map<VmId, Instant> mLeavingSince = new HashMap<>();
     private final Map<VmId, Instant> mEndedSince = new HashMap<>();
 
-    /** Takes in what was seen of a VM, and adds since when. */
+    /** Converts a report on a VM into an observation with durations. */
     synchronized VmObservation observe(
             PendingVm pending, VmReport report, Optional<BackendReport> backend, Instant now) {
         boolean ended =
@@ -39,7 +39,7 @@
                 elapsed(mEndedSince, report.id(), ended && !report.leaving(), now));
     }
 
-    /** Forgets VMs that have nothing pending any more. */
+    /** Forgets all VMs that are not in the set. */
     synchronized void retainOnly(Set<VmId> vms) {
         mLeavingSince.keySet().retainAll(vms);
         mEndedSince.keySet().retainAll(vms);
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
@@ -30,7 +30,9 @@
 import org.foxtailplank.state.VmJoined;
 import org.foxtailplank.state.VmState;
 
-/** Takes one step at a time for a VM whose intent is pending: looks, decides, does. */
+/**
+ * Executes the steps of pending intents: observes a VM, decides on its next step and executes it.
+ */
 public final class VmStepExecutor {
     private static final Log LOG = Log.of("control");
 
@@ -42,7 +44,7 @@
     private final InstantSource mClock;
     private final VmObserver mObserver = new VmObserver();
 
-    /** A runner over the platform and the log. */
+    /** Creates an executor. */
     public VmStepExecutor(
             VmDirectory directory,
             VmActions actions,
@@ -58,7 +60,7 @@
         mClock = clock;
     }
 
-    /** Takes the next step of a VM; the stage holds the step that was taken. */
+    /** Executes the next step of a VM; completes with that step. */
     CompletionStage<VmStep> executeNext(PendingVm pending, ActingEpoch epoch) {
         return mDirectory
                 .find(pending.vm().id())
@@ -84,14 +86,17 @@
                         .map(mBackendHealth::fetch)
                         .orElseGet(() -> completedFuture(Optional.empty()));
         return health.thenCompose(
-                word -> {
+                backendReport -> {
                     VmStep step =
                             mProcedure
                                     .get()
                                     .next(
                                             pending.vm(),
                                             mObserver.observe(
-                                                    pending, report, word, mClock.instant()));
+                                                    pending,
+                                                    report,
+                                                    backendReport,
+                                                    mClock.instant()));
                     return execute(step, pending, epoch).thenApply(done -> step);
                 });
     }
@@ -120,7 +125,7 @@
             PendingVm pending, PlatformCall call, PlatformAction action, String note) {
         VmState state = pending.vm();
         VmId vm = state.id();
-        LOG.info("Asks the platform to {0} {1}: {2}.", action, vm, note);
+        LOG.info("Requesting {0} of VM {1}: {2}.", action, vm, note);
         return mActions.act(
                 vm,
                 new ActionRequest(
@@ -134,7 +139,7 @@
     private CompletionStage<Verdict> writeRecord(
             PendingVm pending, Change change, ActingEpoch epoch, String note) {
         VmId vm = pending.vm().id();
-        LOG.info("Records of {0}: {1}.", vm, note);
+        LOG.info("Recording for VM {0}: {1}.", vm, note);
         return mWriter.write(
                 mWriter.nextId(),
                 Optional.of(epoch),
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/package-info.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/package-info.java
@@ -1,2 +1,2 @@
-/** The control loop of a shard: epochs, intents, and the calls to the platform that follow them. */
+/** The control loop of a shard: epochs, intents and the resulting calls to the platform. */
 package org.foxtailplank.controller.internal.act;
