--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/JobExplainer.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/JobExplainer.java
@@ -9,28 +9,28 @@
 import org.foxtailplank.state.FleetView;
 
 /**
- * Says why a job or a worker is where it is, from the state alone.
+ * Explains the placement of jobs and workers from the state alone.
  *
- * <p>Any node can answer so; only what a placer learns from workers' reports, such as a quarantine,
- * is missing at those that don't place.
+ * <p>Any node can explain. What only worker reports show, such as a quarantine, is known just to
+ * the node that places tasks.
  */
 public final class JobExplainer {
     private final PlacementPlanner mPlanner;
     private final long mNowMs;
 
-    /** An explainer of the state as it is now. */
+    /** Creates an explainer of the given state. */
     public JobExplainer(FleetView view, Settings settings, long nowMs) {
         mPlanner = new PlacementPlanner(() -> settings, PlacementSettings.standard());
         mPlanner.synchronize(view, nowMs);
         mNowMs = nowMs;
     }
 
-    /** Why a job is where it is. */
+    /** Explains the placement of a job. */
     public Optional<Explanation> job(JobId job) {
         return mPlanner.explain(job, mNowMs);
     }
 
-    /** Why a worker gets tasks or gets none. */
+    /** Explains why a worker does or does not receive tasks. */
     public Optional<Explanation> worker(VmId worker) {
         return mPlanner.explain(worker, mNowMs);
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/LeaseRenewal.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/LeaseRenewal.java
@@ -7,7 +7,7 @@
  * A lease that is due to be renewed.
  *
  * @param task the task
- * @param worker worker that runs it
- * @param attempt attempt that it runs
+ * @param worker worker that runs the task
+ * @param attempt attempt that the worker runs
  */
 record LeaseRenewal(TaskId task, VmId worker, long attempt) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementContext.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementContext.java
@@ -10,15 +10,15 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * What placement works with.
+ * The dependencies of the placement loop.
  *
- * @param settings sizes of VMs and quotas of teams
- * @param policy times and bounds of placement
- * @param log the agreed state
+ * @param settings settings with VM sizes and team quotas
+ * @param policy durations and limits of placement
+ * @param log log of the fleet state
  * @param writer writes records
- * @param workers the workers
- * @param epochs what it takes to hold the shard's epoch
- * @param clock time of leases and reports
+ * @param workers client for the workers
+ * @param epochs dependencies of the epoch election
+ * @param clock clock for leases and reports
  */
 public record PlacementContext(
         Supplier<Settings> settings,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementLoop.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementLoop.java
@@ -27,13 +27,13 @@
 import org.foxtailplank.state.Verdict;
 
 /**
- * Places tasks while it holds the epoch of placement.
+ * Places tasks while this process holds the epoch of placement.
  *
- * <p>Every call follows an intent that was read back, and carries the attempt number, so a late
- * call of a paused controller meets a worker that knows a higher one. Not thread-safe.
+ * <p>A command is sent only once its intent is applied. It carries the attempt number, so workers
+ * reject late commands of a paused controller. Not thread-safe.
  */
 public final class PlacementLoop {
-    /** Name of the shard; it stands beside those of the availability zones. */
+    /** Name of the placement shard, used like that of an availability zone. */
     public static final ZoneId SHARD = ZoneId.of("placement");
 
     public static final Duration RECONCILE_INTERVAL = Duration.ofMillis(250);
@@ -49,15 +49,15 @@
     private Instant mNextReportPoll = Instant.MIN;
     private boolean mReconciling;
 
-    /** A loop that has done nothing yet. */
-    public PlacementLoop(PlacementContext parts, Mailbox mailbox) {
-        mContext = parts;
+    /** Creates an idle loop. */
+    public PlacementLoop(PlacementContext context, Mailbox mailbox) {
+        mContext = context;
         mMailbox = mailbox;
-        mEpoch = new EpochElection(SHARD, parts.epochs(), mailbox);
+        mEpoch = new EpochElection(SHARD, context.epochs(), mailbox);
         mPlanner = newPlanner();
     }
 
-    /** Looks at the state and does what is next; at most one look is under way. */
+    /** Reads the state and takes the next steps; at most one run is in progress. */
     public void reconcile() {
         if (mReconciling) {
             return;
@@ -77,19 +77,19 @@
                 view.epoch(SHARD), Optional.of(mPlanner.plan(view, reports, nowMs())));
     }
 
-    private void snapshotRead(Optional<PlacementSnapshot> look) {
+    private void snapshotRead(Optional<PlacementSnapshot> snapshot) {
         mReconciling = false;
-        if (look.isEmpty()) {
+        if (snapshot.isEmpty()) {
             return;
         }
-        Optional<ActingEpoch> epoch = mEpoch.check(look.get().epoch(), this::epochAcquired);
+        Optional<ActingEpoch> epoch = mEpoch.check(snapshot.get().epoch(), this::epochAcquired);
         if (epoch.isPresent()) {
-            look.get().plan().ifPresent(plan -> act(plan, epoch.get()));
+            snapshot.get().plan().ifPresent(plan -> act(plan, epoch.get()));
             pollReports();
         }
     }
 
-    /** What an earlier epoch's mind proposed was never intended, so a new one starts anew. */
+    /** Discards the previous planner, whose decisions may never have been written as intents. */
     private void epochAcquired() {
         mPlanner = newPlanner();
         reconcile();
@@ -116,16 +116,16 @@
                 .forEach((job, why) -> LOG.warn("Job {0} will never run: {1}.", job, why));
         plan.decision()
                 .quarantined()
-                .forEach((vm, why) -> LOG.warn("Worker {0} gets no tasks: {1}.", vm, why));
-        plan.confirmations().forEach(ended -> writeConfirmation(ended, epoch));
-        plan.commands().forEach(call -> writeIntent(call, epoch));
+                .forEach((vm, why) -> LOG.warn("Worker {0} is quarantined: {1}.", vm, why));
+        plan.confirmations().forEach(confirmation -> writeConfirmation(confirmation, epoch));
+        plan.commands().forEach(command -> writeIntent(command, epoch));
         plan.renewals().forEach(this::renew);
     }
 
-    private void writeIntent(TaskCommand call, ActingEpoch epoch) {
-        PlacementAction action = call.action();
+    private void writeIntent(TaskCommand command, ActingEpoch epoch) {
+        PlacementAction action = command.action();
         if (action.repeated()) {
-            sendCommand(call, epoch);
+            sendCommand(command, epoch);
             return;
         }
         TaskIntended intent =
@@ -139,25 +139,26 @@
                 write(intent, epoch),
                 verdict -> {
                     if (verdict.filter(Verdict::isApplied).isPresent()) {
-                        sendCommand(call, epoch);
+                        sendCommand(command, epoch);
                     }
                 });
     }
 
-    private void sendCommand(TaskCommand call, ActingEpoch epoch) {
-        PlacementAction action = call.action();
+    private void sendCommand(TaskCommand command, ActingEpoch epoch) {
+        PlacementAction action = command.action();
         LOG.debug(
-                "Asks worker {0} to {1} task {2}/{3}: {4}.",
+                "Sending {1} of task {2}/{3} to worker {0}: {4}.",
                 action.worker(),
                 action.action(),
                 action.task().job(),
                 action.task().index(),
                 action.why());
-        mMailbox.deliver(send(call), reply -> reply.ifPresent(r -> replyReceived(call, r, epoch)));
+        mMailbox.deliver(
+                send(command), reply -> reply.ifPresent(r -> replyReceived(command, r, epoch)));
     }
 
-    private CompletionStage<TaskReply> send(TaskCommand call) {
-        PlacementAction action = call.action();
+    private CompletionStage<TaskReply> send(TaskCommand command) {
+        PlacementAction action = command.action();
         if (action.action() != TaskAction.START) {
             return mContext.workers()
                     .act(
@@ -171,20 +172,19 @@
                         toPlatform(action.task()),
                         action.attempt(),
                         mContext.policy().lease(),
-                        call.spec().processors(),
-                        call.spec().memoryBytes(),
-                        call.spec().accelerators());
+                        command.spec().processors(),
+                        command.spec().memoryBytes(),
+                        command.spec().accelerators());
         return mContext.workers().start(action.worker(), start);
     }
 
-    // A worker that has run an attempt and doesn't know it any more, or is off, runs nothing of it.
-    // Where it never said that it runs, a start may still be on its way to it: taken as stopped,
-    // the
-    // task would be started elsewhere and run twice. Such an attempt ends with its lease.
-    private void replyReceived(TaskCommand call, TaskReply reply, ActingEpoch epoch) {
-        PlacementAction action = call.action();
+    // A worker that no longer knows a confirmed attempt, or is off, doesn't run it. An attempt that
+    // was never confirmed may still be started by a delayed request; recorded as stopped, the task
+    // would run twice. Such an attempt ends with its lease.
+    private void replyReceived(TaskCommand command, TaskReply reply, ActingEpoch epoch) {
+        PlacementAction action = command.action();
         boolean isGone = reply == TaskReply.UNKNOWN_TASK || reply == TaskReply.UNKNOWN_WORKER;
-        if (isGone && call.confirmedRunning()) {
+        if (isGone && command.confirmedRunning()) {
             TaskId task = action.task();
             writeConfirmation(
                     new TaskConfirmed(
@@ -197,10 +197,11 @@
         }
     }
 
-    private void writeConfirmation(TaskConfirmed ended, ActingEpoch epoch) {
-        TaskId task = new TaskId(ended.job(), ended.task());
+    private void writeConfirmation(TaskConfirmed confirmation, ActingEpoch epoch) {
+        TaskId task = new TaskId(confirmation.job(), confirmation.task());
         if (mPendingConfirmations.add(task)) {
-            mMailbox.deliver(write(ended, epoch), verdict -> mPendingConfirmations.remove(task));
+            mMailbox.deliver(
+                    write(confirmation, epoch), verdict -> mPendingConfirmations.remove(task));
         }
     }
 
@@ -246,7 +247,8 @@
             case CHECKPOINT -> TaskRequest.CHECKPOINT;
             case THROTTLE -> TaskRequest.THROTTLE;
             case STOP -> TaskRequest.STOP;
-            case START -> throw new IllegalStateException("a start is no request to a task");
+            case START ->
+                    throw new IllegalStateException("START is not a request to a running task");
         };
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementPlanner.java
@@ -36,10 +36,10 @@
 import org.foxtailplank.state.VmState;
 
 /**
- * Keeps a placer in step with the state and the workers' reports, and asks it what to do.
+ * Feeds a placer with the state and the workers' reports, and turns its decisions into a plan.
  *
- * <p>It lives as long as one epoch and is used only on the thread that owns the state. What it
- * knows can be told anew from the log and the workers.
+ * <p>It lives for one epoch and is used only on the thread that owns the state. Everything it knows
+ * can be rebuilt from the log and the workers.
  */
 final class PlacementPlanner {
     private static final int RENEWALS_PER_LEASE = 3;
@@ -53,36 +53,37 @@
     private final Map<TaskId, Long> mLastRenewalMs = new HashMap<>();
     private final Set<TaskId> mCheckpointRequested = new HashSet<>();
 
-    PlacementPlanner(Supplier<Settings> settings, PlacementSettings times) {
+    PlacementPlanner(Supplier<Settings> settings, PlacementSettings policy) {
         mSettings = settings;
-        mRenewalIntervalMs = times.lease().dividedBy(RENEWALS_PER_LEASE).toMillis();
-        mPlacer = Placer.indexed(times);
+        mRenewalIntervalMs = policy.lease().dividedBy(RENEWALS_PER_LEASE).toMillis();
+        mPlacer = Placer.indexed(policy);
     }
 
-    /** Takes in the state and the newest reports, and decides. */
+    /** Applies the state and the latest reports, and returns the actions that are due. */
     PlacementSnapshot.Plan plan(FleetView view, Optional<WorkerList> reports, long nowMs) {
         synchronize(view, nowMs);
         reports.ifPresent(list -> list.workers().forEach(w -> report(w, list, nowMs)));
         PlacementDecision decision = mPlacer.decide(nowMs);
-        List<TaskCommand> calls = new ArrayList<>();
+        List<TaskCommand> commands = new ArrayList<>();
         for (PlacementAction action : decision.actions()) {
-            view.job(action.task().job()).ifPresent(job -> calls.add(command(action, job)));
+            view.job(action.task().job()).ifPresent(job -> commands.add(command(action, job)));
         }
-        calls.addAll(checkpoints(view));
-        List<TaskConfirmed> ended =
+        commands.addAll(checkpoints(view));
+        List<TaskConfirmed> confirmations =
                 reports.map(list -> newOutcomes(view, list)).orElseGet(ArrayList::new);
-        for (PlacementDecision.LapsedTask l : decision.lapsed()) {
-            ended.add(confirmed(l.task(), l.worker(), l.attempt(), TaskOutcome.LOST));
+        for (PlacementDecision.LapsedTask lapsed : decision.lapsed()) {
+            confirmations.add(
+                    confirmed(lapsed.task(), lapsed.worker(), lapsed.attempt(), TaskOutcome.LOST));
         }
-        return new PlacementSnapshot.Plan(decision, calls, ended, renewals(view, nowMs));
+        return new PlacementSnapshot.Plan(decision, commands, confirmations, renewals(view, nowMs));
     }
 
-    /** A worker has renewed a lease. */
+    /** Notes that a worker has renewed a lease. */
     void leaseRenewed(TaskId task, long nowMs) {
         mPlacer.renewed(task, nowMs);
     }
 
-    /** Brings the placer to the state without deciding. */
+    /** Updates the placer with the state without deciding. */
     void synchronize(FleetView view, long nowMs) {
         Map<TeamId, Double> quotas = new HashMap<>();
         mSettings
@@ -166,19 +167,19 @@
                 0);
     }
 
-    /** What workers say became of their tasks, where the log does not say so yet. */
+    /** Returns the task outcomes that workers report and the log does not contain yet. */
     private static List<TaskConfirmed> newOutcomes(FleetView view, WorkerList list) {
-        List<TaskConfirmed> news = new ArrayList<>();
+        List<TaskConfirmed> outcomes = new ArrayList<>();
         for (WorkerReport worker : list.workers()) {
             for (TaskReport report : worker.tasks()) {
                 TaskId id = taskId(report);
                 outcome(report)
                         .filter(o -> isNewOutcome(view, worker.id(), report, o))
                         .map(o -> confirmed(id, worker.id(), report.attempt(), o))
-                        .ifPresent(news::add);
+                        .ifPresent(outcomes::add);
             }
         }
-        return news;
+        return outcomes;
     }
 
     private static boolean isNewOutcome(
@@ -209,10 +210,10 @@
         return view.job(id.job()).map(job -> job.tasks().get(id.index()));
     }
 
-    /** Tasks on VMs that are to stop write a checkpoint, and go on elsewhere. */
+    /** Returns checkpoint commands for tasks on VMs that are about to stop. */
     private List<TaskCommand> checkpoints(FleetView view) {
-        List<TaskCommand> calls = new ArrayList<>();
-        Set<TaskId> still = new HashSet<>();
+        List<TaskCommand> commands = new ArrayList<>();
+        Set<TaskId> affected = new HashSet<>();
         for (JobState job : view.jobs()) {
             job.tasks()
                     .forEach(
@@ -221,14 +222,14 @@
                                 if (!mustMove(view, task)) {
                                     return;
                                 }
-                                still.add(id);
+                                affected.add(id);
                                 if (mCheckpointRequested.add(id)) {
-                                    calls.add(checkpoint(id, task, job));
+                                    commands.add(checkpoint(id, task, job));
                                 }
                             });
         }
-        mCheckpointRequested.retainAll(still);
-        return calls;
+        mCheckpointRequested.retainAll(affected);
+        return commands;
     }
 
     private static boolean mustMove(FleetView view, TaskState task) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementSnapshot.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementSnapshot.java
@@ -7,19 +7,19 @@
 import org.foxtailplank.state.TaskConfirmed;
 
 /**
- * What placement needs of the state, read and decided in one go.
+ * The epoch and the plan from one consistent read of the state.
  *
- * @param epoch who may act
- * @param plan what to do; empty where another node holds the epoch
+ * @param epoch current epoch of placement
+ * @param plan the plan; empty if another node holds the epoch
  */
 record PlacementSnapshot(EpochState epoch, Optional<Plan> plan) {
     /**
-     * What to do now.
+     * The actions that are due.
      *
-     * @param decision what the placer decided
-     * @param commands calls that it leads to, with what each task declares
-     * @param confirmations what workers reported and the log does not say yet
-     * @param renewals tasks whose leases are due
+     * @param decision decision of the placer
+     * @param commands commands that follow from it
+     * @param confirmations outcomes that are not in the log yet
+     * @param renewals leases that are due to be renewed
      */
     record Plan(
             PlacementDecision decision,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/TaskCommand.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/TaskCommand.java
@@ -4,10 +4,10 @@
 import org.foxtailplank.state.JobSpec;
 
 /**
- * An action on a task with what the task declares.
+ * A placement action with the specification of its job.
  *
  * @param action the action
- * @param spec what its job asks for
- * @param confirmedRunning whether the worker has said that it runs this attempt
+ * @param spec specification of the job
+ * @param confirmedRunning whether the worker has confirmed that it runs this attempt
  */
 record TaskCommand(PlacementAction action, JobSpec spec, boolean confirmedRunning) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/package-info.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/package-info.java
@@ -1,2 +1,2 @@
-/** Carries out placement: tasks are started, renewed, stopped and recorded. */
+/** Task placement: starts and stops tasks, renews their leases and records their outcomes. */
 package org.foxtailplank.controller.internal.place;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
@@ -35,9 +35,9 @@
 import org.foxtailplank.state.WaveState;
 
 /**
- * Turns the decisions about waves, buffer and moves into changes of one zone.
+ * Turns decisions on waves, the buffer and moves into changes of one zone.
  *
- * <p>Every zone decides from the whole state and writes only what concerns its own VMs.
+ * <p>Each zone decides from the state of the whole fleet but changes only its own VMs.
  */
 public final class FleetPlanner implements ShardPlanner {
     private static final String REASSIGN_REASON = "it has joined its pool";
@@ -48,38 +48,37 @@
     private BufferHistory mHistory = BufferHistory.none();
 
     /**
-     * A planner of one shard.
+     * Creates a planner for one shard.
      *
-     * @param who author of its intents
-     * @param waves decides the steps of waves
-     * @param buffer decides which VMs are powered on
+     * @param author author recorded in its changes
+     * @param waves plans the steps of waves
+     * @param buffer plans which VMs are powered on
      */
-    public FleetPlanner(String who, WavePlanner waves, Supplier<BufferPlanner> buffer) {
-        mAuthor = who;
+    public FleetPlanner(String author, WavePlanner waves, Supplier<BufferPlanner> buffer) {
+        mAuthor = author;
         mWaves = waves;
         mBuffer = buffer;
     }
 
     @Override
     public List<PlannedChange> plan(
-            FleetView view, ZoneId zone, PlatformObservation sight, long nowMs) {
+            FleetView view, ZoneId zone, PlatformObservation observation, long nowMs) {
         ChangeBatch batch = new ChangeBatch(view, zone);
-        sight.discrepancies().forEach(batch::observe);
+        observation.discrepancies().forEach(batch::observe);
         if (!batch.changes().isEmpty()) {
-            // The state is about to change: a wave planned now would end over VMs that count as
-            // off.
+            // Otherwise a wave could finish while VMs that are running still count as off.
             return batch.changes();
         }
         view.vms().stream()
                 .filter(vm -> vm.zone().equals(zone) && hasJoinedPool(vm))
                 .forEach(vm -> batch.intend(vm, VmAction.REASSIGN, REASSIGN_REASON));
-        Observation seen = sight.observation();
+        Observation observed = observation.observation();
         for (WaveState wave : view.waves()) {
             if (wave.phase() == WavePhase.RUNNING) {
-                applyWaveDecision(batch, wave, mWaves.next(view, wave, zone, seen));
+                applyWaveDecision(batch, wave, mWaves.next(view, wave, zone, observed));
             }
         }
-        BufferPlan plan = mBuffer.get().plan(view, seen, mHistory, nowMs);
+        BufferPlan plan = mBuffer.get().plan(view, observed, mHistory, nowMs);
         mHistory = plan.history();
         plan.wake().forEach(vm -> batch.intend(vm, VmAction.WAKE, bufferReason(plan, view, vm)));
         plan.sleep().forEach(vm -> batch.intend(vm, VmAction.SLEEP, bufferReason(plan, view, vm)));
@@ -87,7 +86,7 @@
         return batch.changes();
     }
 
-    /** It has joined its new pool, and nothing of that pool runs on it yet. */
+    /** Returns whether a VM has joined its new pool but is not reassigned yet. */
     private static boolean hasJoinedPool(VmState vm) {
         return vm.phase() == VmPhase.RELEASING && vm.joining().isEmpty() && vm.pending().isEmpty();
     }
@@ -110,7 +109,7 @@
                 .orElse("buffer");
     }
 
-    /** The changes of one plan; each VM has at most one. */
+    /** The changes of one plan, with at most one per VM. */
     private final class ChangeBatch {
         private final FleetView mView;
         private final ZoneId mZone;
@@ -183,9 +182,9 @@
                     .filter(vm -> !mView.isFrozen(ObjectKey.of(id)));
         }
 
-        private void add(VmState vm, Change change, Map<ObjectKey, Long> expects) {
+        private void add(VmState vm, Change change, Map<ObjectKey, Long> expectedVersions) {
             if (mChangedVms.add(vm.id())) {
-                mChanges.add(new PlannedChange(change, expects));
+                mChanges.add(new PlannedChange(change, expectedVersions));
             }
         }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/LiveTasks.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/LiveTasks.java
@@ -8,16 +8,16 @@
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.TaskState;
 
-/** Tasks that a worker may be running, by what the log says. */
+/** Queries for tasks that may be running according to the log. */
 public final class LiveTasks {
     private LiveTasks() {}
 
-    /** Whether a task may be running on its worker. */
+    /** Returns whether a task may be running on its worker. */
     public static boolean isLive(TaskState task) {
         return !task.outcome().map(TaskOutcome::isEnded).orElse(false);
     }
 
-    /** Number of such tasks on each worker that has any. */
+    /** Counts the live tasks of each worker that has any. */
     public static Map<VmId, Integer> byWorker(FleetView view) {
         Map<VmId, Integer> counts = new HashMap<>();
         for (JobState job : view.jobs()) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
@@ -5,10 +5,10 @@
 import org.foxtailplank.state.ObjectKey;
 
 /**
- * A change that a shard wants to write.
+ * A change to be written by a shard.
  *
  * @param change the change
- * @param expectedVersions versions that the decision was made from
+ * @param expectedVersions object versions that the decision is based on
  */
 public record PlannedChange(Change change, Map<ObjectKey, Long> expectedVersions) {
     public PlannedChange {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlatformObservation.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlatformObservation.java
@@ -6,10 +6,10 @@
 import org.foxtailplank.state.VmHealth;
 
 /**
- * What a controller sees of the fleet beside the log.
+ * The fleet according to the platform's VM list.
  *
- * @param observation what plans have to allow for
- * @param discrepancies VMs that are up or down against what the log says
+ * @param observation observation for the planners
+ * @param discrepancies VMs whose observed health contradicts the log
  */
 public record PlatformObservation(Observation observation, Map<VmId, VmHealth> discrepancies) {
     public PlatformObservation {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/ShardPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/ShardPlanner.java
@@ -4,15 +4,16 @@
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.state.FleetView;
 
-/** Decides what a shard does next; called on the thread that owns the state. */
+/** Plans the next changes of a shard. Called on the thread that owns the state. */
 public interface ShardPlanner {
     /**
-     * Changes to be written now; empty when there is nothing to do.
+     * Returns the changes to be written now.
      *
-     * @param view the agreed state
+     * @param view state of the fleet
      * @param zone zone of the shard
-     * @param sight what is seen beside the log
-     * @param nowMs time, for what has to last before it counts
+     * @param observation observed state of the platform
+     * @param nowMs current time in milliseconds
      */
-    List<PlannedChange> plan(FleetView view, ZoneId zone, PlatformObservation sight, long nowMs);
+    List<PlannedChange> plan(
+            FleetView view, ZoneId zone, PlatformObservation observation, long nowMs);
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/package-info.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/package-info.java
@@ -1,2 +1,2 @@
-/** What a shard decides to do next. */
+/** Planning of the changes of a shard. */
 package org.foxtailplank.controller.internal.plan;
