--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
@@ -20,7 +20,7 @@
 import org.foxtailplank.process.Log;
 import org.foxtailplank.settings.Settings;
 
-/** Answers the HTTP calls of operators and teams. */
+/** Routes HTTP requests of operators and teams to the endpoints of the administration API. */
 public final class AdminApi {
     private static final Log LOG = Log.of("admin");
     private static final long MAX_BODY_BYTES = 4L << 20;
@@ -30,27 +30,29 @@
     private final TokenAuthenticator mAuthenticator;
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
-    /** An API over the agreed state. */
-    public AdminApi(ClassicActorSystemProvider system, AdminContext parts) {
+    /** Creates the API without burn endpoints. */
+    public AdminApi(ClassicActorSystemProvider system, AdminContext context) {
         mSystem = system;
-        FleetLog log = parts.log();
-        Supplier<Settings> settings = parts.settings();
-        ChangeSubmitter submitter = new ChangeSubmitter(log, parts.writer());
+        FleetLog log = context.log();
+        Supplier<Settings> settings = context.settings();
+        ChangeSubmitter submitter = new ChangeSubmitter(log, context.writer());
         mAuthenticator = new TokenAuthenticator(() -> settings.get().teams());
         mEndpoints.addAll(
-                new ExplainEndpoints(log, settings, parts.monitor(), parts.clock()).endpoints());
+                new ExplainEndpoints(log, settings, context.monitor(), context.clock())
+                        .endpoints());
         mEndpoints.addAll(
-                new ReadEndpoints(log, settings, parts.self(), parts.peers()).endpoints());
-        mEndpoints.addAll(new ConfigurationEndpoints(log, submitter, parts.checker()).endpoints());
+                new ReadEndpoints(log, settings, context.self(), context.peers()).endpoints());
+        mEndpoints.addAll(
+                new ConfigurationEndpoints(log, submitter, context.checker()).endpoints());
         mEndpoints.addAll(new ChangeEndpoints(log, submitter, settings).endpoints());
     }
 
-    /** Answers for service-level burn as well. */
+    /** Adds the endpoints for error-budget burn. */
     public void addBurnEndpoints(BurnLog burn, Settings settings) {
         mEndpoints.addAll(new BurnEndpoints(burn, settings, InstantSource.system()).endpoints());
     }
 
-    /** Answers one call; the stage never fails. */
+    /** Handles a request; the stage never completes exceptionally. */
     public CompletionStage<HttpResponse> handle(HttpRequest request) {
         return request.entity()
                 .withSizeLimit(MAX_BODY_BYTES)
@@ -62,32 +64,34 @@
     }
 
     private CompletionStage<ApiResponse> respond(HttpRequest request, String body) {
-        Optional<Principal> caller =
+        Optional<Principal> principal =
                 mAuthenticator.authenticate(request.getHeader("Authorization").map(h -> h.value()));
-        if (caller.isEmpty()) {
+        if (principal.isEmpty()) {
             return completedFuture(ApiResponse.problem(Problem.unauthenticated()));
         }
         if (body == null) {
-            String detail = "It did not arrive whole, or is over " + MAX_BODY_BYTES + " bytes.";
+            String detail = "It is incomplete or larger than " + MAX_BODY_BYTES + " bytes.";
             return completedFuture(ApiResponse.problem(Problem.invalidBody(detail)));
         }
-        return dispatch(request, caller.get(), body);
+        return dispatch(request, principal.get(), body);
     }
 
     private CompletionStage<ApiResponse> dispatch(
-            HttpRequest request, Principal caller, String body) {
+            HttpRequest request, Principal principal, String body) {
         String path = request.getUri().path();
         List<String> segments = Endpoint.segments(path);
         String method = request.method().value();
         boolean pathKnown = false;
         for (Endpoint endpoint : mEndpoints) {
-            Optional<List<String>> names = endpoint.match(segments);
-            if (names.isEmpty()) {
+            Optional<List<String>> pathParameters = endpoint.match(segments);
+            if (pathParameters.isEmpty()) {
                 continue;
             }
             pathKnown = true;
             if (endpoint.method().equals(method)) {
-                return invoke(endpoint, new ApiRequest(caller, names.get(), query(request), body));
+                return invoke(
+                        endpoint,
+                        new ApiRequest(principal, pathParameters.get(), query(request), body));
             }
         }
         return completedFuture(
@@ -97,17 +101,17 @@
                                 : Problem.pathNotFound(path)));
     }
 
-    private static CompletionStage<ApiResponse> invoke(Endpoint endpoint, ApiRequest call) {
-        Principal caller = call.principal();
-        if (!caller.role().includes(endpoint.requiredRole())) {
-            String team = caller.team().value();
+    private static CompletionStage<ApiResponse> invoke(Endpoint endpoint, ApiRequest apiRequest) {
+        Principal principal = apiRequest.principal();
+        if (!principal.role().includes(endpoint.requiredRole())) {
+            String team = principal.team().value();
             return completedFuture(
                     ApiResponse.problem(
                             Problem.insufficientRole(
-                                    team, caller.role(), endpoint.requiredRole())));
+                                    team, principal.role(), endpoint.requiredRole())));
         }
         try {
-            return endpoint.handler().handle(call);
+            return endpoint.handler().handle(apiRequest);
         } catch (ApiRequest.InvalidBodyException | IllegalArgumentException e) {
             return completedFuture(ApiResponse.problem(Problem.invalidBody(e.getMessage())));
         }
@@ -119,7 +123,7 @@
     }
 
     private static ApiResponse internalError(Throwable error) {
-        LOG.error("A call failed: {0}.", error);
+        LOG.error("Administration API request failed: {0}.", error);
         return ApiResponse.problem(Problem.internalError());
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminContext.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminContext.java
@@ -11,16 +11,16 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * What the administration API works with.
+ * The dependencies of the administration API.
  *
  * @param self this node
- * @param log the agreed state
+ * @param log log of the fleet state
  * @param writer writes records
- * @param settings the settings in force
- * @param peers what is heard of the other nodes
- * @param monitor what the platform's list shows
- * @param checker checks configurations before they are published
- * @param clock time for explanations
+ * @param settings the active settings
+ * @param peers liveness and status of the other nodes
+ * @param monitor compares the platform's VM list with the log
+ * @param checker validates configurations before they are published
+ * @param clock clock for explanations
  */
 public record AdminContext(
         NodeId self,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
@@ -10,10 +10,10 @@
 import org.foxtailplank.state.Author;
 
 /**
- * A call to the administration API, after its token was accepted.
+ * An authenticated request to the administration API.
  *
- * @param principal who calls
- * @param pathParameters values of the path's placeholders, in order
+ * @param principal authenticated team
+ * @param pathParameters values of the path placeholders, in order
  * @param query query parameters
  * @param body the body as text
  */
@@ -29,24 +29,24 @@
         return pathParameters.get(0);
     }
 
-    /** Who asks for a change and why, as the log keeps it. */
+    /** Returns the author of a change as stored in the log. */
     Author author(RequestBodies.ChangeBody body) {
         String team = principal.team().value();
         String who = body.who() == null || body.who().isBlank() ? team : team + "/" + body.who();
         return new Author(who, body.why());
     }
 
-    /** Reads the body into a typed record. */
+    /** Parses the body into a record. */
     <T> T parseBody(Class<T> type) throws InvalidBodyException {
         if (body.isBlank()) {
             throw new InvalidBodyException("The body is empty.");
         }
         try {
-            T read = JSON.readValue(body, type);
-            if (read == null) {
+            T parsed = JSON.readValue(body, type);
+            if (parsed == null) {
                 throw new InvalidBodyException("The body is null.");
             }
-            return read;
+            return parsed;
         } catch (ValueInstantiationException e) {
             throw new InvalidBodyException(e.getCause().getMessage());
         } catch (JsonProcessingException e) {
@@ -61,7 +61,7 @@
                         .formatted(e.getLocation().getLineNr(), e.getLocation().getColumnNr());
     }
 
-    /** The body could not be read. */
+    /** Thrown if the request body is invalid. */
     static final class InvalidBodyException extends Exception {
         InvalidBodyException(String message) {
             super(message);
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiResponse.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiResponse.java
@@ -1,10 +1,10 @@
 package org.foxtailplank.controller.internal.admin;
 
 /**
- * An answer of the administration API.
+ * A response of the administration API.
  *
  * @param status HTTP status
- * @param body record that is written as JSON
+ * @param body body to be serialized as JSON
  */
 record ApiResponse(int status, Object body) {
     static ApiResponse ok(Object body) {
@@ -20,10 +20,10 @@
     }
 
     /**
-     * Body of an error answer.
+     * Body of an error response.
      *
      * @param error the error
-     * @param current the object as it is now, where a change met another one
+     * @param current current state of the object, if the change conflicted with another one
      */
     record ProblemBody(Problem error, Object current) {}
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/BurnEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/BurnEndpoints.java
@@ -15,7 +15,7 @@
 import org.foxtailplank.slo.ServiceBurn;
 import org.foxtailplank.slo.Spend;
 
-/** The call that reads service-level burn. */
+/** The endpoint that reports error-budget burn. */
 final class BurnEndpoints {
     private static final long DEFAULT_WINDOW_SECONDS = 3600;
 
@@ -33,10 +33,10 @@
         return List.of(Endpoint.of("GET", "/v1/burn", Role.READER, this::readBurn));
     }
 
-    private CompletionStage<ApiResponse> readBurn(ApiRequest call)
+    private CompletionStage<ApiResponse> readBurn(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        Duration window = window(Optional.ofNullable(call.query().get("windowSeconds")));
-        Optional<String> service = Optional.ofNullable(call.query().get("service"));
+        Duration window = window(Optional.ofNullable(request.query().get("windowSeconds")));
+        Optional<String> service = Optional.ofNullable(request.query().get("service"));
         return mBurn.refresh()
                 .thenApply(
                         done -> {
@@ -63,9 +63,9 @@
      * A burn report as JSON.
      *
      * @param at time of the report
-     * @param shortWindowSeconds short window of the burn rate
-     * @param windowSeconds long window, and that of the budget
-     * @param services each service
+     * @param shortWindowSeconds short window of the burn rates
+     * @param windowSeconds long window, also that of the budget
+     * @param services burn of each service
      */
     record BurnView(
             String at, long shortWindowSeconds, long windowSeconds, List<ServiceView> services) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeEndpoints.java
@@ -34,7 +34,7 @@
 import org.foxtailplank.state.WaveOrder;
 import org.foxtailplank.state.WaveStarted;
 
-/** The calls that change something; each is one record on condition of a version. */
+/** The endpoints for changes. Each change is one record that expects an object version. */
 final class ChangeEndpoints {
     private final FleetLog mLog;
     private final ChangeSubmitter mSubmitter;
@@ -51,9 +51,18 @@
                 operator("PUT", "/v1/pools/*/target", this::setTarget),
                 operator("POST", "/v1/vms/*/move", this::moveVm),
                 operator("POST", "/v1/waves", this::startWave),
-                operator("POST", "/v1/waves/*/pause", call -> controlWave(call, WaveOrder.PAUSE)),
-                operator("POST", "/v1/waves/*/resume", call -> controlWave(call, WaveOrder.RESUME)),
-                operator("POST", "/v1/waves/*/cancel", call -> controlWave(call, WaveOrder.CANCEL)),
+                operator(
+                        "POST",
+                        "/v1/waves/*/pause",
+                        request -> controlWave(request, WaveOrder.PAUSE)),
+                operator(
+                        "POST",
+                        "/v1/waves/*/resume",
+                        request -> controlWave(request, WaveOrder.RESUME)),
+                operator(
+                        "POST",
+                        "/v1/waves/*/cancel",
+                        request -> controlWave(request, WaveOrder.CANCEL)),
                 Endpoint.of("POST", "/v1/jobs", Role.SUBMITTER, this::submitJob),
                 Endpoint.of("POST", "/v1/jobs/*/cancel", Role.SUBMITTER, this::cancelJob),
                 operator("PUT", "/v1/teams/*/quota", this::setQuota));
@@ -63,21 +72,21 @@
         return Endpoint.of(method, path, Role.OPERATOR, handler);
     }
 
-    private CompletionStage<ApiResponse> setTarget(ApiRequest call)
+    private CompletionStage<ApiResponse> setTarget(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.TargetBody body = call.parseBody(RequestBodies.TargetBody.class);
-        PoolId pool = PoolId.of(call.pathParameter());
+        RequestBodies.TargetBody body = request.parseBody(RequestBodies.TargetBody.class);
+        PoolId pool = PoolId.of(request.pathParameter());
         Change change =
-                new PoolTargetChanged(pool, body.target(), body.reserve(), call.author(body));
+                new PoolTargetChanged(pool, body.target(), body.reserve(), request.author(body));
         return submit(body, ObjectKey.of(pool), change);
     }
 
-    private CompletionStage<ApiResponse> moveVm(ApiRequest call)
+    private CompletionStage<ApiResponse> moveVm(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.MoveBody body = call.parseBody(RequestBodies.MoveBody.class);
-        VmId vm = VmId.of(call.pathParameter());
+        RequestBodies.MoveBody body = request.parseBody(RequestBodies.MoveBody.class);
+        VmId vm = VmId.of(request.pathParameter());
         PoolId to = PoolId.of(body.to());
-        Author author = call.author(body);
+        Author author = request.author(body);
         return mLog.read(view -> view.vm(vm).map(state -> state.pool()))
                 .thenCompose(
                         from ->
@@ -90,42 +99,42 @@
                                         .orElseGet(() -> objectNotFound(ObjectKey.of(vm))));
     }
 
-    private CompletionStage<ApiResponse> startWave(ApiRequest call)
+    private CompletionStage<ApiResponse> startWave(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.WaveBody body = call.parseBody(RequestBodies.WaveBody.class);
+        RequestBodies.WaveBody body = request.parseBody(RequestBodies.WaveBody.class);
         WaveId wave = WaveId.of(body.id());
         Set<ZoneId> zones = ids(body.zones(), ZoneId::of);
-        Optional<ZoneId> strange =
+        Optional<ZoneId> unknownZone =
                 zones.stream().filter(z -> !mSettings.get().zones().containsKey(z)).findFirst();
-        if (strange.isPresent()) {
-            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(strange.get())));
+        if (unknownZone.isPresent()) {
+            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(unknownZone.get())));
         }
         Change change =
-                new WaveStarted(wave, zones, ids(body.pools(), PoolId::of), call.author(body));
+                new WaveStarted(wave, zones, ids(body.pools(), PoolId::of), request.author(body));
         return submit(body, ObjectKey.of(wave), change);
     }
 
-    private CompletionStage<ApiResponse> controlWave(ApiRequest call, WaveOrder order)
+    private CompletionStage<ApiResponse> controlWave(ApiRequest request, WaveOrder order)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.ControlBody body = call.parseBody(RequestBodies.ControlBody.class);
-        WaveId wave = WaveId.of(call.pathParameter());
-        Change change = new WaveControlled(wave, order, call.author(body));
+        RequestBodies.ControlBody body = request.parseBody(RequestBodies.ControlBody.class);
+        WaveId wave = WaveId.of(request.pathParameter());
+        Change change = new WaveControlled(wave, order, request.author(body));
         return submit(body, ObjectKey.of(wave), change);
     }
 
-    private CompletionStage<ApiResponse> submitJob(ApiRequest call)
+    private CompletionStage<ApiResponse> submitJob(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.JobBody body = call.parseBody(RequestBodies.JobBody.class);
-        TeamId team = body.team() == null ? call.principal().team() : TeamId.of(body.team());
-        if (!call.principal().mayActFor(team)) {
-            return completedFuture(ApiResponse.problem(teamMismatch(call, team)));
+        RequestBodies.JobBody body = request.parseBody(RequestBodies.JobBody.class);
+        TeamId team = body.team() == null ? request.principal().team() : TeamId.of(body.team());
+        if (!request.principal().mayActFor(team)) {
+            return completedFuture(ApiResponse.problem(teamMismatch(request, team)));
         }
         RequestClass urgency =
                 RequestClass.parse(body.urgency())
                         .orElseThrow(
                                 () ->
                                         new ApiRequest.InvalidBodyException(
-                                                "The field 'urgency' is none of urgent,"
+                                                "The field 'urgency' must be one of urgent,"
                                                         + " interactive, batch."));
         JobId job = JobId.of(body.id());
         JobSpec spec =
@@ -137,37 +146,37 @@
                         body.memoryBytes(),
                         body.accelerators(),
                         body.tasks());
-        Change change = new JobSubmitted(job, spec, call.author(body));
+        Change change = new JobSubmitted(job, spec, request.author(body));
         return submit(body, ObjectKey.of(job), change);
     }
 
-    private CompletionStage<ApiResponse> cancelJob(ApiRequest call)
+    private CompletionStage<ApiResponse> cancelJob(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.ControlBody body = call.parseBody(RequestBodies.ControlBody.class);
-        JobId job = JobId.of(call.pathParameter());
-        Change change = new JobCancelled(job, call.author(body));
+        RequestBodies.ControlBody body = request.parseBody(RequestBodies.ControlBody.class);
+        JobId job = JobId.of(request.pathParameter());
+        Change change = new JobCancelled(job, request.author(body));
         return mLog.read(view -> view.job(job).map(JobState::spec).map(JobSpec::team))
                 .thenCompose(
                         team -> {
                             if (team.isEmpty()) {
                                 return objectNotFound(ObjectKey.of(job));
                             }
-                            if (!call.principal().mayActFor(team.get())) {
+                            if (!request.principal().mayActFor(team.get())) {
                                 return completedFuture(
-                                        ApiResponse.problem(teamMismatch(call, team.get())));
+                                        ApiResponse.problem(teamMismatch(request, team.get())));
                             }
                             return submit(body, ObjectKey.of(job), change);
                         });
     }
 
-    private CompletionStage<ApiResponse> setQuota(ApiRequest call)
+    private CompletionStage<ApiResponse> setQuota(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.QuotaBody body = call.parseBody(RequestBodies.QuotaBody.class);
-        TeamId team = TeamId.of(call.pathParameter());
+        RequestBodies.QuotaBody body = request.parseBody(RequestBodies.QuotaBody.class);
+        TeamId team = TeamId.of(request.pathParameter());
         if (!mSettings.get().teams().containsKey(team)) {
             return objectNotFound(ObjectKey.of(team));
         }
-        Change change = new TeamQuotaChanged(team, body.quota(), call.author(body));
+        Change change = new TeamQuotaChanged(team, body.quota(), request.author(body));
         return submit(body, ObjectKey.of(team), change);
     }
 
@@ -179,8 +188,8 @@
         return completedFuture(ApiResponse.problem(Problem.objectNotFound(key)));
     }
 
-    private static Problem teamMismatch(ApiRequest call, TeamId team) {
-        return Problem.teamMismatch(call.principal().team().value(), team.value());
+    private static Problem teamMismatch(ApiRequest request, TeamId team) {
+        return Problem.teamMismatch(request.principal().team().value(), team.value());
     }
 
     private static <T> Set<T> ids(Set<String> names, Function<String, T> id) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeSubmitter.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeSubmitter.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.Verdict;
 
-/** Writes an operator's change and answers with the verdict. */
+/** Writes a change to the log and responds with the verdict. */
 final class ChangeSubmitter {
     private final FleetLog mLog;
     private final RecordWriter mWriter;
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Answer to a change that took effect.
+     * Response to a change that took effect.
      *
      * @param verdict always {@code applied}
      * @param record id of the record
-     * @param version version of the object from now on
+     * @param version new version of the object
      */
     record AppliedBody(String verdict, String record, long version) {}
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
@@ -21,7 +21,7 @@
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.VoidReason;
 
-/** The calls that publish a configuration; it is checked as a whole before it is appended. */
+/** The endpoints that publish a configuration, which is validated before it is appended. */
 final class ConfigurationEndpoints {
     private static final ObjectKey KEY = ObjectKey.configuration();
     private static final String EMPTY = "{}";
@@ -42,32 +42,32 @@
                 Endpoint.of("PATCH", "/v1/config", Role.OPERATOR, this::patch));
     }
 
-    private CompletionStage<ApiResponse> publish(ApiRequest call)
+    private CompletionStage<ApiResponse> publish(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.ConfigBody body = call.parseBody(RequestBodies.ConfigBody.class);
+        RequestBodies.ConfigBody body = request.parseBody(RequestBodies.ConfigBody.class);
         Map<ZoneId, String> overlays = byZone(body.overlays());
         ConfigurationChecker.Result checked = mChecker.check(body.base(), overlays);
         if (checked.shape().isEmpty()) {
             return invalidConfiguration(checked);
         }
         return appendChange(
-                new Publication(body.base(), overlays, checked.shape().get(), call.author(body)),
+                new Publication(body.base(), overlays, checked.shape().get(), request.author(body)),
                 body.version());
     }
 
-    /** Appends the smallest change that leads to the publication. */
+    /** Appends the smallest change that results in the published configuration. */
     private CompletionStage<ApiResponse> appendChange(Publication publication, long version) {
         return mLog.read(view -> publication.on(view, version))
                 .thenCompose(change -> mSubmitter.submit(change, KEY, version));
     }
 
-    private CompletionStage<ApiResponse> patch(ApiRequest call)
+    private CompletionStage<ApiResponse> patch(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.ConfigPatchBody body = call.parseBody(RequestBodies.ConfigPatchBody.class);
+        RequestBodies.ConfigPatchBody body = request.parseBody(RequestBodies.ConfigPatchBody.class);
         return mLog.read(FleetView::configuration)
                 .thenCompose(
-                        now ->
-                                now.map(c -> patch(c, body, call.author(body)))
+                        current ->
+                                current.map(c -> patch(c, body, request.author(body)))
                                         .orElseGet(ConfigurationEndpoints::noConfiguration));
     }
 
@@ -76,18 +76,18 @@
     }
 
     private CompletionStage<ApiResponse> patch(
-            Configuration now, RequestBodies.ConfigPatchBody body, Author author) {
-        if (now.version() != body.version()) {
+            Configuration current, RequestBodies.ConfigPatchBody body, Author author) {
+        if (current.version() != body.version()) {
             String detail = "configuration is at version %d, not %d";
             Verdict.Void stale =
                     new Verdict.Void(
                             VoidReason.STALE_VERSION,
-                            detail.formatted(now.version(), body.version()));
+                            detail.formatted(current.version(), body.version()));
             return completedFuture(
-                    ApiResponse.conflict(Problem.voidChange(stale), Views.ConfigView.of(now)));
+                    ApiResponse.conflict(Problem.voidChange(stale), Views.ConfigView.of(current)));
         }
         Map<ZoneId, String> patches = byZone(body.overlayPatches());
-        Optional<Merged> merged = merge(now, body.basePatch(), patches);
+        Optional<Merged> merged = merge(current, body.basePatch(), patches);
         if (merged.isEmpty()) {
             return completedFuture(
                     ApiResponse.problem(
@@ -104,13 +104,13 @@
                 body.version());
     }
 
-    /** The texts that a patch leads to. */
+    /** The documents after a patch was applied. */
     private record Merged(String base, Map<ZoneId, String> overlays) {}
 
     private static Optional<Merged> merge(
-            Configuration now, String basePatch, Map<ZoneId, String> patches) {
-        Optional<String> base = MergePatch.mergeTexts(now.base(), basePatch);
-        Map<ZoneId, String> overlays = new HashMap<>(now.overlays());
+            Configuration current, String basePatch, Map<ZoneId, String> patches) {
+        Optional<String> base = MergePatch.mergeTexts(current.base(), basePatch);
+        Map<ZoneId, String> overlays = new HashMap<>(current.overlays());
         for (Map.Entry<ZoneId, String> p : patches.entrySet()) {
             String old = overlays.getOrDefault(p.getKey(), EMPTY);
             Optional<String> text = MergePatch.mergeTexts(old, p.getValue());
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Endpoint.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Endpoint.java
@@ -7,18 +7,19 @@
 import org.foxtailplank.settings.Role;
 
 /**
- * One call that the administration API takes.
+ * An endpoint of the administration API.
  *
  * @param method HTTP method
- * @param path path segments; {@code *} stands for a name
- * @param requiredRole role that it needs
- * @param handler what it does
+ * @param path path segments; {@code *} matches any name
+ * @param requiredRole role that a request needs
+ * @param handler handles matching requests
  */
 record Endpoint(String method, List<String> path, Role requiredRole, Handler handler) {
-    /** What a call does. */
+    /** Handles a request. */
     @FunctionalInterface
     interface Handler {
-        CompletionStage<ApiResponse> handle(ApiRequest call) throws ApiRequest.InvalidBodyException;
+        CompletionStage<ApiResponse> handle(ApiRequest request)
+                throws ApiRequest.InvalidBodyException;
     }
 
     static Endpoint of(String method, String path, Role role, Handler handler) {
@@ -31,19 +32,19 @@
         return segments;
     }
 
-    /** Values of the placeholders, where the path is this one's. */
+    /** Returns the values of the placeholders if the path matches. */
     Optional<List<String>> match(List<String> segments) {
         if (segments.size() != path.size()) {
             return Optional.empty();
         }
-        List<String> names = new ArrayList<>();
+        List<String> pathParameters = new ArrayList<>();
         for (int i = 0; i < segments.size(); i++) {
             if (path.get(i).equals("*")) {
-                names.add(segments.get(i));
+                pathParameters.add(segments.get(i));
             } else if (!path.get(i).equals(segments.get(i))) {
                 return Optional.empty();
             }
         }
-        return Optional.of(names);
+        return Optional.of(pathParameters);
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ExplainEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ExplainEndpoints.java
@@ -35,7 +35,7 @@
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
 
-/** The calls that say why something is where it is, and what a wave would do. */
+/** The endpoints that explain the state of objects and preview waves. */
 final class ExplainEndpoints {
     private static final WaveId PLANNED_WAVE = WaveId.of("plan");
 
@@ -46,29 +46,29 @@
     private final WavePlanner mWaves = WavePlanner.byRack();
 
     ExplainEndpoints(
-            FleetLog log, Supplier<Settings> settings, FleetMonitor watch, InstantSource clock) {
+            FleetLog log, Supplier<Settings> settings, FleetMonitor monitor, InstantSource clock) {
         mLog = log;
         mSettings = settings;
-        mMonitor = watch;
+        mMonitor = monitor;
         mClock = clock;
     }
 
     /**
-     * The steps of a wave, if nothing fails meanwhile.
+     * The steps of a wave, assuming that nothing fails.
      *
      * @param vms VMs in all steps
      * @param steps the steps in order
-     * @param blocked what keeps the rest of the VMs from ever being stopped
+     * @param blocked limits that prevent the remaining VMs from being stopped
      */
     record PlanView(int vms, List<StepView> steps, List<String> blocked) {}
 
     /**
-     * VMs that are stopped at once.
+     * VMs that are stopped together.
      *
      * @param width their number
      * @param vms the VMs
-     * @param racks racks that they stand in
-     * @param limits what keeps the step from being wider
+     * @param racks racks of the VMs
+     * @param limits limits that prevent a wider step
      */
     record StepView(int width, List<String> vms, List<String> racks, List<String> limits) {}
 
@@ -78,9 +78,9 @@
                 Endpoint.of("POST", "/v1/waves/plan", Role.READER, this::planWave));
     }
 
-    private CompletionStage<ApiResponse> explain(ApiRequest call) {
-        String kind = call.pathParameters().get(0);
-        String name = call.pathParameters().get(1);
+    private CompletionStage<ApiResponse> explain(ApiRequest request) {
+        String kind = request.pathParameters().get(0);
+        String name = request.pathParameters().get(1);
         return mLog.read(
                 view ->
                         explain(view, kind, name)
@@ -107,11 +107,11 @@
     }
 
     private FleetExplainer fleetExplainer(FleetView view) {
-        Observation seen = observation(view);
+        Observation observed = observation(view);
         BufferPlan buffer =
                 BufferPlanner.byDemand(mSettings.get().fleet())
-                        .plan(view, seen, BufferHistory.none(), mClock.millis());
-        return new FleetExplainer(view, seen, buffer);
+                        .plan(view, observed, BufferHistory.none(), mClock.millis());
+        return new FleetExplainer(view, observed, buffer);
     }
 
     private Observation observation(FleetView view) {
@@ -120,15 +120,15 @@
                 .orElseGet(Observation::none);
     }
 
-    private CompletionStage<ApiResponse> planWave(ApiRequest call)
+    private CompletionStage<ApiResponse> planWave(ApiRequest request)
             throws ApiRequest.InvalidBodyException {
-        RequestBodies.PlanBody body = call.parseBody(RequestBodies.PlanBody.class);
+        RequestBodies.PlanBody body = request.parseBody(RequestBodies.PlanBody.class);
         Set<ZoneId> zones =
                 body.zones().stream().map(ZoneId::of).collect(Collectors.toUnmodifiableSet());
-        Optional<ZoneId> strange =
+        Optional<ZoneId> unknownZone =
                 zones.stream().filter(z -> !mSettings.get().zones().containsKey(z)).findFirst();
-        if (strange.isPresent()) {
-            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(strange.get())));
+        if (unknownZone.isPresent()) {
+            return completedFuture(ApiResponse.problem(Problem.zoneNotFound(unknownZone.get())));
         }
         Set<PoolId> pools =
                 body.pools().stream().map(PoolId::of).collect(Collectors.toUnmodifiableSet());
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Principal.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Principal.java
@@ -4,13 +4,13 @@
 import org.foxtailplank.settings.Role;
 
 /**
- * Who calls the administration API.
+ * The authenticated team behind a request.
  *
  * @param team team whose token was presented
- * @param role what it may do
+ * @param role role of the team
  */
 record Principal(TeamId team, Role role) {
-    /** Whether it may act for a team. */
+    /** Returns whether it may act on behalf of a team. */
     boolean mayActFor(TeamId other) {
         return team.equals(other) || role == Role.OPERATOR;
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Problem.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Problem.java
@@ -7,13 +7,13 @@
 import org.foxtailplank.state.Verdict;
 
 /**
- * An error as the administration API words it; every one of them is worded here.
+ * An error of the administration API; this class holds all error texts.
  *
  * @param status HTTP status
- * @param code short name for programs
+ * @param code machine-readable code
  * @param what what happened
  * @param why why it happened
- * @param todo what to do about it
+ * @param todo how to resolve it
  */
 record Problem(int status, String code, String what, String why, String todo) {
     static Problem unauthenticated() {
@@ -62,7 +62,7 @@
         return new Problem(
                 405,
                 "no-method",
-                method + " is not taken at " + path + ".",
+                method + " is not allowed at " + path + ".",
                 "The path exists with another method.",
                 "See docs/ADMIN-API.md for its methods.");
     }
@@ -95,7 +95,7 @@
         return new Problem(
                 400,
                 "bad-body",
-                "The body could not be used, and nothing was changed.",
+                "The body is invalid, and nothing was changed.",
                 detail,
                 "Correct the body; docs/ADMIN-API.md gives the fields of each call.");
     }
@@ -104,7 +104,7 @@
         return new Problem(
                 400,
                 "bad-query",
-                "The query could not be used.",
+                "The query is invalid.",
                 detail,
                 "Correct the query; limit is 1 to 1000, after is the name a page ended with.");
     }
@@ -141,7 +141,7 @@
                 503,
                 Outcome.NOT_RUN.text(),
                 "The change was not made.",
-                "The platform's log did not take it: " + detail + ".",
+                "The platform's log did not accept it: " + detail + ".",
                 "Send it again once the platform answers; it certainly had no effect.");
     }
 
@@ -167,8 +167,8 @@
     private static String voidReason(Verdict.Void verdict) {
         return switch (verdict.reason()) {
             case STALE_VERSION -> sentence(verdict.detail());
-            case TOO_LATE -> "The log had gone on too far before it took the change.";
-            case OTHER_HISTORY -> "The log lost records that the change was made on.";
+            case TOO_LATE -> "The log had advanced too far before it accepted the change.";
+            case OTHER_HISTORY -> "The log lost records that the change is based on.";
             case MALFORMED -> sentence(verdict.detail());
             case DUPLICATE_ID -> "The same change stands in the log already.";
             case STALE_EPOCH -> "Another controller acts for this zone: " + verdict.detail() + ".";
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ReadEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ReadEndpoints.java
@@ -27,7 +27,7 @@
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.ObjectKey;
 
-/** The calls that only read. */
+/** The endpoints that read the state. */
 final class ReadEndpoints {
     private static final int DEFAULT_LIMIT = 100;
     private static final int MAX_LIMIT = 1000;
@@ -47,24 +47,26 @@
     List<Endpoint> endpoints() {
         return List.of(
                 reader("/v1/config", this::config),
-                reader("/v1/pools", call -> list(call, FleetView::pools, this::poolId, this::pool)),
+                reader(
+                        "/v1/pools",
+                        request -> list(request, FleetView::pools, this::poolId, this::pool)),
                 reader("/v1/pools/*", this::onePool),
                 reader("/v1/vms", this::vms),
                 reader("/v1/vms/*", this::oneVm),
                 reader(
                         "/v1/waves",
-                        call ->
+                        request ->
                                 list(
-                                        call,
+                                        request,
                                         FleetView::waves,
                                         w -> w.id().value(),
                                         Views.WaveView::of)),
                 reader("/v1/waves/*", this::oneWave),
                 reader(
                         "/v1/jobs",
-                        call ->
+                        request ->
                                 list(
-                                        call,
+                                        request,
                                         FleetView::jobs,
                                         j -> j.id().value(),
                                         (view, j) -> Views.JobView.of(j))),
@@ -77,7 +79,7 @@
         return Endpoint.of("GET", path, Role.READER, handler);
     }
 
-    private CompletionStage<ApiResponse> config(ApiRequest call) {
+    private CompletionStage<ApiResponse> config(ApiRequest request) {
         return mLog.read(
                 view ->
                         view.configuration()
@@ -93,16 +95,16 @@
         return Views.PoolView.of(view, pool);
     }
 
-    private CompletionStage<ApiResponse> onePool(ApiRequest call) {
-        PoolId id = PoolId.of(call.pathParameter());
+    private CompletionStage<ApiResponse> onePool(ApiRequest request) {
+        PoolId id = PoolId.of(request.pathParameter());
         return findOne(ObjectKey.of(id), v -> v.pool(id).map(p -> Views.PoolView.of(v, p)));
     }
 
-    private CompletionStage<ApiResponse> vms(ApiRequest call) {
-        String pool = call.query().get("pool");
-        String zone = call.query().get("zone");
+    private CompletionStage<ApiResponse> vms(ApiRequest request) {
+        String pool = request.query().get("pool");
+        String zone = request.query().get("zone");
         return list(
-                call,
+                request,
                 view ->
                         view.vms().stream()
                                 .filter(vm -> pool == null || vm.pool().value().equals(pool))
@@ -112,24 +114,24 @@
                 (view, vm) -> Views.VmView.of(vm));
     }
 
-    private CompletionStage<ApiResponse> oneVm(ApiRequest call) {
-        VmId id = VmId.of(call.pathParameter());
+    private CompletionStage<ApiResponse> oneVm(ApiRequest request) {
+        VmId id = VmId.of(request.pathParameter());
         return findOne(ObjectKey.of(id), v -> v.vm(id).map(Views.VmView::of));
     }
 
-    private CompletionStage<ApiResponse> oneWave(ApiRequest call) {
-        WaveId id = WaveId.of(call.pathParameter());
+    private CompletionStage<ApiResponse> oneWave(ApiRequest request) {
+        WaveId id = WaveId.of(request.pathParameter());
         return findOne(ObjectKey.of(id), v -> v.wave(id).map(w -> Views.WaveView.of(v, w)));
     }
 
-    private CompletionStage<ApiResponse> oneJob(ApiRequest call) {
-        JobId id = JobId.of(call.pathParameter());
+    private CompletionStage<ApiResponse> oneJob(ApiRequest request) {
+        JobId id = JobId.of(request.pathParameter());
         return findOne(ObjectKey.of(id), v -> v.job(id).map(Views.JobView::of));
     }
 
-    private CompletionStage<ApiResponse> teams(ApiRequest call) {
+    private CompletionStage<ApiResponse> teams(ApiRequest request) {
         return list(
-                call,
+                request,
                 view -> mSettings.get().teams().entrySet(),
                 e -> e.getKey().value(),
                 (view, e) -> team(view, e));
@@ -144,9 +146,9 @@
                 view.version(ObjectKey.of(team.getKey())));
     }
 
-    private CompletionStage<ApiResponse> nodes(ApiRequest call) {
+    private CompletionStage<ApiResponse> nodes(ApiRequest request) {
         return list(
-                call,
+                request,
                 view -> mSettings.get().nodes().entrySet(),
                 e -> e.getKey().value(),
                 this::node);
@@ -160,17 +162,19 @@
             }
         }
         shards.sort(Comparator.comparing(Views.ShardView::zone));
-        boolean own = node.getKey().equals(mSelf);
-        Optional<NodeStatus> heard = mPeers.status(node.getKey());
+        boolean isSelf = node.getKey().equals(mSelf);
+        Optional<NodeStatus> status = mPeers.status(node.getKey());
         return new Views.NodeView(
                 node.getKey().value(),
                 node.getValue().zone().value(),
                 node.getValue().admin().getHostString() + ":" + node.getValue().admin().getPort(),
                 mPeers.silence(node.getKey()).toMillis(),
-                own
+                isSelf
                         ? Optional.of(view.version(ObjectKey.configuration()))
-                        : heard.map(NodeStatus::configurationVersion),
-                own ? Optional.of(view.nextOffset()) : heard.map(s -> s.position().nextOffset()),
+                        : status.map(NodeStatus::configurationVersion),
+                isSelf
+                        ? Optional.of(view.nextOffset())
+                        : status.map(s -> s.position().nextOffset()),
                 shards);
     }
 
@@ -188,28 +192,28 @@
     }
 
     private <T> CompletionStage<ApiResponse> list(
-            ApiRequest call,
+            ApiRequest request,
             Function<FleetView, Collection<T>> items,
             Function<T, String> name,
-            ItemView<T> shown) {
-        Optional<Integer> limit = limit(call.query());
+            ItemView<T> itemView) {
+        Optional<Integer> limit = limit(request.query());
         if (limit.isEmpty()) {
-            String detail = "limit is '" + call.query().get("limit") + "'.";
+            String detail = "limit is '" + request.query().get("limit") + "'.";
             return completedFuture(ApiResponse.problem(Problem.invalidQuery(detail)));
         }
-        String after = call.query().getOrDefault("after", "");
-        return mLog.read(view -> page(view, items.apply(view), name, shown, limit.get(), after));
+        String after = request.query().getOrDefault("after", "");
+        return mLog.read(view -> page(view, items.apply(view), name, itemView, limit.get(), after));
     }
 
     private static <T> ApiResponse page(
             FleetView view,
-            Collection<T> all,
+            Collection<T> items,
             Function<T, String> name,
-            ItemView<T> shown,
+            ItemView<T> itemView,
             int limit,
             String after) {
         List<T> rest =
-                all.stream()
+                items.stream()
                         .filter(t -> name.apply(t).compareTo(after) > 0)
                         .sorted(Comparator.comparing(name))
                         .limit(limit + 1L)
@@ -219,7 +223,7 @@
                 rest.size() > limit
                         ? Optional.of(name.apply(page.get(page.size() - 1)))
                         : Optional.empty();
-        List<Object> shownPage = page.stream().map(t -> shown.of(view, t)).toList();
+        List<Object> shownPage = page.stream().map(t -> itemView.of(view, t)).toList();
         return ApiResponse.ok(new Views.Page<>(view.nextOffset(), shownPage, next));
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/RequestBodies.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/RequestBodies.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Bodies of the calls that change something. */
+/** Request bodies of the administration API. */
 final class RequestBodies {
     private RequestBodies() {}
 
-    /** What every change carries. */
+    /** Fields of every change. */
     interface ChangeBody {
-        /** Version that the change was made from. */
+        /** Returns the object version that the change is based on. */
         Long version();
 
-        /** Who asks, within the team whose token is presented. */
+        /** Returns the author within the authenticated team; may be absent. */
         String who();
 
-        /** Why. */
+        /** Returns the reason for the change. */
         String why();
     }
 
@@ -46,7 +46,8 @@
             requireText(why, "why");
             require(zones, "zones");
             if (zones.isEmpty()) {
-                throw new IllegalArgumentException("The field 'zones' names no zone.");
+                throw new IllegalArgumentException(
+                        "The field 'zones' must name at least one zone.");
             }
             pools = pools == null ? Set.of() : Set.copyOf(pools);
         }
@@ -61,7 +62,8 @@
         public PlanBody {
             require(zones, "zones");
             if (zones.isEmpty()) {
-                throw new IllegalArgumentException("The field 'zones' names no zone.");
+                throw new IllegalArgumentException(
+                        "The field 'zones' must name at least one zone.");
             }
             pools = pools == null ? Set.of() : Set.copyOf(pools);
         }
@@ -98,7 +100,7 @@
             urgency = urgency == null ? "batch" : urgency;
             requireNotNegative(accelerators, "accelerators");
             if (tasks < 1) {
-                throw new IllegalArgumentException("The field 'tasks' is below 1.");
+                throw new IllegalArgumentException("The field 'tasks' must be at least 1.");
             }
             requireText(why, "why");
         }
@@ -114,7 +116,8 @@
             require(version, "version");
             require(quota, "quota");
             if (!(quota > 0 && quota <= 1)) {
-                throw new IllegalArgumentException("The field 'quota' is not above 0 and up to 1.");
+                throw new IllegalArgumentException(
+                        "The field 'quota' must be above 0 and at most 1.");
             }
             requireText(why, "why");
         }
@@ -161,7 +164,7 @@
 
     private static void requireNotNegative(long value, String field) {
         if (value < 0) {
-            throw new IllegalArgumentException("The field '" + field + "' is below 0.");
+            throw new IllegalArgumentException("The field '" + field + "' must not be negative.");
         }
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/TokenAuthenticator.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/TokenAuthenticator.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.id.TeamId;
 import org.foxtailplank.settings.TeamSettings;
 
-/** Finds the team that a token belongs to. */
+/** Authenticates requests by bearer token. */
 final class TokenAuthenticator {
     private static final String SCHEME = "Bearer ";
 
@@ -18,7 +18,7 @@
         mTeams = teams;
     }
 
-    /** The caller behind an {@code Authorization} header. */
+    /** Returns the principal for an {@code Authorization} header. */
     Optional<Principal> authenticate(Optional<String> authorization) {
         return authorization
                 .filter(text -> text.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
@@ -30,7 +30,7 @@
     private Optional<Principal> principalOf(String token) {
         byte[] given = token.getBytes(StandardCharsets.UTF_8);
         Optional<Principal> found = Optional.empty();
-        // Every token is compared, in constant time: the time of the answer tells nothing of them.
+        // Compares all tokens in constant time, so that response times reveal nothing about them.
         for (Map.Entry<TeamId, TeamSettings> team : mTeams.get().entrySet()) {
             byte[] known = team.getValue().token().getBytes(StandardCharsets.UTF_8);
             if (MessageDigest.isEqual(known, given)) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Views.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Views.java
@@ -17,7 +17,7 @@
 import org.foxtailplank.state.VmState;
 import org.foxtailplank.state.WaveState;
 
-/** Objects of the state as the administration API shows them. */
+/** JSON views of the objects in the state. */
 final class Views {
     private Views() {}
 
@@ -186,13 +186,13 @@
     /**
      * One page of a list.
      *
-     * @param offset offset up to which the log was read
-     * @param items the items
-     * @param next name to go on after; empty on the last page
+     * @param offset log offset of the state
+     * @param items items of the page
+     * @param next value of {@code after} for the next page; empty on the last page
      */
     record Page<T>(long offset, List<T> items, Optional<String> next) {}
 
-    /** The object behind a key, as shown to one whose change met another one. */
+    /** Returns the view of an object, for the response to a conflicting change. */
     static Object current(FleetView view, ObjectKey key) {
         return switch (key.kind()) {
             case CONFIGURATION -> view.configuration().map(ConfigView::of).orElse(null);
@@ -225,11 +225,11 @@
         };
     }
 
-    /** An object of which only the version is known to the state. */
+    /** View of an object for which the state holds only a version. */
     record VersionView(String id, long version) {}
 
-    private static long count(Collection<VmState> vms, Predicate<VmState> which) {
-        return vms.stream().filter(which).count();
+    private static long count(Collection<VmState> vms, Predicate<VmState> predicate) {
+        return vms.stream().filter(predicate).count();
     }
 
     private static List<String> names(Collection<?> ids) {
