--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
@@ -7,30 +7,30 @@
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.state.FleetShape;
 
-/** Checks a configuration as a whole before it is published. */
+/** Validates a complete configuration before it is published. */
 @FunctionalInterface
 public interface ConfigurationChecker {
-    /** A checker that reads it as every node will. */
+    /** Returns a checker that parses the configuration as nodes do. */
     static ConfigurationChecker standard() {
         return new SettingsChecker();
     }
 
-    /** Checks a base file with its overlays, JSON with comments. */
+    /** Checks a base document and its zone overlays, all JSON with comments. */
     Result check(String base, Map<ZoneId, String> overlays);
 
     /**
-     * What the check found.
+     * The result of a check.
      *
-     * @param shape what the fold needs to know; empty where there are errors
-     * @param errors every error, each in a line of its own
+     * @param shape fleet layout that the state fold needs; empty if there are errors
+     * @param errors all errors, one line each
      */
     record Result(Optional<FleetShape> shape, List<String> errors) {
-        /** Without an error. */
+        /** Returns the result of a check without errors. */
         public static Result valid(FleetShape shape) {
             return new Result(Optional.of(shape), List.of());
         }
 
-        /** With errors. */
+        /** Returns the result of a check that found errors. */
         public static Result invalid(List<String> errors) {
             return new Result(Optional.empty(), List.copyOf(errors));
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationFollower.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationFollower.java
@@ -16,10 +16,10 @@
 import org.foxtailplank.wire.PeerLink;
 
 /**
- * Puts each newer configuration of the log in force in this process, with the overlay of its zone.
+ * Activates each newer configuration of the log in this process, with its zone's overlay.
  *
- * <p>Where the process itself listens, the platform and the peers' key stay those of its start: a
- * process learns its addresses from its own settings.
+ * <p>Listen addresses, the platform and the peer key keep their values from startup, because a
+ * process takes them from its own settings.
  */
 public final class ConfigurationFollower {
 
@@ -33,16 +33,17 @@
     private Optional<Settings> mActive = Optional.empty();
     private volatile long mVersion;
 
-    /** Follows the configuration for a node. */
-    public ConfigurationFollower(Settings start, NodeId node, FleetLog fleet, PeerLink peers) {
-        mStartupSettings = start;
-        mZone = start.nodes().get(node).zone();
+    /** Creates a follower for a node and subscribes it to the log. */
+    public ConfigurationFollower(
+            Settings startupSettings, NodeId node, FleetLog fleet, PeerLink peers) {
+        mStartupSettings = startupSettings;
+        mZone = startupSettings.nodes().get(node).zone();
         mFleet = fleet;
         mPeers = peers;
         fleet.onChange(this::refresh);
     }
 
-    /** Calls back with the configuration that is in force, if any, and each that comes in force. */
+    /** Calls the listener with the active configuration, if any, and with each later one. */
     public void onChange(Consumer<Settings> listener) {
         mFleet.read(
                 view -> {
@@ -52,7 +53,7 @@
                 });
     }
 
-    /** Version in force; 0 for the settings of the start. */
+    /** Returns the active version; 0 while the startup settings apply. */
     public long version() {
         return mVersion;
     }
@@ -74,9 +75,11 @@
         }
         SettingsResult result = reader.read();
         if (result instanceof SettingsResult.Invalid invalid) {
-            // A newer program checked it by rules that this one doesn't know. The last good
-            // configuration stays in force here, and the version told to peers shows it.
-            LOG.error("Configuration {0} can't be read here: {1}", c.version(), invalid.text());
+            // A newer release validated it by rules unknown to this one. The last valid
+            // configuration stays active, which the version reported to peers shows.
+            LOG.error(
+                    "Configuration {0} is invalid for this release and is ignored: {1}",
+                    c.version(), invalid.text());
             return;
         }
         Settings settings = ((SettingsResult.Valid) result).settings();
@@ -84,6 +87,6 @@
         Settings effective = settings.withProcessPartsOf(mStartupSettings);
         mActive = Optional.of(effective);
         mListeners.forEach(l -> l.accept(effective));
-        LOG.info("Configuration {0} is in force.", c.version());
+        LOG.info("Configuration {0} is active.", c.version());
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
@@ -45,7 +45,7 @@
 import org.foxtailplank.settings.PeerSettings;
 import org.foxtailplank.settings.Settings;
 
-/** The control role of one process: a shard for each availability zone, and the admin API. */
+/** The control role of a process: one shard loop per availability zone, and the admin API. */
 public final class Controller {
     private static final Log LOG = Log.of("control");
     private static final String DISPATCHER = "foxtail.control-dispatcher";
@@ -62,67 +62,67 @@
     private final Set<ZoneId> mZones = new HashSet<>();
     private volatile Settings mSettings;
 
-    private Controller(ActorSystem<?> system, ControllerParts parts) {
+    private Controller(ActorSystem<?> system, ControllerParts context) {
         mSystem = system;
-        mContext = parts;
-        // The id of a record must never come again, whatever earlier process had this node's name.
+        mContext = context;
+        // Record ids must stay unique across restarts of this node.
         String incarnation = UUID.randomUUID().toString();
-        mWriter = new RecordWriter(parts.self(), incarnation, parts.log());
+        mWriter = new RecordWriter(context.self(), incarnation, context.log());
         mBackendHealth = new HttpBackendHealthClient(system, HEALTH_TIMEOUT);
-        mSettings = parts.settings();
+        mSettings = context.settings();
         mApi =
                 new AdminApi(
                         system,
                         new AdminContext(
-                                parts.self(),
-                                parts.log(),
+                                context.self(),
+                                context.log(),
                                 mWriter,
                                 this::settings,
-                                parts.peers(),
+                                context.peers(),
                                 mMonitor,
                                 ConfigurationChecker.standard(),
                                 mClock));
-        parts.burn().ifPresent(burn -> mApi.addBurnEndpoints(burn, parts.settings()));
+        context.burn().ifPresent(burn -> mApi.addBurnEndpoints(burn, context.settings()));
     }
 
-    /** Starts to act, and to answer on {@link #route()}. */
-    public static Controller start(PekkoRuntime runtime, ControllerParts parts) {
-        Controller controller = new Controller(runtime.system(), parts);
-        controller.configure(parts.settings());
+    /** Starts the shard loops and the API behind {@link #route()}. */
+    public static Controller start(PekkoRuntime runtime, ControllerParts context) {
+        Controller controller = new Controller(runtime.system(), context);
+        controller.configure(context.settings());
         controller.startPlacement();
-        LOG.info("Control of {0} has started.", parts.self());
+        LOG.info("Controller of node {0} started.", context.self());
         return controller;
     }
 
-    /** The administration API, to be served on the admin address. */
+    /** Returns the administration API, to be served on the admin address. */
     public Route route() {
         return Directives.pathPrefix("v1", () -> Directives.handle(mApi::handle));
     }
 
-    /** Takes over another configuration. */
+    /** Applies new settings; starts a shard loop for each new zone. */
     public synchronized void configure(Settings settings) {
         mSettings = settings;
         settings.zones().keySet().stream().filter(mZones::add).forEach(this::startShard);
     }
 
-    /** Stops to act; what is pending is left to the next controller. */
+    /** Stops the shard loops; pending work is left to the next controller. */
     public synchronized void stop() {
         for (ActorRef<LoopActor.Command> shard : mShards) {
             Adapter.toClassic(mSystem).stop(Adapter.toClassic(shard));
         }
-        LOG.info("Control of {0} has stopped.", mContext.self());
+        LOG.info("Controller of node {0} stopped.", mContext.self());
     }
 
     private void startShard(ZoneId zone) {
-        ShardContext parts = shardContext();
+        ShardContext context = shardContext();
         startLoop(
                 zone,
-                mailbox -> new ShardLoop(zone, parts, mailbox)::reconcile,
+                mailbox -> new ShardLoop(zone, context, mailbox)::reconcile,
                 ShardLoop.RECONCILE_INTERVAL);
     }
 
     private void startPlacement() {
-        PlacementContext parts =
+        PlacementContext context =
                 new PlacementContext(
                         this::settings,
                         PlacementSettings.standard(),
@@ -133,14 +133,14 @@
                         mClock);
         startLoop(
                 PlacementLoop.SHARD,
-                mailbox -> new PlacementLoop(parts, mailbox)::reconcile,
+                mailbox -> new PlacementLoop(context, mailbox)::reconcile,
                 PlacementLoop.RECONCILE_INTERVAL);
     }
 
-    private void startLoop(ZoneId shard, Function<Mailbox, Runnable> loop, Duration lookEvery) {
+    private void startLoop(ZoneId shard, Function<Mailbox, Runnable> loop, Duration interval) {
         ActorRef<LoopActor.Command> actor =
                 mSystem.systemActorOf(
-                        LoopActor.of(loop, lookEvery),
+                        LoopActor.of(loop, interval),
                         "control-" + mContext.self() + "-" + shard,
                         DispatcherSelector.fromConfig(DISPATCHER));
         mContext.log().onChange(() -> actor.tell(LoopActor.Reconcile.NOW));
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerParts.java
@@ -16,17 +16,17 @@
 import org.foxtailplank.wire.PeerLink;
 
 /**
- * What a controller works with.
+ * The dependencies of a controller.
  *
  * @param self this node
- * @param settings the settings that it starts with
- * @param log the agreed state
- * @param directory the platform's knowledge of VMs
- * @param actions actions on VMs
- * @param workers the workers
- * @param peers what is heard of the other nodes
- * @param metrics takes the controller's counters
- * @param burn service-level burn over all nodes, where this process follows it
+ * @param settings settings at startup
+ * @param log log of the fleet state
+ * @param directory the platform's VM directory
+ * @param actions client for actions on VMs
+ * @param workers client for the workers
+ * @param peers liveness and status of the other nodes
+ * @param metrics registry for the controller's counters
+ * @param burn error-budget burn of all nodes, if this process follows it
  */
 public record ControllerParts(
         NodeId self,
@@ -38,7 +38,7 @@
         PeerView peers,
         MetricRegistry metrics,
         Optional<BurnLog> burn) {
-    /** A controller that hears of no other node, so that only the log decides who acts. */
+    /** Returns the context of a controller without peers, so that only the log decides who acts. */
     public static ControllerParts of(
             NodeId self, Settings settings, FleetLog log, HttpPlatform platform) {
         return new ControllerParts(
@@ -53,20 +53,21 @@
                 Optional.empty());
     }
 
-    /** The same, hearing of other nodes by a link to them. */
+    /** Returns a copy that tracks the liveness of other nodes over a peer link. */
     public ControllerParts withPeers(PeerLink link) {
-        PeerView heard = new PeerLiveness(link, settings.peers().silence(), InstantSource.system());
+        PeerView liveness =
+                new PeerLiveness(link, settings.peers().silence(), InstantSource.system());
         return new ControllerParts(
-                self, settings, log, directory, actions, workers, heard, metrics, burn);
+                self, settings, log, directory, actions, workers, liveness, metrics, burn);
     }
 
-    /** The same with counters taken by a registry. */
+    /** Returns a copy that registers counters in the given registry. */
     public ControllerParts withMetrics(MetricRegistry registry) {
         return new ControllerParts(
                 self, settings, log, directory, actions, workers, peers, registry, burn);
     }
 
-    /** The same, answering for service-level burn. */
+    /** Returns a copy that serves error-budget burn. */
     public ControllerParts withBurn(BurnLog burnLog) {
         return new ControllerParts(
                 self,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerProgram.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerProgram.java
@@ -33,7 +33,7 @@
 import org.foxtailplank.wire.StateExchange;
 import org.foxtailplank.wire.StateExchangeLimits;
 
-/** The control role as a process of its own. */
+/** Runs the control role as a separate process. */
 final class ControllerProgram implements Program<ProgramOptions> {
     private static final Log LOG = Log.of("control");
     private static final int THREADS = 2;
@@ -68,14 +68,14 @@
 
     private static void run(
             PekkoRuntime runtime,
-            ControllerParts parts,
+            ControllerParts context,
             ConfigurationFollower configuration,
             StopSignal stop)
             throws ProcessException, InterruptedException {
         MetricRegistry metrics = new MetricRegistry();
-        Controller controller = Controller.start(runtime, parts.withMetrics(metrics));
+        Controller controller = Controller.start(runtime, context.withMetrics(metrics));
         configuration.onChange(controller::configure);
-        NodeSettings node = parts.settings().nodes().get(parts.self());
+        NodeSettings node = context.settings().nodes().get(context.self());
         HttpListener admin =
                 HttpListener.bind(
                         runtime,
@@ -84,7 +84,7 @@
                                 HealthRoutes.of(
                                         () -> new Health(Health.SERVING, Map.of()), metrics),
                                 controller.route()));
-        LOG.info("The administration API answers on {0}.", admin.address());
+        LOG.info("The administration API listens on {0}.", admin.address());
         stop.await();
         controller.stop();
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/Main.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/Main.java
@@ -7,7 +7,7 @@
 public final class Main {
     private Main() {}
 
-    /** Runs a controller until it is asked to stop. */
+    /** Runs a controller until the process is asked to stop. */
     public static void main(String[] args) {
         Launcher.named("foxtail-controller")
                 .main(args, new ProgramOptions(), new ControllerProgram());
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerLiveness.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerLiveness.java
@@ -12,9 +12,11 @@
 import org.foxtailplank.membership.NodeStatus;
 import org.foxtailplank.wire.PeerLink;
 
-/** Tells from the peer link since when a node has been away. */
+/** Derives the silence of other nodes from the peer link. */
 public final class PeerLiveness implements PeerView {
-    /** Longer than any wait: a node that has said that it leaves is not waited for. */
+    /**
+     * Silence reported for a node that has left: exceeds every timeout, so nothing waits for it.
+     */
     private static final Duration LEFT_SILENCE = Duration.ofDays(1);
 
     private final PeerLink mLink;
@@ -25,11 +27,11 @@
     private final Map<NodeId, Instant> mAwaySince = new ConcurrentHashMap<>();
 
     /**
-     * The liveness that a link sees.
+     * Creates a view of the liveness of the link's members.
      *
-     * @param link the link
-     * @param silence silence after which the link calls a member away
-     * @param clock tells how long a member has been away
+     * @param link the peer link
+     * @param silence silence after which the link considers a member away
+     * @param clock measures how long a member has been away
      */
     public PeerLiveness(PeerLink link, Duration silence, InstantSource clock) {
         mLink = link;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerView.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/PeerView.java
@@ -6,9 +6,9 @@
 import org.foxtailplank.internal.control.Liveness;
 import org.foxtailplank.membership.NodeStatus;
 
-/** What is heard of the other nodes. */
+/** Liveness and status of the other nodes. */
 public interface PeerView extends Liveness {
-    /** A view of a process that hears of no other node and takes all to be there. */
+    /** Returns a view without peers that considers every node alive. */
     static PeerView none() {
         return new PeerView() {
             @Override
@@ -23,6 +23,6 @@
         };
     }
 
-    /** What a node said of itself in its last heartbeat. */
+    /** Returns the status of a node from its last heartbeat. */
     Optional<NodeStatus> status(NodeId node);
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsChecker.java
@@ -11,15 +11,15 @@
 import org.foxtailplank.settings.SettingsReader;
 import org.foxtailplank.settings.SettingsResult;
 
-/** Checks the base, and the base under each overlay, as the nodes will read them. */
+/** Checks the base alone and merged with each overlay, using the settings parser of the nodes. */
 public final class SettingsChecker implements ConfigurationChecker {
     private static final String BASE = "base";
 
     @Override
     public Result check(String base, Map<ZoneId, String> overlays) {
         SettingsReader reader = SettingsReader.base(BASE, base);
-        SettingsResult whole = reader.read();
-        if (whole instanceof SettingsResult.Invalid invalid) {
+        SettingsResult baseResult = reader.read();
+        if (baseResult instanceof SettingsResult.Invalid invalid) {
             return Result.invalid(describe(invalid.problems()));
         }
         List<String> errors = new ArrayList<>();
@@ -31,7 +31,7 @@
             }
         }
         return errors.isEmpty()
-                ? Result.valid(FleetShapes.of(((SettingsResult.Valid) whole).settings()))
+                ? Result.valid(FleetShapes.of(((SettingsResult.Valid) baseResult).settings()))
                 : Result.invalid(errors);
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsDerivedValue.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/SettingsDerivedValue.java
@@ -5,9 +5,9 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * Something made from the settings in force, and made anew when other settings come in force.
+ * Caches a value computed from the active settings and recomputes it when they change.
  *
- * @param <T> what is made
+ * @param <T> type of the value
  */
 public final class SettingsDerivedValue<T> implements Supplier<T> {
     private final Supplier<Settings> mSettings;
@@ -15,18 +15,18 @@
     private Settings mSource;
     private T mValue;
 
-    /** Makes a value from settings that may change. */
-    public SettingsDerivedValue(Supplier<Settings> settings, Function<Settings, T> maker) {
+    /** Creates a value that is computed on first use. */
+    public SettingsDerivedValue(Supplier<Settings> settings, Function<Settings, T> factory) {
         mSettings = settings;
-        mFactory = maker;
+        mFactory = factory;
     }
 
     @Override
     public synchronized T get() {
-        Settings now = mSettings.get();
-        if (now != mSource) {
-            mValue = mFactory.apply(now);
-            mSource = now;
+        Settings current = mSettings.get();
+        if (current != mSource) {
+            mValue = mFactory.apply(current);
+            mSource = current;
         }
         return mValue;
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/package-info.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/package-info.java
@@ -1,2 +1,2 @@
-/** What the parts of the controller share. */
+/** Classes shared by the controller's packages. */
 package org.foxtailplank.controller.internal;
