--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Publishing over the administration API, on the example of Stabilis. */
+/** Publishes configurations of the Stabilis example over the administration API. */
 public class ConfigurationApiTest {
     private static final Path EXAMPLE = Path.of("..", "examples", "stabilis");
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
@@ -41,7 +41,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A controller over real HTTP: the platform stand-in on one side, operators on the other. */
+/** Runs a controller over HTTP against the platform stand-in. */
 public class ControllerTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Predicate<FleetView> TARGETS_MET =
@@ -222,18 +222,18 @@
     }
 
     private void awaitState(Predicate<FleetView> condition) throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>();
+        CompletableFuture<Void> satisfied = new CompletableFuture<>();
         Runnable check =
                 () ->
                         mLog.read(condition::test)
                                 .thenAccept(
-                                        holds -> {
-                                            if (holds) {
-                                                held.complete(null);
+                                        result -> {
+                                            if (result) {
+                                                satisfied.complete(null);
                                             }
                                         });
         mLog.onChange(check);
         check.run();
-        held.get(60, TimeUnit.SECONDS);
+        satisfied.get(60, TimeUnit.SECONDS);
     }
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/TestAdminClient.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/TestAdminClient.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.process.JsonHttpClient;
 import org.foxtailplank.process.PekkoRuntime;
 
-/** Calls an administration API over HTTP. */
+/** HTTP client for an administration API. */
 final class TestAdminClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
@@ -25,7 +25,7 @@
         mAddress = address;
     }
 
-    /** Serves routes on a port that the system gives, and calls them without a token. */
+    /** Serves the routes on a free port and returns a client without a token. */
     static TestAdminClient serving(PekkoRuntime runtime, Route route) throws Exception {
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
         int port = HttpListener.bind(runtime, any, route).address().getPort();
@@ -38,7 +38,7 @@
         return new TestAdminClient(mHttp.withHeader("Authorization", "Bearer " + token), mAddress);
     }
 
-    /** The body of an answer that must be good. */
+    /** Returns the body of a response that must have status 200. */
     JsonNode getOk(String path) throws Exception {
         HttpAnswer answer = get(path);
         assertEquals(answer.status(), 200, answer.body());
@@ -61,14 +61,14 @@
         return JsonHttpClient.await(mHttp.patch(mAddress.resolve(path), body));
     }
 
-    /** Name of the error that an answer carries. */
+    /** Returns the error code of a response. */
     static String errorCode(HttpAnswer answer) throws Exception {
         return answer.tree().path("error").path("code").asText();
     }
 
-    /** A change of the configuration. */
+    /** Request body that publishes a configuration. */
     record Publication(long version, String base, Map<String, String> overlays, String why) {}
 
-    /** A merge patch of the configuration. */
+    /** Request body with a merge patch of the configuration. */
     record Patch(long version, String basePatch, String why) {}
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeClock.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeClock.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.time.InstantSource;
 
-/** A clock that moves only when told to. */
+/** A clock that advances only on request. */
 final class FakeClock implements InstantSource {
     private Instant mNow = Instant.parse("2026-03-02T06:00:00Z");
 
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeFleetLog.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeFleetLog.java
@@ -13,15 +13,15 @@
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.Verdict;
 
-/** One log in memory; every follower folds it for itself. */
+/** An in-memory log; each follower folds it separately. */
 final class FakeFleetLog {
     private final List<LogRecord> mRecords = new ArrayList<>();
     private boolean mUnavailable;
     private int mResponsesToLose;
 
-    /** Refuses appends without effect until it is back. */
-    void setUnavailable(boolean away) {
-        mUnavailable = away;
+    /** While unavailable, appends fail without effect. */
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
     }
 
     void loseResponses(int times) {
@@ -36,7 +36,7 @@
         return new Follower(interruption);
     }
 
-    /** The log as one process follows it. */
+    /** A view of the log for one process. */
     final class Follower implements FleetLog {
         private final FleetState mState = new FleetState();
         private final List<Verdict> mVerdicts = new ArrayList<>();
@@ -51,7 +51,7 @@
             mInterruption.beforeCall();
             if (mUnavailable) {
                 return CompletableFuture.failedFuture(
-                        new PlatformException("the platform is away", Effect.NONE));
+                        new PlatformException("the platform is unavailable", Effect.NONE));
             }
             mRecords.add(record.basedOn(mState.basis()));
             int at = mRecords.size() - 1;
@@ -59,7 +59,7 @@
             if (mResponsesToLose > 0) {
                 mResponsesToLose--;
                 return CompletableFuture.failedFuture(
-                        new PlatformException("the answer was lost", Effect.UNKNOWN));
+                        new PlatformException("the response was lost", Effect.UNKNOWN));
             }
             catchUp();
             return CompletableFuture.completedFuture(mVerdicts.get(at));
@@ -73,7 +73,7 @@
 
         @Override
         public void onChange(Runnable listener) {
-            throw new UnsupportedOperationException("the tests look by themselves");
+            throw new UnsupportedOperationException("tests run the loops explicitly");
         }
 
         FleetView view() {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeTaskWorkers.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeTaskWorkers.java
@@ -21,7 +21,10 @@
 import org.foxtailplank.platform.WorkerReport;
 import org.foxtailplank.platform.Workers;
 
-/** Workers after docs/PLATFORM.md; a task runs for ten seconds, or until its lease lapses. */
+/**
+ * Fake of the workers in docs/PLATFORM.md; by default a task runs for ten seconds or until its
+ * lease expires.
+ */
 final class FakeTaskWorkers {
     private static final Duration TASK_TIME = Duration.ofSeconds(10);
 
@@ -33,7 +36,7 @@
     private int mResponsesToLose;
     private Optional<List<Runnable>> mDelayedStarts = Optional.empty();
 
-    /** One attempt at a task. */
+    /** One attempt of a task. */
     private static final class Run {
         private VmId mWorker;
         private TaskStart mStart;
@@ -47,20 +50,20 @@
         mVms = vms;
     }
 
-    void setUnavailable(boolean away) {
-        mUnavailable = away;
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
     }
 
     void loseResponses(int times) {
         mResponsesToLose = times;
     }
 
-    /** Holds starts on their way from now on; their callers see no answer. */
+    /** Delays start requests from now on; their senders get no response. */
     void delayStarts() {
         mDelayedStarts = Optional.of(new ArrayList<>());
     }
 
-    /** Lets the starts that were held arrive. */
+    /** Delivers the delayed start requests. */
     void deliverDelayedStarts() {
         mDelayedStarts.orElseThrow().forEach(Runnable::run);
         mDelayedStarts = Optional.empty();
@@ -70,12 +73,14 @@
         mTaskTime = time;
     }
 
-    /** Attempts that were ever started. */
+    /** Returns the number of attempts started so far. */
     int starts() {
         return mRuns.size();
     }
 
-    /** Attempts that began while another attempt at the same task was still running. */
+    /**
+     * Returns attempts that started while an earlier attempt of the same task was still running.
+     */
     List<String> overlappingRuns() {
         List<String> found = new ArrayList<>();
         for (Run a : mRuns) {
@@ -223,11 +228,11 @@
 
     private static <T> CompletionStage<T> responseLost() {
         return CompletableFuture.failedFuture(
-                new PlatformException("the answer was lost", Effect.UNKNOWN));
+                new PlatformException("the response was lost", Effect.UNKNOWN));
     }
 
     private static <T> CompletionStage<T> unavailable() {
         return CompletableFuture.failedFuture(
-                new PlatformException("the platform is away", Effect.NONE));
+                new PlatformException("the platform is unavailable", Effect.NONE));
     }
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeVmPlatform.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeVmPlatform.java
@@ -33,11 +33,11 @@
 import org.foxtailplank.platform.VmReport;
 
 /**
- * The platform's VMs with a backend server on each, after docs/PLATFORM.md.
+ * Fake of the platform in docs/PLATFORM.md: VMs with a backend server each.
  *
- * <p>An action takes a second. A VM has one request in flight until it is drained. An entry that
- * has not heard of it sends another one a second later, which takes three, and so meets a VM that
- * is stopped before that.
+ * <p>An action takes one second. A VM has one request in flight until it is drained. An entry that
+ * does not know of the drain yet sends another request one second later, which takes three seconds;
+ * stopping the VM before its end interrupts it.
  */
 final class FakeVmPlatform {
     private static final Duration ACTION_TIME = Duration.ofSeconds(1);
@@ -85,8 +85,8 @@
         mVms.put(vm.mId, vm);
     }
 
-    void setUnavailable(boolean away) {
-        mUnavailable = away;
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
     }
 
     void loseResponses(int times) {
@@ -107,22 +107,22 @@
         mVms.get(VmId.of(id)).mNextActionFails = true;
     }
 
-    /** A request on this VM never ends. */
+    /** Keeps a request on this VM in flight forever. */
     void neverEndRequest(String id) {
         mVms.get(VmId.of(id)).mRequestNeverEnds = true;
     }
 
-    /** Is called with a VM at the moment at which it is stopped. */
+    /** Sets a callback that runs when a VM is stopped. */
     void onStop(Consumer<String> onStop) {
         mOnStop = onStop;
     }
 
-    /** Actions that took effect, in order, as {@code action vm}. */
+    /** Returns the executed actions in order, as {@code action vm}. */
     List<String> effects() {
         return mEffects;
     }
 
-    /** Stops that cut off a request in flight. */
+    /** Returns the actions that interrupted a request in flight. */
     List<String> cutOff() {
         return mCutOff;
     }
@@ -180,7 +180,7 @@
             if (mResponsesToLose > 0) {
                 mResponsesToLose--;
                 return CompletableFuture.failedFuture(
-                        new PlatformException("the answer was lost", Effect.UNKNOWN));
+                        new PlatformException("the response was lost", Effect.UNKNOWN));
             }
             return CompletableFuture.completedFuture(new ActionReply(accepted, report(vm)));
         };
@@ -288,6 +288,6 @@
 
     private static <T> CompletionStage<T> unavailable() {
         return CompletableFuture.failedFuture(
-                new PlatformException("the platform is away", Effect.NONE));
+                new PlatformException("the platform is unavailable", Effect.NONE));
     }
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
@@ -11,29 +11,31 @@
     private int mCalls;
     private boolean mDead;
 
-    private Interruption(int atCall, boolean afterEffect, Runnable what) {
-        mCallIndex = atCall;
+    private Interruption(int callIndex, boolean afterEffect, Runnable action) {
+        mCallIndex = callIndex;
         mAfterEffect = afterEffect;
-        mAction = what;
+        mAction = action;
     }
 
     static Interruption none() {
         return new Interruption(-1, false, () -> {});
     }
 
-    /** Does something before a call (from 0), or after it took effect and before its answer. */
-    static Interruption at(int call, boolean afterEffect, Runnable what) {
-        return new Interruption(call, afterEffect, what);
+    /**
+     * Runs an action before a call (counted from 0), or after its effect but before its response.
+     */
+    static Interruption at(int call, boolean afterEffect, Runnable action) {
+        return new Interruption(call, afterEffect, action);
     }
 
-    /** Does something before the first action that is asked of a VM. */
-    static Interruption atFirstAction(String vm, Runnable what) {
-        Interruption interruption = new Interruption(-1, false, what);
+    /** Runs an action before the first platform action is requested for a VM. */
+    static Interruption atFirstAction(String vm, Runnable action) {
+        Interruption interruption = new Interruption(-1, false, action);
         interruption.mVm = Optional.of(vm);
         return interruption;
     }
 
-    /** An action is about to be asked of a VM. */
+    /** Called before a platform action is requested for a VM. */
     void beforeAction(String vm) {
         if (mVm.filter(vm::equals).isPresent()) {
             mVm = Optional.empty();
@@ -41,17 +43,17 @@
         }
     }
 
-    /** Ends the controller at a call. */
+    /** Kills the controller at a call. */
     static Interruption killAt(int call, boolean afterEffect) {
         return new Interruption(call, afterEffect, null);
     }
 
-    /** Whether the controller is gone. */
+    /** Returns whether the controller was killed. */
     boolean isDead() {
         return mDead;
     }
 
-    /** Whether the controller came as far as the call. */
+    /** Returns whether the controller reached the call. */
     boolean wasReached() {
         return mCalls > mCallIndex;
     }
@@ -78,7 +80,7 @@
         }
     }
 
-    /** The process is gone. */
+    /** Thrown to simulate the death of the process. */
     static final class KilledError extends Error {
         private static final long serialVersionUID = 1;
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
@@ -22,12 +22,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Moves and wake-ups survive the death of a controller at any step, and a paused one. */
+/** Moves and wake-ups take effect once although controllers die or are paused at any step. */
 public class MoveAndWakeActingTest {
     private static final VmId VM = VmId.of("claims-0");
     private static final PoolId QUOTES = PoolId.of("quotes");
 
-    /** What an operator or the buffer wants, and when it is reached. */
+    /** A change with its expected final state and platform actions. */
     private record Scenario(
             String name,
             Consumer<TestFleet> setUp,
@@ -79,9 +79,8 @@
     }
 
     /**
-     * The controller dies before or after any of its calls took effect. A VM would stay drained
-     * between two pools for ever, or be reassigned twice. The next controller reads the phase from
-     * the log, and what was asked from the platform, and goes on there.
+     * Guards against VMs that stay drained or are reassigned twice after the controller dies before
+     * or after any call.
      */
     @Test(dataProvider = "scenarios")
     public void goesOnAfterAControllerDiedAtAnyStep(Scenario scenario) {
@@ -110,10 +109,8 @@
     }
 
     /**
-     * The controller is paused before or after any of its calls, long enough for another one to
-     * take its epoch and finish everything, a later action on the same VM included. Then it goes on
-     * with the call that it was about to make. The call would hit a VM that serves again; its
-     * generation is no longer above the VM's, and its records carry an epoch that is over.
+     * Guards against a late call of a paused controller that affects a VM which another controller
+     * has already finished.
      */
     @Test(dataProvider = "scenarios")
     public void isNotDisturbedByAControllerThatWasPausedAtAnyStep(Scenario scenario) {
@@ -149,7 +146,7 @@
         return true;
     }
 
-    /** Both believe that they may act: each hears nothing of the other. */
+    /** Two controllers that do not hear each other both try to act. */
     @Test(dataProvider = "scenarios")
     public void happensOnceWithTwoControllersThatTakeTheEpochFromEachOther(Scenario scenario) {
         TestFleet fleet = fleet(scenario);
@@ -170,7 +167,7 @@
         return fleet;
     }
 
-    /** Every action is carried out once; only a drain may be left out, where another one did it. */
+    /** Asserts that each action was executed exactly once, or at most once for drains. */
     private static void assertDoneOnce(TestFleet fleet, Scenario scenario) {
         List<String> effects = fleet.platform().effects();
         assertEquals(new HashSet<>(effects).size(), effects.size(), effects.toString());
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A wave through outages of the platform, failures of VMs, and operators' orders. */
+/** Waves during platform outages, VM failures and operator commands. */
 public class OutageActingTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
@@ -47,7 +47,7 @@
         mFleet.startWave("w");
     }
 
-    /** The platform takes a reboot, and its answer is lost. Asked again, it would reboot twice. */
+    /** Guards against a second reboot when the response to the first is lost. */
     @Test
     public void rebootsOnceThoughThePlatformsAnswersAreLost() {
         while (!isIn(WavePhase.FINISHED).test(mFleet.view())) {
@@ -58,10 +58,7 @@
         assertMaintainedOnce();
     }
 
-    /**
-     * The platform is gone for an hour in the middle of a wave: neither its log nor its VMs answer.
-     * Nothing new is stopped meanwhile, and the wave goes on by itself afterwards.
-     */
+    /** During an outage of log and VMs nothing is stopped; afterwards the wave resumes. */
     @Test
     public void goesOnAfterThePlatformWasGoneForAnHour() {
         mFleet.runUntil(SOMETHING_PENDING, mNode);
@@ -76,7 +73,7 @@
         assertMaintainedOnce();
     }
 
-    /** A rack goes while VMs of another one are stopped; what it took counts against the budget. */
+    /** VMs of a failed rack count against the availability budget. */
     @Test
     public void keepsTheBudgetWhenARackIsLostInTheMiddle() {
         mFleet.runUntil(SOME_MAINTAINED, mNode);
@@ -88,10 +85,7 @@
         assertEquals(broken, 4);
     }
 
-    /**
-     * The firmware of the wave is bad: the VMs that it rebooted don't come back. The wave stops by
-     * itself; an operator mends the VMs and lets it go on.
-     */
+    /** A wave pauses when VMs do not come back from their reboots, until an operator resumes it. */
     @Test
     public void pausesOverCorrelatedFailuresAndGoesOnWhenTold() {
         mFleet.platform().failNextAction("claims-0");
@@ -121,7 +115,7 @@
         assertTrue(ALL_SERVE.test(mFleet.view()));
     }
 
-    /** A request never ends. The stop waits for it as long as the settings say, and no longer. */
+    /** A request that never ends delays a reboot only up to the drain timeout. */
     @Test
     public void stopsAVmWhoseRequestNeverEndsAfterTheDrainTimeout() {
         mFleet.platform().neverEndRequest("claims-0");
@@ -129,7 +123,7 @@
         assertEquals(mFleet.platform().cutOff(), List.of("REBOOT claims-0"));
     }
 
-    /** A VM goes down by itself and comes back: the log learns of both, and nothing is asked. */
+    /** A VM that fails and recovers is recorded in the log without any platform action. */
     @Test
     public void seesAVmFailAndComeBack() {
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
@@ -141,7 +135,7 @@
         assertEquals(mFleet.platform().effects().size(), before);
     }
 
-    /** Two operators change one pool from the same version: one wins, the other is told. */
+    /** Of two changes based on the same version only the first is applied. */
     @Test
     public void letsOneOfTwoRacingOperatorsWin() {
         PoolId pool = PoolId.of("claims");
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
@@ -23,7 +23,7 @@
 import org.foxtailplank.state.TaskState;
 import org.testng.annotations.Test;
 
-/** Tasks run to their end, and no task runs in two places at once. */
+/** Tasks run to completion, and no task runs twice at the same time. */
 public class PlacementActingTest {
     private static final JobId JOB = JobId.of("assess");
     private static final int TASKS = 6;
@@ -38,7 +38,7 @@
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /** Workers start tasks, and their answers are lost. Asked again they must not start anew. */
+    /** Guards against a second start when the response to the first is lost. */
     @Test
     public void runsEveryTaskOnceThoughAnswersAreLost() {
         TestFleet fleet = new TestFleet();
@@ -48,7 +48,7 @@
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /** Tasks run longer than a lease: it is renewed in time. */
+    /** Leases of tasks that outlast them are renewed in time. */
     @Test
     public void keepsLeasesOfLongTasks() {
         TestFleet fleet = new TestFleet();
@@ -58,10 +58,7 @@
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /**
-     * The platform is gone for longer than a lease. Workers stop the tasks, and only after that are
-     * they started again elsewhere.
-     */
+    /** After an outage longer than a lease, tasks restart only once their leases have expired. */
     @Test
     public void startsTasksAgainOnlyAfterTheirLeasesHaveLapsed() {
         TestFleet fleet = new TestFleet();
@@ -77,10 +74,7 @@
         assertTrue(fleet.workers().starts() > TASKS, "no lease lapsed");
     }
 
-    /**
-     * The controller dies before or after any of its calls. A start whose intent is in the log is
-     * asked for again under the same attempt; the worker that has it answers alike.
-     */
+    /** Guards against overlapping attempts after the controller dies before or after any call. */
     @Test
     public void runsNothingTwiceAfterAControllerDiedAtAnyStep() {
         int steps = 0;
@@ -107,10 +101,7 @@
         return true;
     }
 
-    /**
-     * The controller is paused before or after any of its calls, until another one has finished the
-     * job. Then it makes its call: a worker would run a finished task again.
-     */
+    /** Guards against a late call of a paused controller that runs a finished task again. */
     @Test
     public void runsNothingTwiceForAControllerThatWasPausedAtAnyStep() {
         int steps = 0;
@@ -143,7 +134,7 @@
         return true;
     }
 
-    /** A VM that runs tasks is maintained: they write a checkpoint first and go on elsewhere. */
+    /** Tasks write a checkpoint and move before their VM is rebooted. */
     @Test
     public void movesTasksAwayBeforeTheirWorkerIsRebooted() {
         TestFleet fleet = new TestFleet();
@@ -165,9 +156,8 @@
     }
 
     /**
-     * Starts are still on their way when their workers are to be rebooted. The workers don't know
-     * the tasks, which looks as if they had ended; started elsewhere, they would run twice once the
-     * first starts arrive.
+     * Guards against overlapping attempts when a delayed start request reaches a worker that does
+     * not know the task yet.
      */
     @Test
     public void waitsForAStartThatMayStillBeOnItsWay() {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
@@ -18,7 +18,7 @@
 import org.foxtailplank.internal.control.VmProcedure;
 import org.foxtailplank.internal.control.VmWaits;
 
-/** One controller process of a test: the loop of a zone over the fakes, stepped by hand. */
+/** A controller process over the fakes: the loops of a zone and of placement, run step by step. */
 final class TestController implements Mailbox {
     private static final Duration SILENCE = Duration.ofSeconds(2);
     private static final Duration STAGGER = Duration.ofMillis(200);
@@ -30,18 +30,18 @@
     private final Interruption mInterruption;
 
     /**
-     * Starts a process.
+     * Creates a controller.
      *
-     * @param name its name
-     * @param life name of this life of it
-     * @param fleet what it works with
-     * @param interruption where it is interrupted
+     * @param name name of the node
+     * @param incarnation name of this run of the process
+     * @param fleet the fleet
+     * @param interruption interruption of its calls
      */
-    TestController(String name, String life, TestFleet fleet, Interruption interruption) {
+    TestController(String name, String incarnation, TestFleet fleet, Interruption interruption) {
         mInterruption = interruption;
         mLog = fleet.log().follow(interruption);
         NodeId self = NodeId.of(name);
-        RecordWriter writer = new RecordWriter(self, life, mLog);
+        RecordWriter writer = new RecordWriter(self, incarnation, mLog);
         Set<NodeId> silent = fleet.silentNodes();
         VmProcedure procedure = new VmProcedure(VmWaits.of(TestFleet.SETTINGS));
         BufferPlanner buffer = BufferPlanner.byDemand(TestFleet.SETTINGS);
@@ -95,7 +95,7 @@
         return mLog;
     }
 
-    /** Looks once and does all that follows from it, unless it is killed meanwhile. */
+    /** Runs each loop once and handles all results, unless the controller is killed. */
     void reconcile() {
         try {
             runLoop(mShardLoop::reconcile);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
@@ -37,7 +37,7 @@
 import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.WaveStarted;
 
-/** A zone with two services on three racks, its log and its platform. */
+/** A zone with two services on three racks, with fakes of its log, platform and workers. */
 final class TestFleet {
     static final ZoneId ZONE = ZoneId.of("a");
     static final Author OPERATOR = new Author("operators", "test");
@@ -109,7 +109,7 @@
         return mWorkers;
     }
 
-    /** Settings that hold what placement reads: sizes of VMs and quotas of teams. */
+    /** Returns settings with the VM sizes and team quotas that placement reads. */
     Settings settings() {
         Settings small = SmallDeployment.settings(1, URI.create("http://127.0.0.1:1"));
         return new Settings(
@@ -131,7 +131,7 @@
         return mObserver.view();
     }
 
-    /** Nodes that the others no longer hear. */
+    /** Returns the mutable set of nodes that other nodes no longer hear. */
     Set<NodeId> silentNodes() {
         return mSilent;
     }
@@ -159,12 +159,13 @@
         assertTrue(submit(change, ObjectKey.of(wave), 0).isApplied());
     }
 
-    /** Lets controllers look, and time go on, until something holds. */
+    /** Runs the controllers and advances the clock until a condition holds. */
     void runUntil(Predicate<FleetView> goal, TestController... nodes) {
         for (int i = 0; i < MAX_TICKS && !goal.test(view()); i++) {
             tick(nodes);
         }
-        assertTrue(goal.test(view()), "the fleet did not come to it: " + view().vms());
+        assertTrue(
+                goal.test(view()), "the fleet did not reach the expected state: " + view().vms());
     }
 
     void run(Duration time, TestController... nodes) {
@@ -181,7 +182,7 @@
         mClock.advance(TICK);
     }
 
-    /** Only the node that has last taken the zone's epoch changes VMs and waves. */
+    /** Asserts that only the holder of the zone's epoch changed VMs and waves. */
     void assertNothingAppliedAfterItsEpoch() {
         Optional<NodeId> holder = Optional.empty();
         for (int i = 0; i < mLog.records().size(); i++) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /** No service falls below its budget by what controllers do. */
+    /** Asserts that no service is below its availability budget. */
     void assertBudgetsHold() {
         for (String service : SERVICES) {
             long serving = mPlatform.serving(service);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
@@ -15,7 +15,7 @@
 import org.foxtailplank.state.WavePhase;
 import org.testng.annotations.Test;
 
-/** Waves are carried out once and within the budgets, whatever becomes of controllers. */
+/** Waves reboot each VM once and within budgets although controllers die or are paused. */
 public class WaveActingTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
@@ -41,9 +41,8 @@
     }
 
     /**
-     * The controller dies between two of its steps, at every place there is, before a call takes
-     * effect or after it did and before the answer. Another one carries the wave on from the state.
-     * A reboot would come twice, or a VM stay drained for ever, if either relied on memory.
+     * Guards against a second reboot or a VM that stays drained after the controller dies before or
+     * after any call.
      */
     @Test
     public void goesOnAfterAControllerDiedAtAnyStep() {
@@ -72,9 +71,8 @@
     }
 
     /**
-     * A controller is paused at any of its calls, for just as long as another one needs to take its
-     * epoch. Nothing else has changed when it goes on, so only the epoch tells that its intents are
-     * void; both would stop VMs side by side.
+     * Guards against two controllers that stop VMs at the same time: only the epoch shows that the
+     * intents of the paused one are void.
      */
     @Test
     public void ignoresAControllerThatWasPausedPastItsEpochAtAnyStep() {
@@ -107,9 +105,8 @@
     }
 
     /**
-     * A controller is paused before it asks to drain a VM. The VM fails meanwhile; another
-     * controller reboots it, and it serves again. The late drain would take it out of service with
-     * nobody to bring it back. Its generation is no longer above the VM's, so it is refused.
+     * Guards against a late drain by a paused controller, which would take a VM out of service that
+     * another controller has already rebooted.
      */
     @Test
     public void refusesADrainThatComesLate() {
