--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
@@ -16,21 +16,21 @@
 import org.apache.pekko.actor.typed.javadsl.Adapter;
 import org.apache.pekko.http.javadsl.server.Directives;
 import org.apache.pekko.http.javadsl.server.Route;
-import org.foxtailplank.controller.internal.Derived;
-import org.foxtailplank.controller.internal.act.BackendHealth;
-import org.foxtailplank.controller.internal.act.EpochParts;
-import org.foxtailplank.controller.internal.act.FleetWatch;
-import org.foxtailplank.controller.internal.act.HttpBackendHealth;
+import org.foxtailplank.controller.internal.SettingsDerivedValue;
+import org.foxtailplank.controller.internal.act.BackendHealthClient;
+import org.foxtailplank.controller.internal.act.EpochContext;
+import org.foxtailplank.controller.internal.act.FleetMonitor;
+import org.foxtailplank.controller.internal.act.HttpBackendHealthClient;
 import org.foxtailplank.controller.internal.act.LoopActor;
 import org.foxtailplank.controller.internal.act.Mailbox;
 import org.foxtailplank.controller.internal.act.RecordWriter;
+import org.foxtailplank.controller.internal.act.ShardContext;
 import org.foxtailplank.controller.internal.act.ShardLoop;
-import org.foxtailplank.controller.internal.act.ShardParts;
-import org.foxtailplank.controller.internal.act.VmRunner;
+import org.foxtailplank.controller.internal.act.VmStepExecutor;
 import org.foxtailplank.controller.internal.admin.AdminApi;
-import org.foxtailplank.controller.internal.admin.AdminParts;
+import org.foxtailplank.controller.internal.admin.AdminContext;
+import org.foxtailplank.controller.internal.place.PlacementContext;
 import org.foxtailplank.controller.internal.place.PlacementLoop;
-import org.foxtailplank.controller.internal.place.PlacementParts;
 import org.foxtailplank.controller.internal.plan.FleetPlanner;
 import org.foxtailplank.fleet.BufferPlanner;
 import org.foxtailplank.fleet.PlacementSettings;
@@ -45,128 +45,137 @@
 import org.foxtailplank.settings.PeerSettings;
 import org.foxtailplank.settings.Settings;
 
-/** The control role of one process: a shard for each availability zone, and the admin API. */
+/** The control role of a process: one shard loop per availability zone, and the admin API. */
 public final class Controller {
     private static final Log LOG = Log.of("control");
     private static final String DISPATCHER = "foxtail.control-dispatcher";
     private static final Duration HEALTH_TIMEOUT = Duration.ofSeconds(1);
 
     private final ActorSystem<?> mSystem;
-    private final ControllerParts mParts;
+    private final ControllerParts mContext;
     private final RecordWriter mWriter;
     private final InstantSource mClock = InstantSource.system();
-    private final FleetWatch mWatch = new FleetWatch(mClock);
-    private final BackendHealth mHealth;
+    private final FleetMonitor mMonitor = new FleetMonitor(mClock);
+    private final BackendHealthClient mBackendHealth;
     private final AdminApi mApi;
     private final List<ActorRef<LoopActor.Command>> mShards = new ArrayList<>();
     private final Set<ZoneId> mZones = new HashSet<>();
     private volatile Settings mSettings;
 
-    private Controller(ActorSystem<?> system, ControllerParts parts) {
+    private Controller(ActorSystem<?> system, ControllerParts context) {
         mSystem = system;
-        mParts = parts;
-        // The id of a record must never come again, whatever earlier process had this node's name.
+        mContext = context;
+        // Record ids must stay unique across restarts of this node.
         String incarnation = UUID.randomUUID().toString();
-        mWriter = new RecordWriter(parts.self(), incarnation, parts.log());
-        mHealth = new HttpBackendHealth(system, HEALTH_TIMEOUT);
-        mSettings = parts.settings();
+        mWriter = new RecordWriter(context.self(), incarnation, context.log());
+        mBackendHealth = new HttpBackendHealthClient(system, HEALTH_TIMEOUT);
+        mSettings = context.settings();
         mApi =
                 new AdminApi(
                         system,
-                        new AdminParts(
-                                parts.self(),
-                                parts.log(),
+                        new AdminContext(
+                                context.self(),
+                                context.log(),
                                 mWriter,
                                 this::settings,
-                                parts.peers(),
-                                mWatch,
-                                ConfigurationChecker.bySettings(),
+                                context.peers(),
+                                mMonitor,
+                                ConfigurationChecker.standard(),
                                 mClock));
-        parts.burn().ifPresent(burn -> mApi.serveBurn(burn, parts.settings()));
+        context.burn().ifPresent(burn -> mApi.addBurnEndpoints(burn, context.settings()));
     }
 
-    /** Starts to act, and to answer on {@link #route()}. */
-    public static Controller start(PekkoRuntime runtime, ControllerParts parts) {
-        Controller controller = new Controller(runtime.system(), parts);
-        controller.configure(parts.settings());
+    /** Starts the shard loops and the API behind {@link #route()}. */
+    public static Controller start(PekkoRuntime runtime, ControllerParts context) {
+        Controller controller = new Controller(runtime.system(), context);
+        controller.configure(context.settings());
         controller.startPlacement();
-        LOG.info("Control of {0} has started.", parts.self());
+        LOG.info("Controller of node {0} started.", context.self());
         return controller;
     }
 
-    /** The administration API, to be served on the admin address. */
+    /** Returns the administration API, to be served on the admin address. */
     public Route route() {
         return Directives.pathPrefix("v1", () -> Directives.handle(mApi::handle));
     }
 
-    /** Takes over another configuration. */
+    /** Applies new settings; starts a shard loop for each new zone. */
     public synchronized void configure(Settings settings) {
         mSettings = settings;
         settings.zones().keySet().stream().filter(mZones::add).forEach(this::startShard);
     }
 
-    /** Stops to act; what is pending is left to the next controller. */
+    /** Stops the shard loops; pending work is left to the next controller. */
     public synchronized void stop() {
         for (ActorRef<LoopActor.Command> shard : mShards) {
             Adapter.toClassic(mSystem).stop(Adapter.toClassic(shard));
         }
-        LOG.info("Control of {0} has stopped.", mParts.self());
+        LOG.info("Controller of node {0} stopped.", mContext.self());
     }
 
     private void startShard(ZoneId zone) {
-        ShardParts parts = shardParts();
-        start(zone, mailbox -> new ShardLoop(zone, parts, mailbox)::look, ShardLoop.LOOK_EVERY);
+        ShardContext context = shardContext();
+        startLoop(
+                zone,
+                mailbox -> new ShardLoop(zone, context, mailbox)::reconcile,
+                ShardLoop.RECONCILE_INTERVAL);
     }
 
     private void startPlacement() {
-        PlacementParts parts =
-                new PlacementParts(
+        PlacementContext context =
+                new PlacementContext(
                         this::settings,
                         PlacementSettings.standard(),
-                        mParts.log(),
+                        mContext.log(),
                         mWriter,
-                        mParts.workers(),
-                        epochs(),
+                        mContext.workers(),
+                        epochContext(),
                         mClock);
-        start(
+        startLoop(
                 PlacementLoop.SHARD,
-                mailbox -> new PlacementLoop(parts, mailbox)::look,
-                PlacementLoop.LOOK_EVERY);
+                mailbox -> new PlacementLoop(context, mailbox)::reconcile,
+                PlacementLoop.RECONCILE_INTERVAL);
     }
 
-    private void start(ZoneId shard, Function<Mailbox, Runnable> loop, Duration lookEvery) {
+    private void startLoop(ZoneId shard, Function<Mailbox, Runnable> loop, Duration interval) {
         ActorRef<LoopActor.Command> actor =
                 mSystem.systemActorOf(
-                        LoopActor.of(loop, lookEvery),
-                        "control-" + mParts.self() + "-" + shard,
+                        LoopActor.of(loop, interval),
+                        "control-" + mContext.self() + "-" + shard,
                         DispatcherSelector.fromConfig(DISPATCHER));
-        mParts.log().onChange(() -> actor.tell(LoopActor.Look.NOW));
+        mContext.log().onChange(() -> actor.tell(LoopActor.Reconcile.NOW));
         mShards.add(actor);
     }
 
-    private ShardParts shardParts() {
-        Derived<BufferPlanner> buffer =
-                new Derived<>(this::settings, s -> BufferPlanner.byDemand(s.fleet()));
-        Derived<VmProcedure> procedure =
-                new Derived<>(this::settings, s -> new VmProcedure(VmWaits.of(s.fleet())));
-        return new ShardParts(
-                mParts.log(),
+    private ShardContext shardContext() {
+        SettingsDerivedValue<BufferPlanner> buffer =
+                new SettingsDerivedValue<>(this::settings, s -> BufferPlanner.byDemand(s.fleet()));
+        SettingsDerivedValue<VmProcedure> procedure =
+                new SettingsDerivedValue<>(
+                        this::settings, s -> new VmProcedure(VmWaits.of(s.fleet())));
+        return new ShardContext(
+                mContext.log(),
                 mWriter,
-                epochs(),
-                new FleetPlanner(mParts.self().value(), WavePlanner.byRack(), buffer),
-                mWatch,
-                mParts.directory(),
-                new VmRunner(
-                        mParts.directory(), mParts.actions(), mHealth, procedure, mWriter, mClock),
+                epochContext(),
+                new FleetPlanner(mContext.self().value(), WavePlanner.byRack(), buffer),
+                mMonitor,
+                mContext.directory(),
+                new VmStepExecutor(
+                        mContext.directory(),
+                        mContext.actions(),
+                        mBackendHealth,
+                        procedure,
+                        mWriter,
+                        mClock),
                 mClock);
     }
 
-    private EpochParts epochs() {
-        return new EpochParts(
-                mParts.self(),
+    private EpochContext epochContext() {
+        return new EpochContext(
+                mContext.self(),
                 mWriter,
-                new Derived<>(this::settings, this::epochPolicy),
-                mParts.peers(),
+                new SettingsDerivedValue<>(this::settings, this::epochPolicy),
+                mContext.peers(),
                 mClock);
     }
 
@@ -175,7 +184,7 @@
                 settings.nodes().entrySet().stream()
                         .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue().zone()));
         PeerSettings peers = settings.peers();
-        return new EpochPolicy(mParts.self(), nodes, peers.silence(), peers.heartbeat());
+        return new EpochPolicy(mContext.self(), nodes, peers.silence(), peers.heartbeat());
     }
 
     private Settings settings() {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/AdminApi.java
@@ -20,88 +20,100 @@
 import org.foxtailplank.process.Log;
 import org.foxtailplank.settings.Settings;
 
-/** Answers the HTTP calls of operators and teams. */
+/** Routes HTTP requests of operators and teams to the endpoints of the administration API. */
 public final class AdminApi {
     private static final Log LOG = Log.of("admin");
     private static final long MAX_BODY_BYTES = 4L << 20;
     private static final long BODY_TIMEOUT_MS = 10_000;
 
     private final ClassicActorSystemProvider mSystem;
-    private final Tokens mTokens;
+    private final TokenAuthenticator mAuthenticator;
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
-    /** An API over the agreed state. */
-    public AdminApi(ClassicActorSystemProvider system, AdminParts parts) {
+    /** Creates the API without burn endpoints. */
+    public AdminApi(ClassicActorSystemProvider system, AdminContext context) {
         mSystem = system;
-        FleetLog log = parts.log();
-        Supplier<Settings> settings = parts.settings();
-        Submitter submitter = new Submitter(log, parts.writer());
-        mTokens = new Tokens(() -> settings.get().teams());
-        mEndpoints.addAll(new Explains(log, settings, parts.watch(), parts.clock()).endpoints());
-        mEndpoints.addAll(new Reads(log, settings, parts.self(), parts.peers()).endpoints());
-        mEndpoints.addAll(new Publications(log, submitter, parts.checker()).endpoints());
-        mEndpoints.addAll(new Changes(log, submitter, settings).endpoints());
+        FleetLog log = context.log();
+        Supplier<Settings> settings = context.settings();
+        ChangeSubmitter submitter = new ChangeSubmitter(log, context.writer());
+        mAuthenticator = new TokenAuthenticator(() -> settings.get().teams());
+        mEndpoints.addAll(
+                new ExplainEndpoints(log, settings, context.monitor(), context.clock())
+                        .endpoints());
+        mEndpoints.addAll(
+                new ReadEndpoints(log, settings, context.self(), context.peers()).endpoints());
+        mEndpoints.addAll(
+                new ConfigurationEndpoints(log, submitter, context.checker()).endpoints());
+        mEndpoints.addAll(new ChangeEndpoints(log, submitter, settings).endpoints());
     }
 
-    /** Answers for service-level burn as well. */
-    public void serveBurn(BurnLog burn, Settings settings) {
-        mEndpoints.addAll(new BurnReads(burn, settings, InstantSource.system()).endpoints());
+    /** Adds the endpoints for error-budget burn. */
+    public void addBurnEndpoints(BurnLog burn, Settings settings) {
+        mEndpoints.addAll(new BurnEndpoints(burn, settings, InstantSource.system()).endpoints());
     }
 
-    /** Answers one call; the stage never fails. */
+    /** Handles a request; the stage never completes exceptionally. */
     public CompletionStage<HttpResponse> handle(HttpRequest request) {
         return request.entity()
                 .withSizeLimit(MAX_BODY_BYTES)
                 .toStrict(BODY_TIMEOUT_MS, mSystem)
                 .handle((body, error) -> error == null ? body.getData().utf8String() : null)
-                .thenCompose(body -> answer(request, body))
-                .exceptionally(AdminApi::failed)
+                .thenCompose(body -> respond(request, body))
+                .exceptionally(AdminApi::internalError)
                 .thenApply(a -> JsonRoutes.answer(a.status(), a.body()));
     }
 
-    private CompletionStage<Answer> answer(HttpRequest request, String body) {
-        Optional<Caller> caller =
-                mTokens.find(request.getHeader("Authorization").map(h -> h.value()));
-        if (caller.isEmpty()) {
-            return completedFuture(Answer.problem(Problem.noToken()));
+    private CompletionStage<ApiResponse> respond(HttpRequest request, String body) {
+        Optional<Principal> principal =
+                mAuthenticator.authenticate(request.getHeader("Authorization").map(h -> h.value()));
+        if (principal.isEmpty()) {
+            return completedFuture(ApiResponse.problem(Problem.unauthenticated()));
         }
         if (body == null) {
-            String detail = "It did not arrive whole, or is over " + MAX_BODY_BYTES + " bytes.";
-            return completedFuture(Answer.problem(Problem.badBody(detail)));
+            String detail = "It is incomplete or larger than " + MAX_BODY_BYTES + " bytes.";
+            return completedFuture(ApiResponse.problem(Problem.invalidBody(detail)));
         }
-        return dispatch(request, caller.get(), body);
+        return dispatch(request, principal.get(), body);
     }
 
-    private CompletionStage<Answer> dispatch(HttpRequest request, Caller caller, String body) {
+    private CompletionStage<ApiResponse> dispatch(
+            HttpRequest request, Principal principal, String body) {
         String path = request.getUri().path();
         List<String> segments = Endpoint.segments(path);
         String method = request.method().value();
         boolean pathKnown = false;
         for (Endpoint endpoint : mEndpoints) {
-            Optional<List<String>> names = endpoint.match(segments);
-            if (names.isEmpty()) {
+            Optional<List<String>> pathParameters = endpoint.match(segments);
+            if (pathParameters.isEmpty()) {
                 continue;
             }
             pathKnown = true;
             if (endpoint.method().equals(method)) {
-                return call(endpoint, new Call(caller, names.get(), query(request), body));
+                return invoke(
+                        endpoint,
+                        new ApiRequest(principal, pathParameters.get(), query(request), body));
             }
         }
         return completedFuture(
-                Answer.problem(pathKnown ? Problem.noMethod(method, path) : Problem.noPath(path)));
+                ApiResponse.problem(
+                        pathKnown
+                                ? Problem.methodNotAllowed(method, path)
+                                : Problem.pathNotFound(path)));
     }
 
-    private static CompletionStage<Answer> call(Endpoint endpoint, Call call) {
-        Caller caller = call.caller();
-        if (!caller.role().includes(endpoint.role())) {
-            String team = caller.team().value();
+    private static CompletionStage<ApiResponse> invoke(Endpoint endpoint, ApiRequest apiRequest) {
+        Principal principal = apiRequest.principal();
+        if (!principal.role().includes(endpoint.requiredRole())) {
+            String team = principal.team().value();
             return completedFuture(
-                    Answer.problem(Problem.roleTooLow(team, caller.role(), endpoint.role())));
+                    ApiResponse.problem(
+                            Problem.insufficientRole(
+                                    team, principal.role(), endpoint.requiredRole())));
         }
         try {
-            return endpoint.handler().handle(call);
-        } catch (Call.BadBodyException | IllegalArgumentException e) {
-            return completedFuture(Answer.problem(Problem.badBody(e.getMessage())));
+            return endpoint.handler().handle(apiRequest);
+        } catch (ApiRequest.InvalidBodyException | IllegalArgumentException e) {
+            return completedFuture(ApiResponse.problem(Problem.invalidBody(e.getMessage())));
         }
     }
 
@@ -110,8 +122,8 @@
                 .collect(Collectors.toMap(Pair::first, Pair::second, (a, b) -> b));
     }
 
-    private static Answer failed(Throwable error) {
-        LOG.error("A call failed: {0}.", error);
-        return Answer.problem(Problem.internal());
+    private static ApiResponse internalError(Throwable error) {
+        LOG.error("Administration API request failed: {0}.", error);
+        return ApiResponse.problem(Problem.internalError());
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/Call.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
@@ -10,59 +10,60 @@
 import org.foxtailplank.state.Author;
 
 /**
- * A call to the administration API, after its token was accepted.
+ * An authenticated request to the administration API.
  *
- * @param caller who calls
- * @param names values of the path's placeholders, in order
+ * @param principal authenticated team
+ * @param pathParameters values of the path placeholders, in order
  * @param query query parameters
  * @param body the body as text
  */
-record Call(Caller caller, List<String> names, Map<String, String> query, String body) {
+record ApiRequest(
+        Principal principal, List<String> pathParameters, Map<String, String> query, String body) {
     static final ObjectMapper JSON =
             new ObjectMapper()
                     .registerModule(new Jdk8Module())
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    String name() {
-        return names.get(0);
+    String pathParameter() {
+        return pathParameters.get(0);
     }
 
-    /** Who asks for a change and why, as the log keeps it. */
-    Author author(Bodies.ChangeBody body) {
-        String team = caller.team().value();
+    /** Returns the author of a change as stored in the log. */
+    Author author(RequestBodies.ChangeBody body) {
+        String team = principal.team().value();
         String who = body.who() == null || body.who().isBlank() ? team : team + "/" + body.who();
         return new Author(who, body.why());
     }
 
-    /** Reads the body into a typed record. */
-    <T> T read(Class<T> type) throws BadBodyException {
+    /** Parses the body into a record. */
+    <T> T parseBody(Class<T> type) throws InvalidBodyException {
         if (body.isBlank()) {
-            throw new BadBodyException("The body is empty.");
+            throw new InvalidBodyException("The body is empty.");
         }
         try {
-            T read = JSON.readValue(body, type);
-            if (read == null) {
-                throw new BadBodyException("The body is null.");
+            T parsed = JSON.readValue(body, type);
+            if (parsed == null) {
+                throw new InvalidBodyException("The body is null.");
             }
-            return read;
+            return parsed;
         } catch (ValueInstantiationException e) {
-            throw new BadBodyException(e.getCause().getMessage());
+            throw new InvalidBodyException(e.getCause().getMessage());
         } catch (JsonProcessingException e) {
-            throw new BadBodyException(e.getOriginalMessage() + at(e));
+            throw new InvalidBodyException(e.getOriginalMessage() + location(e));
         }
     }
 
-    private static String at(JsonProcessingException e) {
+    private static String location(JsonProcessingException e) {
         return e.getLocation() == null
                 ? ""
                 : " (line %d, column %d)"
                         .formatted(e.getLocation().getLineNr(), e.getLocation().getColumnNr());
     }
 
-    /** The body could not be read. */
-    static final class BadBodyException extends Exception {
-        BadBodyException(String message) {
+    /** Thrown if the request body is invalid. */
+    static final class InvalidBodyException extends Exception {
+        InvalidBodyException(String message) {
             super(message);
         }
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementContext.java
@@ -2,7 +2,7 @@
 
 import java.time.InstantSource;
 import java.util.function.Supplier;
-import org.foxtailplank.controller.internal.act.EpochParts;
+import org.foxtailplank.controller.internal.act.EpochContext;
 import org.foxtailplank.controller.internal.act.RecordWriter;
 import org.foxtailplank.fleet.PlacementSettings;
 import org.foxtailplank.platform.FleetLog;
@@ -10,21 +10,21 @@
 import org.foxtailplank.settings.Settings;
 
 /**
- * What placement works with.
+ * The dependencies of the placement loop.
  *
- * @param settings sizes of VMs and quotas of teams
- * @param times times and bounds of placement
- * @param log the agreed state
+ * @param settings settings with VM sizes and team quotas
+ * @param policy durations and limits of placement
+ * @param log log of the fleet state
  * @param writer writes records
- * @param workers the workers
- * @param epochs what it takes to hold the shard's epoch
- * @param clock time of leases and reports
+ * @param workers client for the workers
+ * @param epochs dependencies of the epoch election
+ * @param clock clock for leases and reports
  */
-public record PlacementParts(
+public record PlacementContext(
         Supplier<Settings> settings,
-        PlacementSettings times,
+        PlacementSettings policy,
         FleetLog log,
         RecordWriter writer,
         Workers workers,
-        EpochParts epochs,
+        EpochContext epochs,
         InstantSource clock) {}
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/PlannedChange.java
@@ -5,13 +5,13 @@
 import org.foxtailplank.state.ObjectKey;
 
 /**
- * A change that a shard wants to write.
+ * A change to be written by a shard.
  *
  * @param change the change
- * @param expects versions that the decision was made from
+ * @param expectedVersions object versions that the decision is based on
  */
-public record PlannedChange(Change change, Map<ObjectKey, Long> expects) {
+public record PlannedChange(Change change, Map<ObjectKey, Long> expectedVersions) {
     public PlannedChange {
-        expects = Map.copyOf(expects);
+        expectedVersions = Map.copyOf(expectedVersions);
     }
 }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/Interruption.java
@@ -4,56 +4,58 @@
 
 /** Interrupts a controller at one of its calls to the log or the platform. */
 final class Interruption {
-    private final int mAtCall;
+    private final int mCallIndex;
     private final boolean mAfterEffect;
-    private final Runnable mWhat;
-    private Optional<String> mAsked = Optional.empty();
+    private final Runnable mAction;
+    private Optional<String> mVm = Optional.empty();
     private int mCalls;
     private boolean mDead;
 
-    private Interruption(int atCall, boolean afterEffect, Runnable what) {
-        mAtCall = atCall;
+    private Interruption(int callIndex, boolean afterEffect, Runnable action) {
+        mCallIndex = callIndex;
         mAfterEffect = afterEffect;
-        mWhat = what;
+        mAction = action;
     }
 
     static Interruption none() {
         return new Interruption(-1, false, () -> {});
     }
 
-    /** Does something before a call (from 0), or after it took effect and before its answer. */
-    static Interruption at(int call, boolean afterEffect, Runnable what) {
-        return new Interruption(call, afterEffect, what);
+    /**
+     * Runs an action before a call (counted from 0), or after its effect but before its response.
+     */
+    static Interruption at(int call, boolean afterEffect, Runnable action) {
+        return new Interruption(call, afterEffect, action);
     }
 
-    /** Does something before the first action that is asked of a VM. */
-    static Interruption atFirstAsk(String vm, Runnable what) {
-        Interruption interruption = new Interruption(-1, false, what);
-        interruption.mAsked = Optional.of(vm);
+    /** Runs an action before the first platform action is requested for a VM. */
+    static Interruption atFirstAction(String vm, Runnable action) {
+        Interruption interruption = new Interruption(-1, false, action);
+        interruption.mVm = Optional.of(vm);
         return interruption;
     }
 
-    /** An action is about to be asked of a VM. */
-    void beforeAsk(String vm) {
-        if (mAsked.filter(vm::equals).isPresent()) {
-            mAsked = Optional.empty();
-            mWhat.run();
+    /** Called before a platform action is requested for a VM. */
+    void beforeAction(String vm) {
+        if (mVm.filter(vm::equals).isPresent()) {
+            mVm = Optional.empty();
+            mAction.run();
         }
     }
 
-    /** Ends the controller at a call. */
+    /** Kills the controller at a call. */
     static Interruption killAt(int call, boolean afterEffect) {
         return new Interruption(call, afterEffect, null);
     }
 
-    /** Whether the controller is gone. */
+    /** Returns whether the controller was killed. */
     boolean isDead() {
         return mDead;
     }
 
-    /** Whether the controller came as far as the call. */
+    /** Returns whether the controller reached the call. */
     boolean wasReached() {
-        return mCalls > mAtCall;
+        return mCalls > mCallIndex;
     }
 
     void beforeCall() {
@@ -69,16 +71,16 @@
     }
 
     private void call() {
-        if (mDead || mCalls++ == mAtCall && mWhat == null) {
+        if (mDead || mCalls++ == mCallIndex && mAction == null) {
             mDead = true;
             throw new KilledError();
         }
-        if (mCalls == mAtCall + 1) {
-            mWhat.run();
+        if (mCalls == mCallIndex + 1) {
+            mAction.run();
         }
     }
 
-    /** The process is gone. */
+    /** Thrown to simulate the death of the process. */
     static final class KilledError extends Error {
         private static final long serialVersionUID = 1;
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
@@ -22,12 +22,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Moves and wake-ups survive the death of a controller at any step, and a paused one. */
+/** Moves and wake-ups take effect once although controllers die or are paused at any step. */
 public class MoveAndWakeActingTest {
     private static final VmId VM = VmId.of("claims-0");
     private static final PoolId QUOTES = PoolId.of("quotes");
 
-    /** What an operator or the buffer wants, and when it is reached. */
+    /** A change with its expected final state and platform actions. */
     private record Scenario(
             String name,
             Consumer<TestFleet> setUp,
@@ -72,16 +72,15 @@
     @Test(dataProvider = "scenarios")
     public void happensOnce(Scenario scenario) {
         TestFleet fleet = fleet(scenario);
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), node);
         assertEquals(fleet.platform().effects(), scenario.effects());
     }
 
     /**
-     * The controller dies before or after any of its calls took effect. A VM would stay drained
-     * between two pools for ever, or be reassigned twice. The next controller reads the phase from
-     * the log, and what was asked from the platform, and goes on there.
+     * Guards against VMs that stay drained or are reassigned twice after the controller dies before
+     * or after any call.
      */
     @Test(dataProvider = "scenarios")
     public void goesOnAfterAControllerDiedAtAnyStep(Scenario scenario) {
@@ -97,23 +96,21 @@
     private static boolean killedAt(Scenario scenario, int call, boolean afterEffect) {
         TestFleet fleet = fleet(scenario);
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         scenario.order().accept(fleet);
         fleet.runUntil(view -> kill.isDead() || scenario.goal().test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(scenario.goal(), fleet.start("a-2", Interruption.none()));
         assertDoneOnce(fleet, scenario);
         return true;
     }
 
     /**
-     * The controller is paused before or after any of its calls, long enough for another one to
-     * take its epoch and finish everything, a later action on the same VM included. Then it goes on
-     * with the call that it was about to make. The call would hit a VM that serves again; its
-     * generation is no longer above the VM's, and its records carry an epoch that is over.
+     * Guards against a late call of a paused controller that affects a VM which another controller
+     * has already finished.
      */
     @Test(dataProvider = "scenarios")
     public void isNotDisturbedByAControllerThatWasPausedAtAnyStep(Scenario scenario) {
@@ -128,35 +125,35 @@
 
     private static boolean pausedAt(Scenario scenario, int call, boolean afterEffect) {
         TestFleet fleet = fleet(scenario);
-        TestNode[] second = new TestNode[1];
+        TestController[] second = new TestController[1];
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     second[0] = fleet.start("a-2", Interruption.none());
                     fleet.runUntil(scenario.goal(), second[0]);
-                    fleet.silent().clear();
+                    fleet.silentNodes().clear();
                 };
         Interruption pause = Interruption.at(call, afterEffect, whilePaused);
-        TestNode first = fleet.start("a-1", pause);
+        TestController first = fleet.start("a-1", pause);
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), first);
         if (second[0] == null) {
             return false;
         }
-        fleet.run(TestFleet.A_WHILE, first, second[0]);
+        fleet.run(TestFleet.SETTLING_TIME, first, second[0]);
         assertTrue(scenario.goal().test(fleet.view()));
         assertDoneOnce(fleet, scenario);
         return true;
     }
 
-    /** Both believe that they may act: each hears nothing of the other. */
+    /** Two controllers that do not hear each other both try to act. */
     @Test(dataProvider = "scenarios")
     public void happensOnceWithTwoControllersThatTakeTheEpochFromEachOther(Scenario scenario) {
         TestFleet fleet = fleet(scenario);
-        fleet.silent().add(NodeId.of("a-1"));
-        fleet.silent().add(NodeId.of("a-2"));
-        TestNode first = fleet.start("a-1", Interruption.none());
-        TestNode second = fleet.start("a-2", Interruption.none());
+        fleet.silentNodes().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-2"));
+        TestController first = fleet.start("a-1", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         fleet.run(Duration.ofSeconds(5), first, second);
         scenario.order().accept(fleet);
         fleet.runUntil(scenario.goal(), first, second);
@@ -170,7 +167,7 @@
         return fleet;
     }
 
-    /** Every action is carried out once; only a drain may be left out, where another one did it. */
+    /** Asserts that each action was executed exactly once, or at most once for drains. */
     private static void assertDoneOnce(TestFleet fleet, Scenario scenario) {
         List<String> effects = fleet.platform().effects();
         assertEquals(new HashSet<>(effects).size(), effects.size(), effects.toString());
@@ -184,11 +181,11 @@
     private static void release(TestFleet fleet) {
         VmState vm = fleet.view().vm(VM).orElseThrow();
         Change change = new VmReleased(VM, vm.pool(), QUOTES, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, ObjectKey.of(VM), vm.version()).isApplied());
+        assertTrue(fleet.submit(change, ObjectKey.of(VM), vm.version()).isApplied());
     }
 
     private static void powerOff(TestFleet fleet) {
-        fleet.platform().power("claims-0", VmPower.OFF);
+        fleet.platform().setPower("claims-0", VmPower.OFF);
         target(fleet, 3);
     }
 
@@ -196,7 +193,7 @@
         PoolId pool = PoolId.of("claims");
         ObjectKey key = ObjectKey.of(pool);
         Change change = new PoolTargetChanged(pool, target, 0, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, key, fleet.view().version(key)).isApplied());
+        assertTrue(fleet.submit(change, key, fleet.view().version(key)).isApplied());
     }
 
     private static boolean serves(FleetView view, PoolId pool) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A wave through outages of the platform, failures of VMs, and operators' orders. */
+/** Waves during platform outages, VM failures and operator commands. */
 public class OutageActingTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
@@ -37,7 +37,7 @@
             view -> view.vms().stream().anyMatch(vm -> vm.pending().isPresent());
 
     private TestFleet mFleet;
-    private TestNode mNode;
+    private TestController mNode;
 
     @BeforeMethod
     public void startAWave() {
@@ -47,40 +47,37 @@
         mFleet.startWave("w");
     }
 
-    /** The platform takes a reboot, and its answer is lost. Asked again, it would reboot twice. */
+    /** Guards against a second reboot when the response to the first is lost. */
     @Test
     public void rebootsOnceThoughThePlatformsAnswersAreLost() {
         while (!isIn(WavePhase.FINISHED).test(mFleet.view())) {
-            mFleet.platform().loseAnswers(1);
-            mFleet.log().loseAnswers(1);
+            mFleet.platform().loseResponses(1);
+            mFleet.log().loseResponses(1);
             mFleet.run(Duration.ofSeconds(1), mNode);
         }
         assertMaintainedOnce();
     }
 
-    /**
-     * The platform is gone for an hour in the middle of a wave: neither its log nor its VMs answer.
-     * Nothing new is stopped meanwhile, and the wave goes on by itself afterwards.
-     */
+    /** During an outage of log and VMs nothing is stopped; afterwards the wave resumes. */
     @Test
     public void goesOnAfterThePlatformWasGoneForAnHour() {
         mFleet.runUntil(SOMETHING_PENDING, mNode);
-        mFleet.platform().setAway(true);
-        mFleet.log().setAway(true);
+        mFleet.platform().setUnavailable(true);
+        mFleet.log().setUnavailable(true);
         List<String> before = List.copyOf(mFleet.platform().effects());
         mFleet.run(Duration.ofHours(1), mNode);
         assertEquals(mFleet.platform().effects(), before);
-        mFleet.platform().setAway(false);
-        mFleet.log().setAway(false);
+        mFleet.platform().setUnavailable(false);
+        mFleet.log().setUnavailable(false);
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertMaintainedOnce();
     }
 
-    /** A rack goes while VMs of another one are stopped; what it took counts against the budget. */
+    /** VMs of a failed rack count against the availability budget. */
     @Test
     public void keepsTheBudgetWhenARackIsLostInTheMiddle() {
         mFleet.runUntil(SOME_MAINTAINED, mNode);
-        mFleet.platform().loseRack("r2");
+        mFleet.platform().failRack("r2");
         mFleet.run(Duration.ofMinutes(5), mNode);
         mFleet.assertBudgetsHold();
         assertEquals(mFleet.platform().cutOff(), List.of());
@@ -88,10 +85,7 @@
         assertEquals(broken, 4);
     }
 
-    /**
-     * The firmware of the wave is bad: the VMs that it rebooted don't come back. The wave stops by
-     * itself; an operator mends the VMs and lets it go on.
-     */
+    /** A wave pauses when VMs do not come back from their reboots, until an operator resumes it. */
     @Test
     public void pausesOverCorrelatedFailuresAndGoesOnWhenTold() {
         mFleet.platform().failNextAction("claims-0");
@@ -101,10 +95,10 @@
         assertEquals(paused.lastOrder().who(), "a-1");
         assertTrue(paused.lastOrder().why().contains("claims-0"), paused.lastOrder().why());
         int before = mFleet.platform().effects().size();
-        mFleet.run(TestFleet.A_WHILE, mNode);
+        mFleet.run(TestFleet.SETTLING_TIME, mNode);
         assertEquals(mFleet.platform().effects().size(), before);
-        mFleet.platform().power("claims-0", VmPower.ON);
-        mFleet.platform().power("claims-1", VmPower.ON);
+        mFleet.platform().setPower("claims-0", VmPower.ON);
+        mFleet.platform().setPower("claims-1", VmPower.ON);
         order(WaveOrder.RESUME);
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertEquals(mFleet.platform().cutOff(), List.of());
@@ -116,32 +110,32 @@
         order(WaveOrder.CANCEL);
         mFleet.runUntil(SOMETHING_PENDING.negate(), mNode);
         List<String> before = List.copyOf(mFleet.platform().effects());
-        mFleet.run(TestFleet.A_WHILE, mNode);
+        mFleet.run(TestFleet.SETTLING_TIME, mNode);
         assertEquals(mFleet.platform().effects(), before);
         assertTrue(ALL_SERVE.test(mFleet.view()));
     }
 
-    /** A request never ends. The stop waits for it as long as the settings say, and no longer. */
+    /** A request that never ends delays a reboot only up to the drain timeout. */
     @Test
     public void stopsAVmWhoseRequestNeverEndsAfterTheDrainTimeout() {
-        mFleet.platform().stick("claims-0");
+        mFleet.platform().neverEndRequest("claims-0");
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         assertEquals(mFleet.platform().cutOff(), List.of("REBOOT claims-0"));
     }
 
-    /** A VM goes down by itself and comes back: the log learns of both, and nothing is asked. */
+    /** A VM that fails and recovers is recorded in the log without any platform action. */
     @Test
     public void seesAVmFailAndComeBack() {
         mFleet.runUntil(isIn(WavePhase.FINISHED), mNode);
         int before = mFleet.platform().effects().size();
-        mFleet.platform().power("claims-0", VmPower.FAILED);
+        mFleet.platform().setPower("claims-0", VmPower.FAILED);
         mFleet.runUntil(view -> phase(view) == VmPhase.BROKEN, mNode);
-        mFleet.platform().power("claims-0", VmPower.ON);
+        mFleet.platform().setPower("claims-0", VmPower.ON);
         mFleet.runUntil(view -> phase(view) == VmPhase.SERVING, mNode);
         assertEquals(mFleet.platform().effects().size(), before);
     }
 
-    /** Two operators change one pool from the same version: one wins, the other is told. */
+    /** Of two changes based on the same version only the first is applied. */
     @Test
     public void letsOneOfTwoRacingOperatorsWin() {
         PoolId pool = PoolId.of("claims");
@@ -149,8 +143,8 @@
         long version = mFleet.view().version(key);
         Change first = new PoolTargetChanged(pool, 5, 0, TestFleet.OPERATOR);
         Change second = new PoolTargetChanged(pool, 4, 0, TestFleet.OPERATOR);
-        assertTrue(mFleet.order(first, key, version).isApplied());
-        Verdict verdict = mFleet.order(second, key, version);
+        assertTrue(mFleet.submit(first, key, version).isApplied());
+        Verdict verdict = mFleet.submit(second, key, version);
         assertFalse(verdict.isApplied());
         assertEquals(mFleet.view().pool(pool).orElseThrow().target(), 5);
     }
@@ -158,7 +152,7 @@
     private void order(WaveOrder order) {
         Change change = new WaveControlled(WAVE, order, TestFleet.OPERATOR);
         ObjectKey key = ObjectKey.of(WAVE);
-        assertTrue(mFleet.order(change, key, mFleet.view().version(key)).isApplied());
+        assertTrue(mFleet.submit(change, key, mFleet.view().version(key)).isApplied());
     }
 
     private static Predicate<FleetView> isIn(WavePhase phase) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
@@ -23,7 +23,7 @@
 import org.foxtailplank.state.TaskState;
 import org.testng.annotations.Test;
 
-/** Tasks run to their end, and no task runs in two places at once. */
+/** Tasks run to completion, and no task runs twice at the same time. */
 public class PlacementActingTest {
     private static final JobId JOB = JobId.of("assess");
     private static final int TASKS = 6;
@@ -38,17 +38,17 @@
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /** Workers start tasks, and their answers are lost. Asked again they must not start anew. */
+    /** Guards against a second start when the response to the first is lost. */
     @Test
     public void runsEveryTaskOnceThoughAnswersAreLost() {
         TestFleet fleet = new TestFleet();
         submit(fleet);
-        fleet.workers().loseAnswers(TASKS);
+        fleet.workers().loseResponses(TASKS);
         fleet.runUntil(DONE, fleet.start("a-1", Interruption.none()));
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /** Tasks run longer than a lease: it is renewed in time. */
+    /** Leases of tasks that outlast them are renewed in time. */
     @Test
     public void keepsLeasesOfLongTasks() {
         TestFleet fleet = new TestFleet();
@@ -58,29 +58,23 @@
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
-    /**
-     * The platform is gone for longer than a lease. Workers stop the tasks, and only after that are
-     * they started again elsewhere.
-     */
+    /** After an outage longer than a lease, tasks restart only once their leases have expired. */
     @Test
     public void startsTasksAgainOnlyAfterTheirLeasesHaveLapsed() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
-        fleet.workers().setAway(true);
+        fleet.workers().setUnavailable(true);
         fleet.run(Duration.ofMinutes(2), node);
-        fleet.workers().setAway(false);
+        fleet.workers().setUnavailable(false);
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         assertTrue(fleet.workers().starts() > TASKS, "no lease lapsed");
     }
 
-    /**
-     * The controller dies before or after any of its calls. A start whose intent is in the log is
-     * asked for again under the same attempt; the worker that has it answers alike.
-     */
+    /** Guards against overlapping attempts after the controller dies before or after any call. */
     @Test
     public void runsNothingTwiceAfterAControllerDiedAtAnyStep() {
         int steps = 0;
@@ -96,21 +90,18 @@
         TestFleet fleet = new TestFleet();
         submit(fleet);
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         fleet.runUntil(view -> kill.isDead() || DONE.test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(DONE, fleet.start("a-2", Interruption.none()));
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         return true;
     }
 
-    /**
-     * The controller is paused before or after any of its calls, until another one has finished the
-     * job. Then it makes its call: a worker would run a finished task again.
-     */
+    /** Guards against a late call of a paused controller that runs a finished task again. */
     @Test
     public void runsNothingTwiceForAControllerThatWasPausedAtAnyStep() {
         int steps = 0;
@@ -125,30 +116,30 @@
     private static boolean pausedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
         submit(fleet);
-        TestNode[] second = new TestNode[1];
+        TestController[] second = new TestController[1];
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     second[0] = fleet.start("a-2", Interruption.none());
                     fleet.runUntil(DONE, second[0]);
-                    fleet.silent().clear();
+                    fleet.silentNodes().clear();
                 };
-        TestNode first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
+        TestController first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
         fleet.runUntil(DONE, first);
         if (second[0] == null) {
             return false;
         }
-        fleet.run(TestFleet.A_WHILE, first, second[0]);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        fleet.run(TestFleet.SETTLING_TIME, first, second[0]);
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
         return true;
     }
 
-    /** A VM that runs tasks is maintained: they write a checkpoint first and go on elsewhere. */
+    /** Tasks write a checkpoint and move before their VM is rebooted. */
     @Test
     public void movesTasksAwayBeforeTheirWorkerIsRebooted() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(5));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
         fleet.platform()
@@ -161,42 +152,41 @@
         fleet.startWave("w");
         fleet.runUntil(view -> view.vms().stream().allMatch(vm -> vm.lastMaintained() > 0), node);
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
     }
 
     /**
-     * Starts are still on their way when their workers are to be rebooted. The workers don't know
-     * the tasks, which looks as if they had ended; started elsewhere, they would run twice once the
-     * first starts arrive.
+     * Guards against overlapping attempts when a delayed start request reaches a worker that does
+     * not know the task yet.
      */
     @Test
     public void waitsForAStartThatMayStillBeOnItsWay() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofMinutes(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         fleet.run(Duration.ofSeconds(2), node);
-        fleet.workers().holdStarts();
+        fleet.workers().delayStarts();
         submit(fleet);
         fleet.runUntil(view -> view.job(JOB).orElseThrow().tasks().size() == TASKS, node);
         fleet.startWave("w");
         fleet.run(Duration.ofSeconds(10), node);
-        fleet.workers().releaseStarts();
+        fleet.workers().deliverDelayedStarts();
         fleet.runUntil(DONE, node);
-        assertEquals(fleet.workers().doubleRuns(), List.of());
+        assertEquals(fleet.workers().overlappingRuns(), List.of());
     }
 
     @Test
     public void stopsTheTasksOfACancelledJob() {
         TestFleet fleet = new TestFleet();
         fleet.workers().setTaskTime(Duration.ofHours(1));
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         submit(fleet);
         fleet.runUntil(view -> running(view) == TASKS, node);
         ObjectKey key = ObjectKey.of(JOB);
         Change cancel = new JobCancelled(JOB, TestFleet.OPERATOR);
-        assertTrue(fleet.order(cancel, key, fleet.view().version(key)).isApplied());
+        assertTrue(fleet.submit(cancel, key, fleet.view().version(key)).isApplied());
         fleet.runUntil(view -> running(view) == 0, node);
-        fleet.run(TestFleet.A_WHILE, node);
+        fleet.run(TestFleet.SETTLING_TIME, node);
         assertEquals(fleet.workers().starts(), TASKS);
     }
 
@@ -211,7 +201,7 @@
                         0,
                         TASKS);
         Change change = new JobSubmitted(JOB, spec, TestFleet.OPERATOR);
-        assertTrue(fleet.order(change, ObjectKey.of(JOB), 0).isApplied());
+        assertTrue(fleet.submit(change, ObjectKey.of(JOB), 0).isApplied());
     }
 
     private static long ended(FleetView view) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
@@ -15,7 +15,7 @@
 import org.foxtailplank.state.WavePhase;
 import org.testng.annotations.Test;
 
-/** Waves are carried out once and within the budgets, whatever becomes of controllers. */
+/** Waves reboot each VM once and within budgets although controllers die or are paused. */
 public class WaveActingTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
@@ -33,7 +33,7 @@
     @Test
     public void rebootsEveryVmOnceAndCutsOffNothing() {
         TestFleet fleet = new TestFleet();
-        TestNode node = fleet.start("a-1", Interruption.none());
+        TestController node = fleet.start("a-1", Interruption.none());
         fleet.runUntil(ALL_SERVE, node);
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, node);
@@ -41,9 +41,8 @@
     }
 
     /**
-     * The controller dies between two of its steps, at every place there is, before a call takes
-     * effect or after it did and before the answer. Another one carries the wave on from the state.
-     * A reboot would come twice, or a VM stay drained for ever, if either relied on memory.
+     * Guards against a second reboot or a VM that stays drained after the controller dies before or
+     * after any call.
      */
     @Test
     public void goesOnAfterAControllerDiedAtAnyStep() {
@@ -59,22 +58,21 @@
     private static boolean killedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
         Interruption kill = Interruption.killAt(call, afterEffect);
-        TestNode first = fleet.start("a-1", kill);
+        TestController first = fleet.start("a-1", kill);
         fleet.startWave("w");
         fleet.runUntil(view -> kill.isDead() || WAVE_FINISHED.test(view), first);
         if (!kill.isDead()) {
             return false;
         }
-        fleet.silent().add(NodeId.of("a-1"));
+        fleet.silentNodes().add(NodeId.of("a-1"));
         fleet.runUntil(WAVE_FINISHED, fleet.start("a-2", Interruption.none()));
         assertMaintainedOnce(fleet);
         return true;
     }
 
     /**
-     * A controller is paused at any of its calls, for just as long as another one needs to take its
-     * epoch. Nothing else has changed when it goes on, so only the epoch tells that its intents are
-     * void; both would stop VMs side by side.
+     * Guards against two controllers that stop VMs at the same time: only the epoch shows that the
+     * intents of the paused one are void.
      */
     @Test
     public void ignoresAControllerThatWasPausedPastItsEpochAtAnyStep() {
@@ -89,16 +87,16 @@
 
     private static boolean pausedAt(int call, boolean afterEffect) {
         TestFleet fleet = new TestFleet();
-        TestNode second = fleet.start("a-2", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         boolean[] paused = {false};
         Runnable whilePaused =
                 () -> {
                     paused[0] = true;
-                    fleet.silent().add(NodeId.of("a-1"));
+                    fleet.silentNodes().add(NodeId.of("a-1"));
                     long epoch = fleet.view().epoch(TestFleet.ZONE).number();
                     fleet.runUntil(v -> v.epoch(TestFleet.ZONE).number() > epoch, second);
                 };
-        TestNode first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
+        TestController first = fleet.start("a-1", Interruption.at(call, afterEffect, whilePaused));
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, first, second);
         fleet.assertNothingAppliedAfterItsEpoch();
@@ -107,24 +105,24 @@
     }
 
     /**
-     * A controller is paused before it asks to drain a VM. The VM fails meanwhile; another
-     * controller reboots it, and it serves again. The late drain would take it out of service with
-     * nobody to bring it back. Its generation is no longer above the VM's, so it is refused.
+     * Guards against a late drain by a paused controller, which would take a VM out of service that
+     * another controller has already rebooted.
      */
     @Test
     public void refusesADrainThatComesLate() {
         TestFleet fleet = new TestFleet();
-        TestNode second = fleet.start("a-2", Interruption.none());
+        TestController second = fleet.start("a-2", Interruption.none());
         Runnable whilePaused =
                 () -> {
-                    fleet.silent().add(NodeId.of("a-1"));
-                    fleet.platform().power("claims-0", VmPower.FAILED);
+                    fleet.silentNodes().add(NodeId.of("a-1"));
+                    fleet.platform().setPower("claims-0", VmPower.FAILED);
                     fleet.runUntil(WAVE_FINISHED, second);
                 };
-        TestNode first = fleet.start("a-1", Interruption.atFirstAsk("claims-0", whilePaused));
+        TestController first =
+                fleet.start("a-1", Interruption.atFirstAction("claims-0", whilePaused));
         fleet.startWave("w");
         fleet.runUntil(WAVE_FINISHED, first);
-        fleet.run(TestFleet.A_WHILE, first, second);
+        fleet.run(TestFleet.SETTLING_TIME, first, second);
         List<String> effects = fleet.platform().effects();
         assertTrue(effects.contains("REBOOT claims-0"), effects.toString());
         assertFalse(effects.contains("DRAIN claims-0"), effects.toString());
