--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
@@ -24,25 +24,25 @@
 import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.VmState;
 
-/** Folds the configuration and the shape that it gives to the fleet. */
+/** Folds configuration changes into the configuration in force, the VMs and the pools. */
 public final class ConfigurationFold {
-    private final VmTable mTable;
+    private final FleetIndex mIndex;
     private final Map<PoolId, PoolShape> mShapes = new HashMap<>();
     private final Map<ZoneId, PatchedText> mOverlays = new TreeMap<>();
     private PatchedText mBase = new PatchedText("");
     private Optional<Configuration> mCurrent = Optional.empty();
     private boolean mPatched;
 
-    public ConfigurationFold(VmTable table) {
-        mTable = table;
+    public ConfigurationFold(FleetIndex index) {
+        mIndex = index;
     }
 
-    /** Offset of the last change; 0 when there was none. */
+    /** Returns the offset of the last change; 0 before the first one. */
     public long version() {
         return mCurrent.map(Configuration::version).orElse(0L);
     }
 
-    /** The configuration in force. */
+    /** Returns the configuration in force. */
     public Optional<Configuration> current() {
         if (mPatched) {
             Configuration c = mCurrent.orElseThrow();
@@ -52,35 +52,35 @@
         return mCurrent;
     }
 
-    /** Pools as the configuration states them. */
+    /** Returns the pools as configured. */
     public Map<PoolId, PoolShape> shapes() {
         return Collections.unmodifiableMap(mShapes);
     }
 
-    public Verdict apply(long at, ConfigurationChange change) {
+    public Verdict apply(long offset, ConfigurationChange change) {
         if (change instanceof ConfigurationPublished c) {
-            return published(at, c);
+            return applyPublished(offset, c);
         } else if (change instanceof ConfigurationChanged c) {
-            return changed(at, c);
+            return applyChanged(offset, c);
         }
-        throw new IllegalStateException("no fold for " + change);
+        throw new IllegalStateException("unsupported change: " + change);
     }
 
-    private Verdict published(long at, ConfigurationPublished c) {
-        Optional<Verdict> wrong = removals(c.shape());
+    private Verdict applyPublished(long offset, ConfigurationPublished c) {
+        Optional<Verdict> wrong = checkRemovals(c.shape());
         if (wrong.isEmpty()) {
-            wrong = additions(c.shape(), c.shape().pools());
+            wrong = checkAdditions(c.shape(), c.shape().pools());
         }
         if (wrong.isPresent()) {
             return wrong.get();
         }
-        drop(c.shape());
-        add(at, c.shape());
-        restore(new Configuration(at, c.base(), c.overlays(), c.author()));
+        removeMissing(c.shape());
+        add(offset, c.shape());
+        restore(new Configuration(offset, c.base(), c.overlays(), c.author()));
         return Verdict.APPLIED;
     }
 
-    private Verdict changed(long at, ConfigurationChanged c) {
+    private Verdict applyChanged(long offset, ConfigurationChanged c) {
         if (mCurrent.isEmpty()) {
             return Verdicts.unknown(ObjectKey.configuration());
         }
@@ -93,23 +93,23 @@
         }
         Map<PoolId, PoolShape> pools = new HashMap<>(mShapes);
         pools.putAll(c.shapePatch().pools());
-        Optional<Verdict> wrong = additions(c.shapePatch(), pools);
+        Optional<Verdict> wrong = checkAdditions(c.shapePatch(), pools);
         if (wrong.isPresent()) {
             return wrong.get();
         }
-        add(at, c.shapePatch());
+        add(offset, c.shapePatch());
         mBase.patch(c.basePatch());
         c.overlayPatches()
                 .forEach(
                         (z, p) ->
                                 mOverlays.computeIfAbsent(z, k -> new PatchedText("{}")).patch(p));
         Configuration old = mCurrent.get();
-        mCurrent = Optional.of(new Configuration(at, old.base(), old.overlays(), c.author()));
+        mCurrent = Optional.of(new Configuration(offset, old.base(), old.overlays(), c.author()));
         mPatched = true;
         return Verdict.APPLIED;
     }
 
-    /** Takes a configuration as a whole. */
+    /** Replaces the configuration text, without changing VMs or pools. */
     public void restore(Configuration c) {
         mBase = new PatchedText(c.base());
         mOverlays.clear();
@@ -118,7 +118,7 @@
         mPatched = false;
     }
 
-    /** Takes a pool as the configuration states it. */
+    /** Restores the configured definition of a pool. */
     public void restore(PoolId id, PoolShape shape) {
         mShapes.put(id, shape);
     }
@@ -129,10 +129,10 @@
         return new Configuration(version, mBase.text(), Map.copyOf(overlays), author);
     }
 
-    /** A VM or pool in use can't vanish: its stop would be neither planned nor graceful. */
-    private Optional<Verdict> removals(FleetShape shape) {
+    /** Rejects the removal of a VM or pool in use: its VMs would stop without a drain. */
+    private Optional<Verdict> checkRemovals(FleetShape shape) {
         Set<PoolId> pools = shape.pools().keySet();
-        for (VmState vm : mTable.vms()) {
+        for (VmState vm : mIndex.vms()) {
             boolean kept = shape.vms().containsKey(vm.id());
             if (!kept && !isIdle(vm)) {
                 return Optional.of(Verdicts.wrongPhase(vm, "removal by the configuration"));
@@ -148,18 +148,18 @@
         return Optional.empty();
     }
 
-    private Optional<Verdict> additions(FleetShape shape, Map<PoolId, PoolShape> pools) {
+    private Optional<Verdict> checkAdditions(FleetShape shape, Map<PoolId, PoolShape> pools) {
         for (Map.Entry<VmId, VmPlace> e : shape.vms().entrySet()) {
             if (!pools.containsKey(e.getValue().pool())) {
                 return Optional.of(
                         Verdicts.malformed(
-                                "VM " + e.getKey() + " starts in a pool that is not there"));
+                                "VM " + e.getKey() + " names an initial pool that does not exist"));
             }
         }
         for (Map.Entry<PoolId, PoolShape> e : shape.pools().entrySet()) {
             PoolShape old = mShapes.get(e.getKey());
             if (old != null && !old.service().equals(e.getValue().service())) {
-                Optional<Verdict> wrong = newService(e.getKey());
+                Optional<Verdict> wrong = checkServiceChange(e.getKey());
                 if (wrong.isPresent()) {
                     return wrong;
                 }
@@ -168,11 +168,11 @@
         return Optional.empty();
     }
 
-    /** A pool changes its service only while none of its VMs runs the old one. */
-    private Optional<Verdict> newService(PoolId pool) {
-        for (VmState vm : mTable.vms()) {
-            boolean concerned = vm.pool().equals(pool) || vm.joining().equals(Optional.of(pool));
-            if (concerned && !isIdle(vm)) {
+    /** Rejects a new service for a pool while one of its VMs runs the old one. */
+    private Optional<Verdict> checkServiceChange(PoolId pool) {
+        for (VmState vm : mIndex.vms()) {
+            boolean affected = vm.pool().equals(pool) || vm.joining().equals(Optional.of(pool));
+            if (affected && !isIdle(vm)) {
                 return Optional.of(Verdicts.wrongPhase(vm, "new service for pool " + pool));
             }
         }
@@ -184,46 +184,46 @@
         return down && vm.pending().isEmpty() && vm.joining().isEmpty();
     }
 
-    private void drop(FleetShape shape) {
-        for (VmState vm : Set.copyOf(mTable.vms())) {
+    private void removeMissing(FleetShape shape) {
+        for (VmState vm : Set.copyOf(mIndex.vms())) {
             if (!shape.vms().containsKey(vm.id())) {
-                mTable.remove(vm.id());
+                mIndex.remove(vm.id());
             }
         }
         for (PoolId p : Set.copyOf(mShapes.keySet())) {
             if (!shape.pools().containsKey(p)) {
                 mShapes.remove(p);
-                mTable.remove(p);
+                mIndex.remove(p);
             }
         }
-        for (ServiceId s : Set.copyOf(mTable.minAvailable().keySet())) {
+        for (ServiceId s : Set.copyOf(mIndex.minAvailable().keySet())) {
             if (!shape.minAvailable().containsKey(s)) {
-                mTable.dropMinAvailable(s);
+                mIndex.dropMinAvailable(s);
             }
         }
     }
 
-    private void add(long at, FleetShape shape) {
-        shape.minAvailable().forEach(mTable::setMinAvailable);
-        shape.pools().forEach((id, p) -> addPool(at, id, p));
+    private void add(long offset, FleetShape shape) {
+        shape.minAvailable().forEach(mIndex::setMinAvailable);
+        shape.pools().forEach((id, p) -> addPool(offset, id, p));
         shape.vms()
                 .forEach(
                         (id, place) -> {
-                            Optional<VmState> old = mTable.vm(id);
+                            Optional<VmState> old = mIndex.vm(id);
                             if (old.isEmpty()) {
-                                mTable.put(VmState.of(id, place, at));
+                                mIndex.put(VmState.of(id, place, offset));
                             } else if (!old.get().zone().equals(place.zone())
                                     || !old.get().rack().equals(place.rack())) {
-                                mTable.put(old.get().standingAt(place, at));
+                                mIndex.put(old.get().withPlace(place, offset));
                             }
                         });
     }
 
-    /** What the configuration does not change keeps the target that was set through the log. */
-    private void addPool(long at, PoolId id, PoolShape shape) {
+    /** Keeps the target that was set through the log unless the configured pool changes. */
+    private void addPool(long offset, PoolId id, PoolShape shape) {
         PoolShape old = mShapes.put(id, shape);
         if (!shape.equals(old)) {
-            mTable.put(new PoolState(id, shape.service(), shape.target(), shape.reserve(), at));
+            mIndex.put(new PoolState(id, shape.service(), shape.target(), shape.reserve(), offset));
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/VmTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/FleetIndex.java
@@ -13,8 +13,8 @@
 import org.foxtailplank.state.VmPhase;
 import org.foxtailplank.state.VmState;
 
-/** VMs and pools, with the counts that budgets need kept up at each change. */
-public final class VmTable {
+/** VMs and pools; maintains the serving counts of each service that budgets depend on. */
+public final class FleetIndex {
     private final Map<VmId, VmState> mVms = new HashMap<>();
     private final Map<PoolId, PoolState> mPools = new HashMap<>();
     private final Map<PoolId, Map<VmId, VmState>> mByPool = new HashMap<>();
@@ -65,21 +65,21 @@
         return p == null ? Optional.empty() : p.service();
     }
 
-    /** Instances of a service that serve. */
+    /** Returns the serving instances of a service. */
     public int serving(ServiceId service) {
         RackCounts c = mServing.get(service);
         return c == null ? 0 : c.total();
     }
 
-    /** Instances of a service that still serve if the rack that holds most of them is lost. */
+    /** Returns the instances of a service that still serve after the loss of its largest rack. */
     public int afterWorstRack(ServiceId service) {
         RackCounts c = mServing.get(service);
         return c == null ? 0 : c.afterWorstRack();
     }
 
     /**
-     * Instances that a service lacks if a serving VM is stopped and any one more rack is lost; 0
-     * where the stop keeps the budget.
+     * Returns the instances that a service lacks if a serving VM is stopped and any one more rack
+     * is lost; 0 if the stop is within the budget.
      */
     public int missingAfterStop(VmState vm) {
         Optional<ServiceId> service = serviceOf(vm.pool());
@@ -91,7 +91,7 @@
         return min == 0 ? 0 : Math.max(0, min - c.afterStopAndWorstRack(vm.rack()));
     }
 
-    /** Adds a pool, or changes one; its service changes only while none of its VMs serves. */
+    /** Adds or replaces a pool; its service must not change while one of its VMs serves. */
     public void put(PoolState pool) {
         mPools.put(pool.id(), pool);
         mByPool.computeIfAbsent(pool.id(), id -> new HashMap<>());
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/FrozenObjects.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/FrozenObjects.java
@@ -15,19 +15,19 @@
 import org.foxtailplank.state.VmReleased;
 
 /**
- * Objects whose state this program can't know, because a newer kind of change touched them.
+ * Objects whose state is unknown here, because a change of an unknown kind touched them.
  *
- * <p>Guards against an older node that guesses in a rolling upgrade: it would judge later records
- * otherwise than the newer nodes and act on a state that nobody else has. Whatever depends on a
- * frozen object freezes what it touches in turn. The node thaws when its program is replaced.
+ * <p>Guards against divergence during a rolling upgrade: an older node would judge later records
+ * differently from the newer nodes. A record that depends on a frozen object freezes the objects
+ * that it touches. Objects stay frozen until the program is upgraded.
  */
 public final class FrozenObjects {
-    private final VmTable mTable;
+    private final FleetIndex mIndex;
     private final Set<ObjectKey> mFrozen = new HashSet<>();
     private final Set<ServiceId> mServices = new HashSet<>();
 
-    public FrozenObjects(VmTable table) {
-        mTable = table;
+    public FrozenObjects(FleetIndex index) {
+        mIndex = index;
     }
 
     public boolean contains(ObjectKey key) {
@@ -38,8 +38,8 @@
         return Collections.unmodifiableSet(mFrozen);
     }
 
-    /** The frozen object that keeps a record from being judged. */
-    public Optional<ObjectKey> obstacle(LogRecord r) {
+    /** Returns a frozen object that a record depends on; empty if there is none. */
+    public Optional<ObjectKey> blockingKey(LogRecord r) {
         if (mFrozen.isEmpty()) {
             return Optional.empty();
         }
@@ -52,19 +52,19 @@
             needed.add(ObjectKey.configuration());
         }
         Optional<ObjectKey> direct = needed.stream().filter(mFrozen::contains).min(ObjectKey.ORDER);
-        return direct.or(() -> budgetOf(c));
+        return direct.or(() -> frozenBudget(c));
     }
 
-    /** A stop can't be judged once any VM or pool of its service is frozen. */
-    private Optional<ObjectKey> budgetOf(Change c) {
+    /** Returns the pool of a stopped VM if its service's budget depends on a frozen VM or pool. */
+    private Optional<ObjectKey> frozenBudget(Change c) {
         Optional<VmId> stopped = Optional.empty();
         if (c instanceof VmActionIntended i) {
             stopped = Optional.of(i.vm());
         } else if (c instanceof VmReleased r) {
             stopped = Optional.of(r.vm());
         }
-        return stopped.flatMap(mTable::vm)
-                .filter(v -> mTable.serviceOf(v.pool()).map(mServices::contains).orElse(false))
+        return stopped.flatMap(mIndex::vm)
+                .filter(v -> mIndex.serviceOf(v.pool()).map(mServices::contains).orElse(false))
                 .map(v -> ObjectKey.of(v.pool()));
     }
 
@@ -73,7 +73,7 @@
             mFrozen.add(k);
             switch (k.kind()) {
                 case VM ->
-                        mTable.vm(VmId.of(k.name()))
+                        mIndex.vm(VmId.of(k.name()))
                                 .ifPresent(
                                         v -> {
                                             freezeServiceOf(v.pool());
@@ -81,13 +81,13 @@
                                         });
                 case POOL -> freezeServiceOf(PoolId.of(k.name()));
                 default -> {
-                    // Other kinds don't count towards a budget.
+                    // Other kinds don't affect budgets.
                 }
             }
         }
     }
 
     private void freezeServiceOf(PoolId pool) {
-        mTable.serviceOf(pool).ifPresent(mServices::add);
+        mIndex.serviceOf(pool).ifPresent(mServices::add);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/JobFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/JobFold.java
@@ -22,18 +22,18 @@
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.VoidReason;
 
-/** Folds changes of jobs and of their tasks. */
+/** Folds changes of jobs and their tasks. */
 public final class JobFold {
-    /** Ended jobs that are remembered, so that memory is bounded. */
+    /** Maximum number of ended jobs that are retained. */
     private static final int MAX_ENDED = 1_000;
 
-    private final VmTable mTable;
+    private final FleetIndex mIndex;
     private final Map<JobId, JobState> mJobs = new LinkedHashMap<>();
-    private final Map<JobId, Progress> mProgress = new HashMap<>();
+    private final Map<JobId, TaskCounts> mProgress = new HashMap<>();
     private final Set<JobId> mEnded = new LinkedHashSet<>();
 
-    public JobFold(VmTable table) {
-        mTable = table;
+    public JobFold(FleetIndex index) {
+        mIndex = index;
     }
 
     public Optional<JobState> job(JobId id) {
@@ -44,47 +44,49 @@
         return Collections.unmodifiableCollection(mJobs.values());
     }
 
-    public Verdict apply(long at, JobChange change) {
+    public Verdict apply(long offset, JobChange change) {
         if (change instanceof JobSubmitted c) {
-            return submitted(at, c);
+            return applySubmitted(offset, c);
         }
         JobState job = mJobs.get(change.job());
         if (job == null) {
             return Verdicts.unknown(ObjectKey.of(change.job()));
         }
         if (change instanceof JobCancelled) {
-            return cancelled(at, job);
+            return applyCancelled(offset, job);
         } else if (change instanceof TaskIntended c) {
-            return c.action() == TaskAction.START ? started(at, job, c) : asked(at, job, c);
+            return c.action() == TaskAction.START
+                    ? applyStart(offset, job, c)
+                    : applyAction(offset, job, c);
         } else if (change instanceof TaskConfirmed c) {
-            return confirmed(at, job, c);
+            return applyConfirmed(offset, job, c);
         }
-        throw new IllegalStateException("no fold for " + change);
+        throw new IllegalStateException("unsupported change: " + change);
     }
 
-    private Verdict submitted(long at, JobSubmitted c) {
+    private Verdict applySubmitted(long offset, JobSubmitted c) {
         if (mJobs.containsKey(c.job())) {
             return Verdicts.exists(ObjectKey.of(c.job()));
         }
-        if (mTable.pool(c.spec().pool()).isEmpty()) {
+        if (mIndex.pool(c.spec().pool()).isEmpty()) {
             return Verdicts.unknown(ObjectKey.of(c.spec().pool()));
         }
         if (c.spec().tasks() < 1) {
             return Verdicts.malformed("job " + c.job() + " has no task");
         }
-        put(new JobState(c.job(), c.spec(), false, new HashMap<>(), at));
+        put(new JobState(c.job(), c.spec(), false, new HashMap<>(), offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict cancelled(long at, JobState job) {
+    private Verdict applyCancelled(long offset, JobState job) {
         if (job.cancelled() || mEnded.contains(job.id())) {
             return Verdicts.wrongPhase("job " + job.id() + " has ended");
         }
-        put(new JobState(job.id(), job.spec(), true, job.tasks(), at));
+        put(new JobState(job.id(), job.spec(), true, job.tasks(), offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict started(long at, JobState job, TaskIntended c) {
+    private Verdict applyStart(long offset, JobState job, TaskIntended c) {
         TaskState t = job.tasks().get(c.task());
         long attempt = t == null ? 0 : t.attempt();
         if (c.task() < 0 || c.task() >= job.spec().tasks()) {
@@ -93,27 +95,29 @@
         if (c.attempt() != attempt + 1) {
             return staleAttempt(job, c.task(), attempt + 1);
         }
-        if (mTable.vm(c.worker()).isEmpty()) {
+        if (mIndex.vm(c.worker()).isEmpty()) {
             return Verdicts.unknown(ObjectKey.of(c.worker()));
         }
-        boolean free = t == null || t.outcome().map(JobFold::isRepeatable).orElse(false);
+        boolean free = t == null || t.outcome().map(JobFold::isRetryable).orElse(false);
         if (job.cancelled() || !free) {
             return Verdicts.wrongPhase(
-                    "job " + job.id() + (job.cancelled() ? " is cancelled" : " holds the task"));
+                    "job "
+                            + job.id()
+                            + (job.cancelled() ? " is cancelled" : " has placed the task already"));
         }
-        return put(
-                at,
+        return putTask(
+                offset,
                 job,
                 c.task(),
                 new TaskState(c.worker(), c.attempt(), c.action(), Optional.empty()));
     }
 
-    /** An ended attempt that did not succeed may be followed by another one. */
-    private static boolean isRepeatable(TaskOutcome outcome) {
+    /** Returns whether another attempt may follow one with this outcome. */
+    private static boolean isRetryable(TaskOutcome outcome) {
         return outcome.isEnded() && outcome != TaskOutcome.SUCCEEDED;
     }
 
-    private Verdict asked(long at, JobState job, TaskIntended c) {
+    private Verdict applyAction(long offset, JobState job, TaskIntended c) {
         TaskState t = job.tasks().get(c.task());
         if (t == null || t.attempt() != c.attempt() || !t.worker().equals(c.worker())) {
             return staleAttempt(job, c.task(), t == null ? 0 : t.attempt());
@@ -121,11 +125,14 @@
         if (t.outcome().map(TaskOutcome::isEnded).orElse(false)) {
             return Verdicts.wrongPhase("job " + job.id() + ": task " + c.task() + " has ended");
         }
-        return put(
-                at, job, c.task(), new TaskState(t.worker(), t.attempt(), c.action(), t.outcome()));
+        return putTask(
+                offset,
+                job,
+                c.task(),
+                new TaskState(t.worker(), t.attempt(), c.action(), t.outcome()));
     }
 
-    private Verdict confirmed(long at, JobState job, TaskConfirmed c) {
+    private Verdict applyConfirmed(long offset, JobState job, TaskConfirmed c) {
         TaskState t = job.tasks().get(c.task());
         if (t == null || t.attempt() != c.attempt() || !t.worker().equals(c.worker())) {
             return staleAttempt(job, c.task(), t == null ? 0 : t.attempt());
@@ -133,30 +140,34 @@
         boolean ended = t.outcome().map(TaskOutcome::isEnded).orElse(false);
         if (ended || t.outcome().equals(Optional.of(c.outcome()))) {
             return Verdicts.wrongPhase(
-                    "job " + job.id() + ": task " + c.task() + " said so before");
-        }
-        return put(
-                at,
+                    "job "
+                            + job.id()
+                            + ": task "
+                            + c.task()
+                            + " already has this outcome or has ended");
+        }
+        return putTask(
+                offset,
                 job,
                 c.task(),
                 new TaskState(t.worker(), t.attempt(), t.action(), Optional.of(c.outcome())));
     }
 
-    /** Puts a task in its new state, which gives the job a new version. */
-    private Verdict put(long at, JobState job, int index, TaskState task) {
+    /** Updates a task, which gives its job a new version. */
+    private Verdict putTask(long offset, JobState job, int index, TaskState task) {
         TaskState before = job.tasks().put(index, task);
-        Progress p = mProgress.get(job.id());
+        TaskCounts p = mProgress.get(job.id());
         if (before != null) {
             p.count(before, -1);
         }
         p.count(task, 1);
-        put(new JobState(job.id(), job.spec(), job.cancelled(), job.tasks(), at));
+        put(new JobState(job.id(), job.spec(), job.cancelled(), job.tasks(), offset));
         return Verdict.APPLIED;
     }
 
-    /** Adds a job as it was at a snapshot. */
+    /** Restores a job from a snapshot. */
     public void restore(JobState job) {
-        Progress p = new Progress();
+        TaskCounts p = new TaskCounts();
         job.tasks().values().forEach(t -> p.count(t, 1));
         mProgress.put(job.id(), p);
         put(
@@ -170,8 +181,8 @@
 
     private void put(JobState job) {
         mJobs.put(job.id(), job);
-        Progress p = mProgress.computeIfAbsent(job.id(), id -> new Progress());
-        boolean over = p.mSucceeded == job.spec().tasks() || (job.cancelled() && p.mLive == 0);
+        TaskCounts p = mProgress.computeIfAbsent(job.id(), id -> new TaskCounts());
+        boolean over = p.mSucceeded == job.spec().tasks() || (job.cancelled() && p.mActive == 0);
         if (over && mEnded.add(job.id()) && mEnded.size() > MAX_ENDED) {
             JobId oldest = mEnded.iterator().next();
             mEnded.remove(oldest);
@@ -186,14 +197,14 @@
                 "job %s: task %d is at attempt %d".formatted(job.id(), task, wanted));
     }
 
-    /** Counts the tasks of one job, so that its end is seen without a scan. */
-    private static final class Progress {
-        private int mLive;
+    /** Task counts of one job; detect its end without a scan of its tasks. */
+    private static final class TaskCounts {
+        private int mActive;
         private int mSucceeded;
 
         private void count(TaskState task, int by) {
             if (!task.outcome().map(TaskOutcome::isEnded).orElse(false)) {
-                mLive += by;
+                mActive += by;
             } else if (task.outcome().get() == TaskOutcome.SUCCEEDED) {
                 mSucceeded += by;
             }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/MergePatch.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/MergePatch.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** JSON merge patches (RFC 7396). */
+/** Applies and computes JSON merge patches (RFC 7396). */
 public final class MergePatch {
     private static final JsonMapper JSON =
             JsonMapper.builder()
@@ -21,7 +21,7 @@
 
     private MergePatch() {}
 
-    /** Reads a JSON object, which may hold comments; empty for any other text. */
+    /** Parses a JSON object, which may contain comments; empty for any other text. */
     public static Optional<ObjectNode> parse(String text) {
         try {
             JsonNode node = JSON.readTree(text);
@@ -31,18 +31,18 @@
         }
     }
 
-    /** An object without members. */
+    /** Returns a new empty object. */
     public static ObjectNode emptyObject() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** Merges a patch into a text; empty where one of them is not a JSON object. */
+    /** Applies a patch to a text; empty if one of them is not a JSON object. */
     public static Optional<String> mergeTexts(String text, String patch) {
         return parse(text)
                 .flatMap(t -> parse(patch).map(p -> merge((JsonNode) t, p).toPrettyString()));
     }
 
-    /** Merges a patch into a value, which may change. */
+    /** Applies a patch to a value; may modify the target in place. */
     public static JsonNode merge(JsonNode target, JsonNode patch) {
         if (!(patch instanceof ObjectNode)) {
             return patch;
@@ -58,8 +58,10 @@
         return result;
     }
 
-    /** The patch that leads from one object to another; empty where no patch can. */
-    public static Optional<ObjectNode> between(ObjectNode from, ObjectNode to) {
+    /**
+     * Returns the patch from one object to another; empty if a patch can't express the difference.
+     */
+    public static Optional<ObjectNode> diff(ObjectNode from, ObjectNode to) {
         ObjectNode patch = emptyObject();
         for (Map.Entry<String, JsonNode> e : from.properties()) {
             if (!to.has(e.getKey())) {
@@ -68,22 +70,22 @@
         }
         for (Map.Entry<String, JsonNode> e : to.properties()) {
             JsonNode old = from.path(e.getKey());
-            if (!old.equals(e.getValue()) && !put(patch, e.getKey(), old, e.getValue())) {
+            if (!old.equals(e.getValue()) && !putDiff(patch, e.getKey(), old, e.getValue())) {
                 return Optional.empty();
             }
         }
         return Optional.of(patch);
     }
 
-    private static boolean put(ObjectNode patch, String key, JsonNode from, JsonNode to) {
+    private static boolean putDiff(ObjectNode patch, String key, JsonNode from, JsonNode to) {
         if (to instanceof ObjectNode t) {
             ObjectNode old = from instanceof ObjectNode f ? f : emptyObject();
-            Optional<ObjectNode> inner = between(old, t);
+            Optional<ObjectNode> inner = diff(old, t);
             inner.ifPresent(p -> patch.set(key, p));
             return inner.isPresent();
         }
         patch.set(key, to);
-        // In a patch null means removal, so a null that is a value can't be said.
+        // In a patch null means removal, so a null value can't be expressed.
         return !to.isNull();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/PatchedText.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/PatchedText.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * A JSON text with the merge patches that were published on top of it.
+ * A JSON text with merge patches that are applied lazily.
  *
- * <p>Patches are merged when the text is asked for, or when they have grown to a share of the text;
- * so a change costs the fold its own size, not the size of the configuration.
+ * <p>Patches are merged when the text is read, or when their total size exceeds a share of the
+ * text's size. The cost of folding a change thus depends on the size of its patch, not of the
+ * configuration.
  */
 final class PatchedText {
     private static final int MIN_ROLL_UP = 64 * 1024;
-    private static final int SHARE = 4;
+    private static final int ROLL_UP_DIVISOR = 4;
 
     private final List<String> mPatches = new ArrayList<>();
     private String mText;
@@ -22,16 +23,16 @@
         mText = text;
     }
 
-    /** Adds a patch that was parsed before. */
+    /** Adds a patch, which must be a valid JSON object. */
     void patch(String patch) {
         mPatches.add(patch);
         mPending += patch.length();
-        if (mPending > Math.max(MIN_ROLL_UP, mText.length() / SHARE)) {
+        if (mPending > Math.max(MIN_ROLL_UP, mText.length() / ROLL_UP_DIVISOR)) {
             text();
         }
     }
 
-    /** The text with all patches merged in. */
+    /** Returns the text with all patches applied. */
     String text() {
         if (!mPatches.isEmpty()) {
             JsonNode merged = MergePatch.parse(mText).orElseGet(MergePatch::emptyObject);
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/RackCounts.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/RackCounts.java
@@ -5,60 +5,62 @@
 import java.util.Map;
 import org.foxtailplank.id.RackId;
 
-/** Serving instances of one service by rack, with the fullest rack at hand. */
+/** Serving instances of one service by rack; maintains the size of the largest rack. */
 final class RackCounts {
     private static final int FIRST_SIZE = 8;
 
     private final Map<RackId, Integer> mByRack = new HashMap<>();
 
     /** Number of racks that hold a given number of instances. */
-    private int[] mRacksWith = new int[FIRST_SIZE];
+    private int[] mRacksBySize = new int[FIRST_SIZE];
 
     private int mTotal;
-    private int mFullest;
+    private int mLargest;
 
     int total() {
         return mTotal;
     }
 
-    /** Instances that are left when the rack that holds most of them is lost. */
+    /** Returns the instances that remain after the loss of the largest rack. */
     int afterWorstRack() {
-        return mTotal - mFullest;
+        return mTotal - mLargest;
     }
 
-    /** The same, if one instance of a rack were stopped before. */
+    /**
+     * Returns the instances that remain after a stop in one rack and the loss of the largest rack.
+     */
     int afterStopAndWorstRack(RackId rack) {
         int n = mByRack.getOrDefault(rack, 0);
-        boolean onlyFullest = n == mFullest && mRacksWith[n] == 1;
-        int fullest = onlyFullest ? mFullest - 1 : mFullest;
-        return mTotal - 1 - fullest;
+        boolean onlyLargest = n == mLargest && mRacksBySize[n] == 1;
+        int largest = onlyLargest ? mLargest - 1 : mLargest;
+        return mTotal - 1 - largest;
     }
 
     void add(RackId rack) {
         int n = mByRack.merge(rack, 1, Integer::sum);
         mTotal++;
         if (n > 1) {
-            mRacksWith[n - 1]--;
+            mRacksBySize[n - 1]--;
         }
-        if (n >= mRacksWith.length) {
-            mRacksWith = Arrays.copyOf(mRacksWith, n * 2);
+        if (n >= mRacksBySize.length) {
+            mRacksBySize = Arrays.copyOf(mRacksBySize, n * 2);
         }
-        mRacksWith[n]++;
-        mFullest = Math.max(mFullest, n);
+        mRacksBySize[n]++;
+        mLargest = Math.max(mLargest, n);
     }
 
     void remove(RackId rack) {
         int n = mByRack.get(rack);
         mTotal--;
-        mRacksWith[n]--;
+        mRacksBySize[n]--;
         if (n == 1) {
             mByRack.remove(rack);
         } else {
             mByRack.put(rack, n - 1);
-            mRacksWith[n - 1]++;
+            mRacksBySize[n - 1]++;
         }
-        if (mRacksWith[mFullest] == 0) {
-            mFullest--;
+        if (mRacksBySize[mLargest] == 0) {
+            mLargest--;
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/RecordWindow.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/RecordWindow.java
@@ -6,27 +6,26 @@
 import org.foxtailplank.state.WindowContents;
 
 /**
- * The ids of the newest records and the digests of the log before them, in bounded memory.
+ * Ids of the newest records and digests of the log before each, in bounded memory.
  *
- * <p>Guards against an append that is repeated after its answer was lost: the record would take
- * effect twice. A record names its basis, an offset that its writer had folded, so its first copy
- * stands at or after the basis. A copy at {@code basis + SIZE} or later is void as too late; one
- * before that finds the first copy among the newest {@code SIZE} ids. No clock is needed.
+ * <p>Guards against a record that takes effect twice because its append was retried after a lost
+ * response. The first copy of a record is at or after its basis. A copy at {@code basis + SIZE} or
+ * later is void as too late; an earlier one finds the first copy among the newest {@code SIZE} ids.
  *
- * <p>Guards also against a log that came back with other records: a record whose basis has another
- * digest was made from a state that this log does not lead to.
+ * <p>Also guards against a log that was restored with other records: a record whose basis has
+ * another digest was created from a different state.
  *
- * <p>Ids are held as 64-bit hashes. Two ids of the same hash within the window would make the later
- * record void as a duplicate, for every reader alike; its writer then makes it anew.
+ * <p>Ids are stored as 64-bit hashes. On a collision within the window the later record is void as
+ * a duplicate, for every reader alike, and its writer has to create a new record.
  */
 public final class RecordWindow {
-    /** Offsets for which ids are remembered. */
+    /** Number of offsets in the window. */
     public static final int SIZE = 1 << 14;
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final int FIRST_CAPACITY = 1 << 8;
-    private static final int FREE = 0;
+    private static final int EMPTY = 0;
 
     /** Hash of the id at each offset, modulo the capacity; 0 for none. */
     private long[] mIds;
@@ -34,49 +33,51 @@
     /** Digest of all records before each offset, modulo the capacity. */
     private long[] mDigests;
 
-    /** Open addressing from hash to index + 1. */
+    /** Hash table with open addressing, from hash to index + 1. */
     private int[] mSlots;
 
     private RecordWindow(long[] ids, long[] digests) {
         fill(ids, digests);
     }
 
-    /** Remembers nothing yet. */
+    /** Returns an empty window. */
     public static RecordWindow empty() {
         return new RecordWindow(new long[FIRST_CAPACITY], new long[FIRST_CAPACITY]);
     }
 
-    /** Remembers what another one did. */
+    /** Returns a window with the given contents. */
     public static RecordWindow of(WindowContents contents) {
         return new RecordWindow(contents.ids().clone(), contents.digests().clone());
     }
 
-    /** What is remembered. */
+    /** Returns a copy of the contents. */
     public WindowContents contents() {
         return new WindowContents(mIds.clone(), mDigests.clone());
     }
 
-    /** Whether a record made on this basis can still be checked at this offset. */
+    /**
+     * Returns whether the window can detect duplicates of a record with this basis at this offset.
+     */
     public static boolean covers(Basis basis, long offset) {
         return offset < basis.offset() + SIZE;
     }
 
-    /** Digest of the records before an offset, which must be among the newest. */
+    /** Returns the digest of the records before an offset, which must be in the window. */
     public long digest(long offset) {
         return mDigests[index(offset)];
     }
 
-    /** Whether the record at an offset, which must be among the newest, may have this id. */
-    public boolean mayHold(RecordId id, long offset) {
-        return mDigests[index(offset + 1)] == next(mDigests[index(offset)], hash(id.value()));
+    /** Returns whether the record at an offset, which must be in the window, may have this id. */
+    public boolean mayContain(RecordId id, long offset) {
+        return mDigests[index(offset + 1)] == nextDigest(mDigests[index(offset)], hash(id.value()));
     }
 
-    /** Remembers the id of the record at an offset; returns whether it was new. */
+    /** Adds the id of the record at an offset; returns whether it is new. */
     public boolean add(RecordId id, long offset) {
         long h = hash(id.value());
         growFor(offset + 1);
-        forget(offset);
-        mDigests[index(offset + 1)] = next(mDigests[index(offset)], h);
+        evict(offset);
+        mDigests[index(offset + 1)] = nextDigest(mDigests[index(offset)], h);
         if (find(h) >= 0) {
             return false;
         }
@@ -85,16 +86,16 @@
         return true;
     }
 
-    /** Drops the id that leaves the window when it reaches an offset. */
-    private void forget(long offset) {
-        int at = index(offset);
-        if (mIds[at] != 0) {
-            remove(find(mIds[at]));
-            mIds[at] = 0;
+    /** Removes the id that leaves the window at this offset. */
+    private void evict(long offset) {
+        int position = index(offset);
+        if (mIds[position] != 0) {
+            remove(find(mIds[position]));
+            mIds[position] = 0;
         }
     }
 
-    /** Grows before the offsets wrap round, so that each stands at its own index until then. */
+    /** Grows the arrays before offsets wrap around, until they have their full size. */
     private void growFor(long offset) {
         if (offset == mIds.length && offset < SIZE) {
             fill(Arrays.copyOf(mIds, mIds.length * 2), Arrays.copyOf(mDigests, mIds.length * 2));
@@ -116,21 +117,21 @@
         return (int) (offset & mIds.length - 1);
     }
 
-    private static long next(long digest, long idHash) {
+    private static long nextDigest(long digest, long idHash) {
         long d = (digest + idHash) * FNV_PRIME;
         return d ^ d >>> 32;
     }
 
-    private void insert(int at) {
-        int s = slotOf(mIds[at]);
-        while (mSlots[s] != FREE) {
-            s = next(s);
+    private void insert(int position) {
+        int s = slotOf(mIds[position]);
+        while (mSlots[s] != EMPTY) {
+            s = nextSlot(s);
         }
-        mSlots[s] = at + 1;
+        mSlots[s] = position + 1;
     }
 
     private int find(long hash) {
-        for (int s = slotOf(hash); mSlots[s] != FREE; s = next(s)) {
+        for (int s = slotOf(hash); mSlots[s] != EMPTY; s = nextSlot(s)) {
             if (mIds[mSlots[s] - 1] == hash) {
                 return s;
             }
@@ -138,16 +139,16 @@
         return -1;
     }
 
-    /** Frees a slot and closes the gap, so that later searches don't end in it. */
+    /** Frees a slot and shifts later entries back, so that searches don't end at the gap. */
     private void remove(int slot) {
         int gap = slot;
-        mSlots[gap] = FREE;
-        for (int s = next(gap); mSlots[s] != FREE; s = next(s)) {
+        mSlots[gap] = EMPTY;
+        for (int s = nextSlot(gap); mSlots[s] != EMPTY; s = nextSlot(s)) {
             int home = slotOf(mIds[mSlots[s] - 1]);
             boolean reachable = gap < s ? home > gap && home <= s : home > gap || home <= s;
             if (!reachable) {
                 mSlots[gap] = mSlots[s];
-                mSlots[s] = FREE;
+                mSlots[s] = EMPTY;
                 gap = s;
             }
         }
@@ -157,7 +158,7 @@
         return (int) (hash ^ (hash >>> 32)) & (mSlots.length - 1);
     }
 
-    private int next(int slot) {
+    private int nextSlot(int slot) {
         return (slot + 1) & (mSlots.length - 1);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/Verdicts.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/Verdicts.java
@@ -5,7 +5,7 @@
 import org.foxtailplank.state.VmState;
 import org.foxtailplank.state.VoidReason;
 
-/** The wording of verdicts that leave a record void. */
+/** Creates verdicts of void records with their messages. */
 public final class Verdicts {
     private Verdicts() {}
 
@@ -21,9 +21,9 @@
         return Verdict.refused(VoidReason.WRONG_PHASE, detail);
     }
 
-    public static Verdict wrongPhase(VmState vm, String asked) {
+    public static Verdict wrongPhase(VmState vm, String request) {
         String pending = vm.pending().map(a -> " with " + a + " pending").orElse("");
-        return wrongPhase(asked + ": VM " + vm.id() + " is " + vm.phase() + pending);
+        return wrongPhase(request + ": VM " + vm.id() + " is " + vm.phase() + pending);
     }
 
     public static Verdict malformed(String detail) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/VmFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/VmFold.java
@@ -20,57 +20,57 @@
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
 
-/** Folds changes of VMs: moves between pools, actions and their outcomes. */
+/** Folds changes of VMs: moves between pools, actions, outcomes and observations. */
 public final class VmFold {
-    private final VmTable mTable;
+    private final FleetIndex mIndex;
     private final WaveFold mWaves;
 
-    public VmFold(VmTable table, WaveFold waves) {
-        mTable = table;
+    public VmFold(FleetIndex index, WaveFold waves) {
+        mIndex = index;
         mWaves = waves;
     }
 
-    public Verdict apply(long at, VmChange change) {
-        Optional<VmState> vm = mTable.vm(change.vm());
+    public Verdict apply(long offset, VmChange change) {
+        Optional<VmState> vm = mIndex.vm(change.vm());
         if (vm.isEmpty()) {
             return Verdicts.unknown(ObjectKey.of(change.vm()));
         }
         VmState v = vm.get();
         if (change instanceof VmActionIntended c) {
-            return intended(at, v, c);
+            return applyIntended(offset, v, c);
         } else if (change instanceof VmActionConfirmed c) {
-            return confirmed(at, v, c);
+            return applyConfirmed(offset, v, c);
         } else if (change instanceof VmReleased c) {
-            return released(at, v, c);
+            return applyReleased(offset, v, c);
         } else if (change instanceof VmJoined c) {
-            return joined(at, v, c);
+            return applyJoined(offset, v, c);
         } else if (change instanceof VmObserved c) {
-            return observed(at, v, c);
+            return applyObserved(offset, v, c);
         }
-        throw new IllegalStateException("no fold for " + change);
+        throw new IllegalStateException("unsupported change: " + change);
     }
 
-    private Verdict intended(long at, VmState vm, VmActionIntended c) {
+    private Verdict applyIntended(long offset, VmState vm, VmActionIntended c) {
         if (c.generation() != vm.generation() + 1) {
             return staleGeneration(vm, c.generation(), vm.generation() + 1);
         }
-        Optional<VmPhase> next = c.action().intendedIn(vm.phase());
+        Optional<VmPhase> next = c.action().pendingPhase(vm.phase());
         if (vm.pending().isPresent() || vm.joining().isPresent() || next.isEmpty()) {
             return Verdicts.wrongPhase(vm, c.action().toString());
         }
-        Optional<Verdict> held = c.wave().flatMap(w -> heldByWave(vm, w));
-        if (held.isPresent()) {
-            return held.get();
+        Optional<Verdict> waveError = c.wave().flatMap(w -> checkWave(vm, w));
+        if (waveError.isPresent()) {
+            return waveError.get();
         }
-        Optional<Verdict> over = overBudget(vm, next.get());
+        Optional<Verdict> over = checkBudget(vm, next.get());
         if (over.isPresent()) {
             return over.get();
         }
-        mTable.put(vm.intending(c.action(), c.wave(), next.get(), at));
+        mIndex.put(vm.withPending(c.action(), c.wave(), next.get(), offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict confirmed(long at, VmState vm, VmActionConfirmed c) {
+    private Verdict applyConfirmed(long offset, VmState vm, VmActionConfirmed c) {
         if (c.generation() != vm.generation()) {
             return staleGeneration(vm, c.generation(), vm.generation());
         }
@@ -80,60 +80,60 @@
         VmAction action = vm.pending().get();
         VmState next =
                 switch (c.outcome()) {
-                    case DONE -> vm.in(action.done(), at);
-                    case FAILED -> vm.failed(at);
-                    case WITHDRAWN -> vm.in(vm.phase().withdrawn(), at);
+                    case DONE -> vm.withPhase(action.phaseWhenDone(), offset);
+                    case FAILED -> vm.afterFailure(offset);
+                    case WITHDRAWN -> vm.withPhase(vm.phase().afterWithdrawal(), offset);
                 };
         boolean maintained = c.outcome() == ActionOutcome.DONE && action == VmAction.REBOOT;
-        mTable.put(maintained ? next.maintained(at) : next);
+        mIndex.put(maintained ? next.afterMaintenance(offset) : next);
         return Verdict.APPLIED;
     }
 
-    private Verdict released(long at, VmState vm, VmReleased c) {
+    private Verdict applyReleased(long offset, VmState vm, VmReleased c) {
         if (!vm.pool().equals(c.from())) {
             return Verdicts.wrongPhase("VM " + vm.id() + " is in pool " + vm.pool());
         }
-        Optional<PoolId> to = mTable.pool(c.to()).map(PoolState::id);
+        Optional<PoolId> to = mIndex.pool(c.to()).map(PoolState::id);
         if (to.isEmpty()) {
             return Verdicts.unknown(ObjectKey.of(c.to()));
         }
-        boolean first =
+        boolean starts =
                 (vm.phase() == VmPhase.SERVING || vm.phase() == VmPhase.OFF)
                         && !c.to().equals(c.from());
-        boolean again = vm.joining().isPresent() && !vm.joining().equals(to);
-        if (vm.pending().isPresent() || !(first || again)) {
+        boolean redirects = vm.joining().isPresent() && !vm.joining().equals(to);
+        if (vm.pending().isPresent() || !(starts || redirects)) {
             return Verdicts.wrongPhase(vm, "release to pool " + c.to());
         }
-        Optional<Verdict> over = overBudget(vm, VmPhase.RELEASING);
+        Optional<Verdict> over = checkBudget(vm, VmPhase.RELEASING);
         if (over.isPresent()) {
             return over.get();
         }
-        mTable.put(vm.movingTo(to, VmPhase.RELEASING, at));
+        mIndex.put(vm.withJoining(to, VmPhase.RELEASING, offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict joined(long at, VmState vm, VmJoined c) {
+    private Verdict applyJoined(long offset, VmState vm, VmJoined c) {
         if (!vm.joining().equals(Optional.of(c.to()))) {
             return Verdicts.wrongPhase(vm, "joining pool " + c.to());
         }
-        mTable.put(vm.joined(at));
+        mIndex.put(vm.afterJoin(offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict observed(long at, VmState vm, VmObserved c) {
+    private Verdict applyObserved(long offset, VmState vm, VmObserved c) {
         if (c.generation() != vm.generation()) {
             return staleGeneration(vm, c.generation(), vm.generation());
         }
         Optional<VmPhase> next = c.health().observedIn(vm.phase());
         if (next.isEmpty() || vm.pending().isPresent() || vm.joining().isPresent()) {
-            return Verdicts.wrongPhase(vm, "seen " + c.health());
+            return Verdicts.wrongPhase(vm, "observation " + c.health());
         }
-        mTable.put(vm.in(next.get(), at));
+        mIndex.put(vm.withPhase(next.get(), offset));
         return Verdict.APPLIED;
     }
 
-    /** A paused or cancelled wave starts no further step, in the order of the log. */
-    private Optional<Verdict> heldByWave(VmState vm, WaveId id) {
+    /** Rejects a step of a wave that is not running or does not cover the VM. */
+    private Optional<Verdict> checkWave(VmState vm, WaveId id) {
         Optional<WaveState> wave = mWaves.wave(id);
         if (wave.isEmpty()) {
             return Optional.of(Verdicts.unknown(ObjectKey.of(id)));
@@ -152,19 +152,19 @@
     }
 
     /**
-     * Guards the availability budget: two controllers that each see one VM to spare would both stop
-     * one. Each stop is taken off the serving instances at its own offset, so the second one finds
-     * none to spare, whoever wrote it and whenever it is carried out.
+     * Guards against two controllers that both see the same spare VM and stop one each. A stop
+     * reduces the serving instances at its own offset, so the second stop exceeds the budget,
+     * whoever wrote it and whenever it is executed.
      */
-    private Optional<Verdict> overBudget(VmState vm, VmPhase next) {
+    private Optional<Verdict> checkBudget(VmState vm, VmPhase next) {
         if (vm.phase() != VmPhase.SERVING || next == VmPhase.SERVING) {
             return Optional.empty();
         }
-        int missing = mTable.missingAfterStop(vm);
+        int missing = mIndex.missingAfterStop(vm);
         if (missing == 0) {
             return Optional.empty();
         }
-        String service = mTable.serviceOf(vm.pool()).orElseThrow().value();
+        String service = mIndex.serviceOf(vm.pool()).orElseThrow().value();
         return Optional.of(
                 Verdict.refused(
                         VoidReason.OVER_BUDGET,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/WaveFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/WaveFold.java
@@ -22,7 +22,7 @@
 
 /** Folds changes of maintenance waves. */
 public final class WaveFold {
-    /** Ended waves that are remembered, so that memory is bounded. */
+    /** Maximum number of ended waves that are retained. */
     private static final int MAX_ENDED = 200;
 
     private final Map<WaveId, WaveState> mWaves = new LinkedHashMap<>();
@@ -36,9 +36,9 @@
         return Collections.unmodifiableCollection(mWaves.values());
     }
 
-    public Verdict apply(long at, WaveChange change) {
+    public Verdict apply(long offset, WaveChange change) {
         if (change instanceof WaveStarted c) {
-            return started(at, c);
+            return applyStarted(offset, c);
         }
         WaveState w = mWaves.get(change.wave());
         if (w == null) {
@@ -48,14 +48,14 @@
             return Verdicts.wrongPhase("wave " + w.id() + " is " + w.phase());
         }
         if (change instanceof WaveControlled c) {
-            return controlled(at, w, c);
+            return applyControlled(offset, w, c);
         } else if (change instanceof WaveFinished c) {
-            return finished(at, w, c);
+            return applyFinished(offset, w, c);
         }
-        throw new IllegalStateException("no fold for " + change);
+        throw new IllegalStateException("unsupported change: " + change);
     }
 
-    private Verdict started(long at, WaveStarted c) {
+    private Verdict applyStarted(long offset, WaveStarted c) {
         if (mWaves.containsKey(c.wave())) {
             return Verdicts.exists(ObjectKey.of(c.wave()));
         }
@@ -71,21 +71,21 @@
                         none,
                         WavePhase.RUNNING,
                         c.author(),
-                        at,
-                        at));
+                        offset,
+                        offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict controlled(long at, WaveState w, WaveControlled c) {
-        Optional<WavePhase> next = c.order().givenIn(w.phase());
+    private Verdict applyControlled(long offset, WaveState w, WaveControlled c) {
+        Optional<WavePhase> next = c.order().nextPhase(w.phase());
         if (next.isEmpty()) {
             return Verdicts.wrongPhase(c.order() + ": wave " + w.id() + " is " + w.phase());
         }
-        put(with(w, w.finished(), next.get(), c.author(), at));
+        put(with(w, w.finished(), next.get(), c.author(), offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict finished(long at, WaveState w, WaveFinished c) {
+    private Verdict applyFinished(long offset, WaveState w, WaveFinished c) {
         if (!w.zones().contains(c.zone())) {
             return Verdicts.malformed("wave " + w.id() + " does not cover " + c.zone());
         }
@@ -95,7 +95,7 @@
         Set<ZoneId> done = new HashSet<>(w.finished());
         done.add(c.zone());
         WavePhase next = done.containsAll(w.zones()) ? WavePhase.FINISHED : w.phase();
-        put(with(w, Set.copyOf(done), next, w.lastOrder(), at));
+        put(with(w, Set.copyOf(done), next, w.lastOrder(), offset));
         return Verdict.APPLIED;
     }
 
@@ -110,8 +110,8 @@
     }
 
     private static WaveState with(
-            WaveState w, Set<ZoneId> finished, WavePhase phase, Author author, long at) {
+            WaveState w, Set<ZoneId> finished, WavePhase phase, Author author, long offset) {
         return new WaveState(
-                w.id(), w.zones(), w.pools(), finished, phase, author, w.started(), at);
+                w.id(), w.zones(), w.pools(), finished, phase, author, w.started(), offset);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/package-info.java
@@ -1,2 +1,4 @@
-/** How the agreed state is folded: indexes, budgets and the checks of each kind of change. */
+/**
+ * Folding of log records into the fleet state: indexes, budgets and checks of each kind of change.
+ */
 package org.foxtailplank.internal.state;
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ActingEpoch.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ActingEpoch.java
@@ -3,9 +3,9 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * The right of a controller to act for a shard.
+ * Epoch under which a controller acts for a shard.
  *
- * @param shard availability zone acted for
- * @param number epoch number; each taking adds one
+ * @param shard availability zone that the controller acts for
+ * @param number epoch number; incremented whenever a controller takes the epoch
  */
 public record ActingEpoch(ZoneId shard, long number) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ActionOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ActionOutcome.java
@@ -2,10 +2,10 @@
 
 /** How an action on a VM ended. */
 public enum ActionOutcome {
-    /** It took effect. */
+    /** The action took effect. */
     DONE,
-    /** It failed; the VM is not serving. */
+    /** The action failed; the VM is not serving. */
     FAILED,
-    /** It was never asked for and never will be. */
+    /** The action was never executed and never will be. */
     WITHDRAWN
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Author.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Author.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.state;
 
 /**
- * Who asked for a change and why.
+ * The originator of a change and the reason for it.
  *
  * @param who operator or controller
- * @param why reason in words
+ * @param why reason, as free text
  */
 public record Author(String who, String why) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Basis.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Basis.java
@@ -1,7 +1,7 @@
 package org.foxtailplank.state;
 
 /**
- * The part of the log that a writer had folded when it made a record.
+ * The part of the log that a writer had folded when it created a record.
  *
  * @param offset offset of the next record
  * @param digest digest of the records before it
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Change.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Change.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** What one record on the log changes. */
+/** A state change that one log record describes. */
 public sealed interface Change
         permits ConfigurationChange,
                 EpochTaken,
@@ -13,10 +13,10 @@
                 JobChange,
                 StateRestored,
                 NotUnderstood {
-    /** The objects that it changes. */
+    /** Returns the objects that the change modifies. */
     Set<ObjectKey> touches();
 
-    /** Objects besides those that decide whether it may take effect. */
+    /** Returns further objects that decide whether the change takes effect. */
     default Set<ObjectKey> reads() {
         return Set.of();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
@@ -5,12 +5,12 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * A JSON merge patch of the configuration in force; the usual, small way to publish.
+ * A JSON merge patch for the configuration in force; keeps the records of small changes small.
  *
  * @param basePatch merge patch of the base
  * @param overlayPatches merge patch of each changed overlay
- * @param shapePatch entries of the shape that are new or different
- * @param author who and why
+ * @param shapePatch new and changed entries of the fleet shape
+ * @param author who made the change, and why
  */
 public record ConfigurationChanged(
         String basePatch, Map<ZoneId, String> overlayPatches, FleetShape shapePatch, Author author)
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
@@ -5,12 +5,12 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * A whole configuration is published.
+ * Publication of a complete configuration.
  *
  * @param base base file, JSON with comments
  * @param overlays overlay of each site
- * @param shape what the fold needs to know of it
- * @param author who and why
+ * @param shape part of the configuration that the fold uses
+ * @param author who published it, and why
  */
 public record ConfigurationPublished(
         String base, Map<ZoneId, String> overlays, FleetShape shape, Author author)
--- a/foxtail-core/src/main/java/org/foxtailplank/state/EpochState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/EpochState.java
@@ -5,11 +5,11 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * Who may act for a shard.
+ * Current epoch of a shard and its holder.
  *
  * @param shard availability zone
- * @param number current epoch, 0 for none yet
- * @param holder node that holds it
- * @param version offset at which it was taken
+ * @param number number of the current epoch; 0 before the first one
+ * @param holder node that holds the epoch
+ * @param version offset at which the epoch was taken
  */
 public record EpochState(ZoneId shard, long number, Optional<NodeId> holder, long version) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/EpochTaken.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/EpochTaken.java
@@ -5,11 +5,11 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * A controller takes the right to act for a shard.
+ * A controller takes the epoch of a shard.
  *
  * @param shard availability zone
- * @param replaces epoch number that it replaces; the first such record wins
- * @param holder node that takes it
+ * @param replaces epoch number that is replaced; the first record that names it wins
+ * @param holder node that takes the epoch
  */
 public record EpochTaken(ZoneId shard, long replaces, NodeId holder) implements Change {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetShape.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetShape.java
@@ -6,10 +6,10 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * The part of a configuration that the fold itself works with.
+ * The part of a configuration that the fold uses.
  *
- * @param vms place of each VM
- * @param pools shape of each pool
+ * @param vms location of each VM
+ * @param pools definition of each pool
  * @param minAvailable availability budget of each service: instances that must be serving
  */
 public record FleetShape(
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
@@ -11,14 +11,14 @@
  * The whole state at one offset.
  *
  * @param nextOffset offset of the next record
- * @param window newest ids and digests, so that duplicates are still found
+ * @param window ids and digests of the newest records, for the duplicate check
  * @param configuration configuration in force
- * @param shapes pools as the configuration states them
+ * @param shapes pools as configured
  * @param minAvailable availability budget of each service
  * @param pools pools
  * @param vms VMs
- * @param waves waves, those that ended first in front
- * @param jobs jobs, those that ended first in front
+ * @param waves waves by version, so that ended ones keep their eviction order
+ * @param jobs jobs by version, so that ended ones keep their eviction order
  * @param epochs epochs of the shards
  * @param quotas quotas set through the log
  */
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
@@ -17,37 +17,37 @@
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.internal.state.ConfigurationFold;
+import org.foxtailplank.internal.state.FleetIndex;
 import org.foxtailplank.internal.state.FrozenObjects;
 import org.foxtailplank.internal.state.JobFold;
 import org.foxtailplank.internal.state.RecordWindow;
 import org.foxtailplank.internal.state.Verdicts;
 import org.foxtailplank.internal.state.VmFold;
-import org.foxtailplank.internal.state.VmTable;
 import org.foxtailplank.internal.state.WaveFold;
 
-/** The whole state, folded from records in the order of their offsets. */
+/** The fleet state, folded from log records in offset order. */
 public final class FleetState implements FleetView {
-    private final VmTable mTable = new VmTable();
+    private final FleetIndex mIndex = new FleetIndex();
     private final WaveFold mWaves = new WaveFold();
-    private final VmFold mVms = new VmFold(mTable, mWaves);
-    private final JobFold mJobs = new JobFold(mTable);
-    private final ConfigurationFold mConfiguration = new ConfigurationFold(mTable);
-    private final FrozenObjects mFrozen = new FrozenObjects(mTable);
+    private final VmFold mVms = new VmFold(mIndex, mWaves);
+    private final JobFold mJobs = new JobFold(mIndex);
+    private final ConfigurationFold mConfiguration = new ConfigurationFold(mIndex);
+    private final FrozenObjects mFrozen = new FrozenObjects(mIndex);
     private final Map<ZoneId, EpochState> mEpochs = new HashMap<>();
     private final Map<TeamId, TeamQuota> mQuotas = new HashMap<>();
     private RecordWindow mWindow = RecordWindow.empty();
     private long mNext = 1;
 
-    /** The state at a snapshot. */
+    /** Returns the state that a snapshot describes. */
     public static FleetState of(FleetSnapshot s) {
         FleetState state = new FleetState();
         state.mNext = s.nextOffset();
         state.mWindow = RecordWindow.of(s.window());
         s.configuration().ifPresent(state.mConfiguration::restore);
         s.shapes().forEach(state.mConfiguration::restore);
-        s.minAvailable().forEach(state.mTable::setMinAvailable);
-        s.pools().forEach(state.mTable::put);
-        s.vms().forEach(state.mTable::put);
+        s.minAvailable().forEach(state.mIndex::setMinAvailable);
+        s.pools().forEach(state.mIndex::put);
+        s.vms().forEach(state.mIndex::put);
         s.waves().forEach(state.mWaves::put);
         s.jobs().forEach(state.mJobs::restore);
         s.epochs().forEach(e -> state.mEpochs.put(e.shard(), e));
@@ -55,7 +55,10 @@
         return state;
     }
 
-    /** A snapshot of the state; empty while anything is frozen, since others know it better. */
+    /**
+     * Returns a snapshot of the state; empty while any object is frozen, because this state is then
+     * incomplete.
+     */
     public Optional<FleetSnapshot> snapshot() {
         if (!mFrozen.keys().isEmpty()) {
             return Optional.empty();
@@ -66,9 +69,9 @@
                         mWindow.contents(),
                         configuration(),
                         mConfiguration.shapes(),
-                        mTable.minAvailable(),
-                        List.copyOf(mTable.pools()),
-                        List.copyOf(mTable.vms()),
+                        mIndex.minAvailable(),
+                        List.copyOf(mIndex.pools()),
+                        List.copyOf(mIndex.vms()),
                         sorted(mWaves.waves(), WaveState::version),
                         sorted(mJobs.jobs(), JobState::version),
                         List.copyOf(mEpochs.values()),
@@ -79,23 +82,28 @@
         return values.stream().sorted(Comparator.comparingLong(version)).toList();
     }
 
-    /** What a record made now is based on. */
+    /** Returns the basis for a record that is created now. */
     public Basis basis() {
         return new Basis(mNext, mWindow.digest(mNext));
     }
 
-    /** Whether the last record folded may be the one of this id. */
+    /** Returns whether the last folded record may have this id. */
     public boolean endsWith(RecordId id) {
         return mayHold(id, mNext - 1);
     }
 
-    /** Whether a record with this id may stand at an offset; false for one that is too old. */
+    /**
+     * Returns whether the record at an offset may have this id; false if the offset has left the
+     * window.
+     */
     public boolean mayHold(RecordId id, long offset) {
         boolean known = offset >= 1 && offset < mNext && mNext < offset + RecordWindow.SIZE;
-        return known && mWindow.mayHold(id, offset);
+        return known && mWindow.mayContain(id, offset);
     }
 
-    /** Whether a state that goes further leads on from this one, as far as can be told. */
+    /**
+     * Returns whether a newer state may extend this one; true if the window is too short to tell.
+     */
     public boolean leadsTo(FleetSnapshot further) {
         RecordWindow w = RecordWindow.of(further.window());
         boolean known = further.nextOffset() < mNext + RecordWindow.SIZE;
@@ -105,71 +113,75 @@
     /**
      * Folds the next record.
      *
-     * @throws IllegalStateException if a record is left out or comes twice: a broken invariant
+     * @throws IllegalStateException if the offset is not the next one
      */
     public Verdict apply(long offset, LogRecord record) {
         expectNext(offset);
-        boolean sameHistory = isOfThisHistory(record.basis());
+        boolean sameHistory = matchesHistory(record.basis());
         boolean isNew = mWindow.add(record.id(), offset);
         mNext++;
         if (!isNew) {
             return Verdict.refused(VoidReason.DUPLICATE_ID, record.id().value());
         }
         if (!RecordWindow.covers(record.basis(), offset)) {
-            return Verdict.refused(VoidReason.TOO_LATE, "made at " + record.basis().offset());
+            return Verdict.refused(
+                    VoidReason.TOO_LATE, "basis is too old: offset " + record.basis().offset());
         }
         if (!sameHistory) {
-            return Verdict.refused(VoidReason.OTHER_HISTORY, "made at " + record.basis().offset());
+            return Verdict.refused(
+                    VoidReason.OTHER_HISTORY,
+                    "basis has another digest at offset " + record.basis().offset());
         }
-        Optional<Verdict> stale = stale(record);
+        Optional<Verdict> stale = checkStale(record);
         if (stale.isPresent()) {
             return stale.get();
         }
-        Optional<ObjectKey> obstacle = mFrozen.obstacle(record);
+        Optional<ObjectKey> obstacle = mFrozen.blockingKey(record);
         if (obstacle.isPresent() || record.change() instanceof NotUnderstood) {
             mFrozen.freeze(record.change().touches());
             return Verdict.refused(
                     VoidReason.NOT_UNDERSTOOD,
-                    obstacle.map(k -> Verdicts.text(k) + " is frozen").orElse("newer kind"));
+                    obstacle.map(k -> Verdicts.text(k) + " is frozen")
+                            .orElse("unknown kind of change"));
         }
-        return change(offset, record);
+        return applyChange(offset, record);
     }
 
-    /** Passes over an entry of the log that is no record; it is void for every reader alike. */
+    /** Skips a log entry that is not a record; it is void for every reader alike. */
     public Verdict skip(long offset, RecordId id) {
         expectNext(offset);
         mWindow.add(id, offset);
         mNext++;
-        return Verdicts.malformed("the entry is no record");
+        return Verdicts.malformed("the entry is not a record");
     }
 
     private void expectNext(long offset) {
         if (offset != mNext) {
-            throw new IllegalStateException("offset " + offset + " follows on " + (mNext - 1));
+            throw new IllegalStateException("offset " + offset + " does not follow " + (mNext - 1));
         }
     }
 
-    /** Whether a basis that is not too old stands for the records folded here. */
-    public boolean isOfThisHistory(Basis basis) {
+    /** Returns whether a basis is within the window and matches the records folded here. */
+    public boolean matchesHistory(Basis basis) {
         boolean known = basis.offset() <= mNext && RecordWindow.covers(basis, mNext);
         return known && mWindow.digest(basis.offset()) == basis.digest();
     }
 
-    /** Whether a basis that is not too old stands for other records than those folded here. */
+    /** Returns whether a basis is within the window and does not match the records folded here. */
     public boolean contradicts(Basis basis) {
-        return RecordWindow.covers(basis, mNext) && !isOfThisHistory(basis);
+        return RecordWindow.covers(basis, mNext) && !matchesHistory(basis);
     }
 
-    private Optional<Verdict> stale(LogRecord r) {
-        Optional<Verdict> epoch = r.epoch().flatMap(e -> staleEpoch(r, e));
-        return epoch.isPresent() ? epoch : staleVersion(r);
+    private Optional<Verdict> checkStale(LogRecord r) {
+        Optional<Verdict> epoch = r.epoch().flatMap(e -> checkEpoch(r, e));
+        return epoch.isPresent() ? epoch : checkVersions(r);
     }
 
     /**
-     * Guards against a controller that was paused and goes on: another one has taken the shard
-     * meanwhile, and acts of both would overlap. Its records carry the epoch it knew and are void.
+     * Guards against a paused controller that resumes after another one took its shard: both would
+     * act on it. The records of the first one carry an old epoch and are void.
      */
-    private Optional<Verdict> staleEpoch(LogRecord r, ActingEpoch epoch) {
+    private Optional<Verdict> checkEpoch(LogRecord r, ActingEpoch epoch) {
         if (mFrozen.contains(ObjectKey.of(epoch.shard()))) {
             return Optional.empty();
         }
@@ -189,19 +201,20 @@
         Optional<ZoneId> zone = zoneOf(r.change());
         if (zone.isPresent() && !zone.get().equals(epoch.shard())) {
             return Optional.of(
-                    Verdicts.malformed("epoch of " + epoch.shard() + " used in " + zone.get()));
+                    Verdicts.malformed(
+                            "epoch of " + epoch.shard() + " used for a change in " + zone.get()));
         }
         return Optional.empty();
     }
 
     private Optional<ZoneId> zoneOf(Change c) {
         if (c instanceof VmChange v) {
-            return mTable.vm(v.vm()).map(VmState::zone);
+            return mIndex.vm(v.vm()).map(VmState::zone);
         }
         return c instanceof WaveFinished w ? Optional.of(w.zone()) : Optional.empty();
     }
 
-    private Optional<Verdict> staleVersion(LogRecord r) {
+    private Optional<Verdict> checkVersions(LogRecord r) {
         for (Map.Entry<ObjectKey, Long> e : r.expects().entrySet()) {
             long found = version(e.getKey());
             if (found != e.getValue() && !mFrozen.contains(e.getKey())) {
@@ -216,31 +229,31 @@
         return Optional.empty();
     }
 
-    private Verdict change(long at, LogRecord r) {
+    private Verdict applyChange(long offset, LogRecord r) {
         Change change = r.change();
         if (change instanceof VmChange c) {
-            return mVms.apply(at, c);
+            return mVms.apply(offset, c);
         } else if (change instanceof JobChange c) {
-            return mJobs.apply(at, c);
+            return mJobs.apply(offset, c);
         } else if (change instanceof WaveChange c) {
-            return mWaves.apply(at, c);
+            return mWaves.apply(offset, c);
         } else if (change instanceof EpochTaken c) {
-            return taken(at, c);
+            return applyEpochTaken(offset, c);
         } else if (change instanceof PoolTargetChanged c) {
-            return targeted(at, c);
+            return applyPoolTarget(offset, c);
         } else if (change instanceof TeamQuotaChanged c) {
-            mQuotas.put(c.team(), new TeamQuota(c.quota(), at));
+            mQuotas.put(c.team(), new TeamQuota(c.quota(), offset));
             return Verdict.APPLIED;
         } else if (change instanceof ConfigurationChange c) {
-            // Without the version it was made from, a late publish would undo a newer one.
+            // Without an expected version, a delayed publication would overwrite a newer one.
             return r.expects().containsKey(ObjectKey.configuration())
-                    ? mConfiguration.apply(at, c)
-                    : Verdicts.malformed("it does not name the version it was made from");
+                    ? mConfiguration.apply(offset, c)
+                    : Verdicts.malformed("a configuration change must expect a version");
         }
-        return Verdicts.malformed(change + " is not to be folded");
+        return Verdicts.malformed(change + " can't be folded");
     }
 
-    private Verdict taken(long at, EpochTaken c) {
+    private Verdict applyEpochTaken(long offset, EpochTaken c) {
         EpochState now = epoch(c.shard());
         if (now.number() != c.replaces()) {
             return Verdict.refused(
@@ -248,19 +261,19 @@
         }
         mEpochs.put(
                 c.shard(),
-                new EpochState(c.shard(), now.number() + 1, Optional.of(c.holder()), at));
+                new EpochState(c.shard(), now.number() + 1, Optional.of(c.holder()), offset));
         return Verdict.APPLIED;
     }
 
-    private Verdict targeted(long at, PoolTargetChanged c) {
-        Optional<PoolState> pool = mTable.pool(c.pool());
+    private Verdict applyPoolTarget(long offset, PoolTargetChanged c) {
+        Optional<PoolState> pool = mIndex.pool(c.pool());
         if (pool.isEmpty()) {
             return Verdicts.unknown(ObjectKey.of(c.pool()));
         }
         if (c.target() < 0 || c.reserve() < 0) {
             return Verdicts.malformed("the target of pool " + c.pool() + " is below 0");
         }
-        mTable.put(new PoolState(c.pool(), pool.get().service(), c.target(), c.reserve(), at));
+        mIndex.put(new PoolState(c.pool(), pool.get().service(), c.target(), c.reserve(), offset));
         return Verdict.APPLIED;
     }
 
@@ -276,27 +289,27 @@
 
     @Override
     public Optional<VmState> vm(VmId id) {
-        return mTable.vm(id);
+        return mIndex.vm(id);
     }
 
     @Override
     public Collection<VmState> vms() {
-        return mTable.vms();
+        return mIndex.vms();
     }
 
     @Override
     public Collection<VmState> vmsOf(PoolId pool) {
-        return mTable.vmsOf(pool);
+        return mIndex.vmsOf(pool);
     }
 
     @Override
     public Optional<PoolState> pool(PoolId id) {
-        return mTable.pool(id);
+        return mIndex.pool(id);
     }
 
     @Override
     public Collection<PoolState> pools() {
-        return mTable.pools();
+        return mIndex.pools();
     }
 
     @Override
@@ -338,7 +351,7 @@
 
     @Override
     public int minAvailable(ServiceId service) {
-        return mTable.minAvailable(service);
+        return mIndex.minAvailable(service);
     }
 
     @Override
@@ -347,8 +360,8 @@
         return switch (key.kind()) {
             case CONFIGURATION -> mConfiguration.version();
             case SHARD -> epoch(ZoneId.of(n)).version();
-            case VM -> mTable.vm(VmId.of(n)).map(VmState::version).orElse(0L);
-            case POOL -> mTable.pool(PoolId.of(n)).map(PoolState::version).orElse(0L);
+            case VM -> mIndex.vm(VmId.of(n)).map(VmState::version).orElse(0L);
+            case POOL -> mIndex.pool(PoolId.of(n)).map(PoolState::version).orElse(0L);
             case TEAM ->
                     mQuotas.containsKey(TeamId.of(n)) ? mQuotas.get(TeamId.of(n)).version() : 0L;
             case WAVE -> mWaves.wave(WaveId.of(n)).map(WaveState::version).orElse(0L);
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetView.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetView.java
@@ -11,60 +11,61 @@
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
 
-/** Reads the state that was folded from the log; the state changes only between calls. */
+/** Read-only view of the state folded from the log; it does not change during a call. */
 public interface FleetView {
 
-    /** Offset of the next record to be applied. */
+    /** Returns the offset of the next record to be folded. */
     long nextOffset();
 
-    /** The configuration in force, if one was ever published. */
+    /** Returns the configuration in force; empty before the first publication. */
     Optional<Configuration> configuration();
 
-    /** One VM. */
+    /** Returns the VM with this id; empty for an unknown one. */
     Optional<VmState> vm(VmId id);
 
-    /** All VMs. */
+    /** Returns all VMs. */
     Collection<VmState> vms();
 
-    /** The VMs of one pool. */
+    /** Returns the VMs of a pool. */
     Collection<VmState> vmsOf(PoolId pool);
 
-    /** One pool. */
+    /** Returns the pool with this id; empty for an unknown one. */
     Optional<PoolState> pool(PoolId id);
 
-    /** All pools. */
+    /** Returns all pools. */
     Collection<PoolState> pools();
 
-    /** One wave. */
+    /** Returns the wave with this id; empty for an unknown one. */
     Optional<WaveState> wave(WaveId id);
 
-    /** All waves. */
+    /** Returns all waves that are retained. */
     Collection<WaveState> waves();
 
-    /** One job. */
+    /** Returns the job with this id; empty for an unknown one. */
     Optional<JobState> job(JobId id);
 
-    /** All jobs that are known. */
+    /** Returns all jobs that are retained. */
     Collection<JobState> jobs();
 
-    /** Who may act for a shard. */
+    /** Returns the current epoch of a shard. */
     EpochState epoch(ZoneId shard);
 
-    /** Quota of a team, where one was set through the log. */
+    /** Returns the quota of a team; empty if none was set through the log. */
     default OptionalDouble teamQuota(TeamId team) {
         return OptionalDouble.empty();
     }
 
     /**
-     * Whether a change that this program does not understand touched an object; don't act on it.
+     * Returns whether a change of an unknown kind touched an object. Callers must not act on a
+     * frozen object.
      */
     default boolean isFrozen(ObjectKey key) {
         return false;
     }
 
-    /** Instances of a service that must be serving; 0 for an unknown service. */
+    /** Returns the instances of a service that must be serving; 0 for an unknown service. */
     int minAvailable(ServiceId service);
 
-    /** Offset of the last change of an object; 0 for one that does not exist. */
+    /** Returns the offset of the last change of an object; 0 for one that does not exist. */
     long version(ObjectKey key);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobCancelled.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobCancelled.java
@@ -4,10 +4,10 @@
 import org.foxtailplank.id.JobId;
 
 /**
- * A job is cancelled.
+ * Cancellation of a job.
  *
  * @param job the job
- * @param author who and why
+ * @param author who cancelled it, and why
  */
 public record JobCancelled(JobId job, Author author) implements JobChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobSpec.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobSpec.java
@@ -5,11 +5,11 @@
 import org.foxtailplank.request.RequestClass;
 
 /**
- * What a job asks for.
+ * Resource requirements of a job.
  *
- * @param team team that pays for it
- * @param pool pool it runs in
- * @param urgency how urgent it is
+ * @param team team whose quota the job uses
+ * @param pool pool that runs the job
+ * @param urgency urgency class
  * @param processors processor cores of one task
  * @param memoryBytes memory of one task
  * @param accelerators accelerators of one task
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobState.java
@@ -7,9 +7,9 @@
  * A job as folded from the log.
  *
  * @param id the job
- * @param spec what it asks for
+ * @param spec resource requirements
  * @param cancelled whether it was cancelled
- * @param tasks tasks that were placed, by index
+ * @param tasks tasks that were ever placed, by index
  * @param version offset of its last change
  */
 public record JobState(
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobSubmitted.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobSubmitted.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.JobId;
 
 /**
- * A job is submitted.
+ * Submission of a job.
  *
  * @param job the job
- * @param spec what it asks for
- * @param author who and why
+ * @param spec resource requirements
+ * @param author who submitted it, and why
  */
 public record JobSubmitted(JobId job, JobSpec spec, Author author) implements JobChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/LogRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/LogRecord.java
@@ -6,16 +6,16 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * One record on the log.
+ * One record of the log.
  *
- * @param id id of the record; a later record with the same id is void
+ * @param id unique id; a later record with the same id is void
  * @param writer node that wrote it
  * @param epoch epoch under which a controller wrote it; empty for operators
  * @param expects version (offset of the last change) that each named object must have; 0 for one
  *     that must not exist
- * @param change what it changes
- * @param basis what its writer had folded when it made the record; ids are remembered long enough
- *     only for records that are not much older
+ * @param change the state change
+ * @param basis part of the log that the writer had folded; a record whose basis is too old for the
+ *     duplicate check is void
  */
 public record LogRecord(
         RecordId id,
@@ -29,7 +29,7 @@
         expects = Map.copyOf(expects);
     }
 
-    /** Names a change whose basis is yet to be set. */
+    /** Creates a record without a basis. */
     public LogRecord(
             RecordId id,
             NodeId writer,
@@ -39,7 +39,7 @@
         this(id, writer, epoch, expects, change, Basis.NONE);
     }
 
-    /** The same record, made by a writer that had folded some other part of the log. */
+    /** Returns a copy of this record with another basis. */
     public LogRecord basedOn(Basis other) {
         return new LogRecord(id, writer, epoch, expects, change, other);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/NotUnderstood.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/NotUnderstood.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 
 /**
- * A change whose kind is newer than this program; the objects that it touches are frozen here.
+ * A change of a kind that this program version does not know; freezes the objects that it touches.
  *
- * @param touches objects that its envelope names, as far as their kinds are known
+ * @param touches objects of known kinds that the record's envelope names
  */
 public record NotUnderstood(Set<ObjectKey> touches) implements Change {
     public NotUnderstood {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ObjectKey.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ObjectKey.java
@@ -9,47 +9,47 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * Names an object that has a version.
+ * Key of a versioned object.
  *
  * @param kind kind of the object
  * @param name name within the kind
  */
 public record ObjectKey(ObjectKind kind, String name) {
-    /** By kind, then by name. */
+    /** Orders keys by kind, then by name. */
     public static final Comparator<ObjectKey> ORDER =
             Comparator.comparing(ObjectKey::kind).thenComparing(ObjectKey::name);
 
-    /** The one configuration. */
+    /** Returns the key of the configuration. */
     public static ObjectKey configuration() {
         return new ObjectKey(ObjectKind.CONFIGURATION, "configuration");
     }
 
-    /** The right to act in an availability zone. */
+    /** Returns the key of a shard's epoch. */
     public static ObjectKey of(ZoneId shard) {
         return new ObjectKey(ObjectKind.SHARD, shard.value());
     }
 
-    /** A VM. */
+    /** Returns the key of a VM. */
     public static ObjectKey of(VmId vm) {
         return new ObjectKey(ObjectKind.VM, vm.value());
     }
 
-    /** A pool. */
+    /** Returns the key of a pool. */
     public static ObjectKey of(PoolId pool) {
         return new ObjectKey(ObjectKind.POOL, pool.value());
     }
 
-    /** A team. */
+    /** Returns the key of a team. */
     public static ObjectKey of(TeamId team) {
         return new ObjectKey(ObjectKind.TEAM, team.value());
     }
 
-    /** A maintenance wave. */
+    /** Returns the key of a maintenance wave. */
     public static ObjectKey of(WaveId wave) {
         return new ObjectKey(ObjectKind.WAVE, wave.value());
     }
 
-    /** A job. */
+    /** Returns the key of a job. */
     public static ObjectKey of(JobId job) {
         return new ObjectKey(ObjectKind.JOB, job.value());
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ObjectKind.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ObjectKind.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Kinds of objects that have versions. */
+/** Kinds of versioned objects. */
 public enum ObjectKind {
-    /** The one configuration. */
+    /** The configuration; a singleton. */
     CONFIGURATION(1),
-    /** The right to act in an availability zone. */
+    /** The epoch of an availability zone. */
     SHARD(2),
     /** A VM and its pool. */
     VM(3),
@@ -26,12 +26,15 @@
         mNumber = number;
     }
 
-    /** The kind that records name by a number; empty for one newer than this program. */
+    /**
+     * Returns the kind with this record number; empty for a kind that this program version does not
+     * know.
+     */
     public static Optional<ObjectKind> of(int number) {
         return Arrays.stream(values()).filter(k -> k.mNumber == number).findFirst();
     }
 
-    /** Number that names the kind in records; never given to another kind. */
+    /** Returns the number that identifies the kind in records; numbers are never reused. */
     public int number() {
         return mNumber;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/PoolShape.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/PoolShape.java
@@ -4,7 +4,7 @@
 import org.foxtailplank.id.ServiceId;
 
 /**
- * A pool as the configuration states it.
+ * A pool as configured.
  *
  * @param service service that its VMs run
  * @param target VMs powered on for the declared jobs
--- a/foxtail-core/src/main/java/org/foxtailplank/state/PoolState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/PoolState.java
@@ -8,9 +8,9 @@
  * A pool as folded from the log.
  *
  * @param id the pool
- * @param service service its VMs run
+ * @param service service that its VMs run
  * @param target VMs powered on for the declared jobs
- * @param reserve VMs powered on beyond that
+ * @param reserve VMs powered on beyond the target
  * @param version offset of its last change
  */
 public record PoolState(
--- a/foxtail-core/src/main/java/org/foxtailplank/state/PoolTargetChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/PoolTargetChanged.java
@@ -4,12 +4,12 @@
 import org.foxtailplank.id.PoolId;
 
 /**
- * The target or the reserve of a pool changes.
+ * Change of a pool's target and reserve.
  *
  * @param pool the pool
  * @param target VMs powered on for the declared jobs
- * @param reserve VMs powered on beyond that
- * @param author who and why
+ * @param reserve VMs powered on beyond the target
+ * @param author who made the change, and why
  */
 public record PoolTargetChanged(PoolId pool, int target, int reserve, Author author)
         implements Change {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
@@ -11,31 +11,32 @@
 import org.foxtailplank.internal.state.MergePatch;
 
 /**
- * A configuration that is to be published.
+ * A configuration to publish.
  *
  * @param base base file
  * @param overlays overlay of each site
- * @param shape what the fold needs to know of it
- * @param author who and why
+ * @param shape part of the configuration that the fold uses
+ * @param author who publishes it, and why
  */
 public record Publication(
         String base, Map<ZoneId, String> overlays, FleetShape shape, Author author) {
     /**
-     * Length up to which a configuration is published as a whole, with its comments. At 7,800
-     * changes a day each node then reads less than 1 KB a second of it.
+     * Longest configuration that is always published whole, with its comments. Larger ones are
+     * patched, which bounds the log traffic of frequent changes.
      */
-    static final int MAX_WHOLE = 8 * 1024;
+    static final int MAX_FULL_LENGTH = 8 * 1024;
 
     /**
-     * The smallest change that leads to it: a merge patch for a large configuration of which a part
-     * changes, else the whole. A patch leaves no comments in the text that is in force.
+     * Returns the change that publishes this configuration: a merge patch if it is large and a
+     * patch can express the change, else the whole configuration. A patch removes the comments from
+     * the text in force.
      *
-     * @param from version that the publication is made on; a patch against any other version would
-     *     mix the two, so then it is the whole
+     * @param from version that the publication is based on; if another one is in force, a patch
+     *     would mix the two, so the whole configuration is published
      */
     public ConfigurationChange on(FleetView view, long from) {
         return view.configuration()
-                .filter(c -> c.version() == from && length() > MAX_WHOLE)
+                .filter(c -> c.version() == from && length() > MAX_FULL_LENGTH)
                 .flatMap(c -> patch(view, c))
                 .orElseGet(() -> new ConfigurationPublished(base, overlays, shape, author));
     }
@@ -46,11 +47,11 @@
 
     private Optional<ConfigurationChange> patch(FleetView view, Configuration current) {
         Optional<FleetShape> shapePatch = shapePatch(view);
-        Optional<String> basePatch = between(current.base(), base);
+        Optional<String> basePatch = diff(current.base(), base);
         Map<ZoneId, String> overlayPatches = new HashMap<>();
         for (Map.Entry<ZoneId, String> e : overlays.entrySet()) {
             String old = current.overlays().getOrDefault(e.getKey(), "{}");
-            Optional<String> p = between(old, e.getValue());
+            Optional<String> p = diff(old, e.getValue());
             if (p.isEmpty()) {
                 return Optional.empty();
             }
@@ -66,16 +67,18 @@
                         basePatch.get(), overlayPatches, shapePatch.get(), author));
     }
 
-    private static Optional<String> between(String from, String to) {
+    private static Optional<String> diff(String from, String to) {
         Optional<ObjectNode> old = MergePatch.parse(from);
         Optional<ObjectNode> next = MergePatch.parse(to);
         if (old.isEmpty() || next.isEmpty()) {
             return Optional.empty();
         }
-        return MergePatch.between(old.get(), next.get()).map(ObjectNode::toString);
+        return MergePatch.diff(old.get(), next.get()).map(ObjectNode::toString);
     }
 
-    /** What is new or different; empty where something goes, which only a whole one can say. */
+    /**
+     * Returns new and changed entries; empty if an entry is removed, which a patch can't express.
+     */
     private Optional<FleetShape> shapePatch(FleetView view) {
         boolean removed =
                 view.vms().stream().anyMatch(v -> !shape.vms().containsKey(v.id()))
@@ -84,19 +87,20 @@
             return Optional.empty();
         }
         Map<VmId, VmPlace> vms = new HashMap<>(shape.vms());
-        vms.entrySet().removeIf(e -> view.vm(e.getKey()).filter(v -> stands(v, e)).isPresent());
+        vms.entrySet().removeIf(e -> view.vm(e.getKey()).filter(v -> hasPlace(v, e)).isPresent());
         Map<PoolId, PoolShape> pools = new HashMap<>(shape.pools());
-        pools.entrySet().removeIf(e -> view.pool(e.getKey()).filter(p -> is(p, e)).isPresent());
+        pools.entrySet()
+                .removeIf(e -> view.pool(e.getKey()).filter(p -> hasShape(p, e)).isPresent());
         Map<ServiceId, Integer> min = new HashMap<>(shape.minAvailable());
         min.entrySet().removeIf(e -> view.minAvailable(e.getKey()) == e.getValue());
         return Optional.of(new FleetShape(vms, pools, min));
     }
 
-    private static boolean stands(VmState vm, Map.Entry<VmId, VmPlace> e) {
+    private static boolean hasPlace(VmState vm, Map.Entry<VmId, VmPlace> e) {
         return vm.zone().equals(e.getValue().zone()) && vm.rack().equals(e.getValue().rack());
     }
 
-    private static boolean is(PoolState p, Map.Entry<PoolId, PoolShape> e) {
+    private static boolean hasShape(PoolState p, Map.Entry<PoolId, PoolShape> e) {
         return new PoolShape(p.service(), p.target(), p.reserve()).equals(e.getValue());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/StatePosition.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/StatePosition.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * How far a process has followed the log; the greater of two knows more.
+ * Position of a process in the log; the greater of two is more recent.
  *
- * @param restorations times that a state was restored to the log
+ * @param restorations number of restorations so far
  * @param nextOffset offset of the next record
  * @param digest digest of the records before it
  */
 public record StatePosition(long restorations, long nextOffset, long digest)
         implements Comparable<StatePosition> {
-    /** Nothing is known. */
+    /** Position before the first record. */
     public static final StatePosition NOTHING = new StatePosition(0, 1, 0);
 
     private static final Comparator<StatePosition> ORDER =
--- a/foxtail-core/src/main/java/org/foxtailplank/state/StateRestored.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/StateRestored.java
@@ -3,13 +3,13 @@
 import java.util.Set;
 
 /**
- * The log came back without its newest records; it goes on from a state that a node still knew.
+ * The log lost its newest records and continues from a state that a node still had.
  *
- * <p>Records before it that the state does not hold are void. It is taken in by whoever follows the
- * log, before the fold, which only ever sees what comes after it.
+ * <p>Earlier records that the state does not include are void. Log followers process this record
+ * themselves; the fold sees only the records after it.
  *
- * @param replaces restorations before this one; the first record that names a number wins
- * @param nextOffset offset of the next record, as the restored state counts
+ * @param replaces number of earlier restorations; the first record that names it wins
+ * @param nextOffset offset of the next record in the restored state
  * @param digest digest of the records in the restored state
  * @param snapshot name of the stored snapshot of that state
  */
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TaskAction.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TaskAction.java
@@ -1,10 +1,10 @@
 package org.foxtailplank.state;
 
-/** What a worker is asked to do with a task. */
+/** Actions on a task that a worker executes. */
 public enum TaskAction {
     /** Start it under a lease. */
     START,
-    /** Write a checkpoint and free its place. */
+    /** Write a checkpoint and release the task's resources. */
     CHECKPOINT,
     /** Run it at reduced speed. */
     THROTTLE,
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TaskConfirmed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TaskConfirmed.java
@@ -5,13 +5,13 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * A worker has confirmed what became of a task.
+ * A worker has confirmed the outcome of a task or of an action on it.
  *
  * @param job the job
  * @param task index of the task
  * @param worker the worker
  * @param attempt attempt number
- * @param outcome what became of it
+ * @param outcome the outcome
  */
 public record TaskConfirmed(JobId job, int task, VmId worker, long attempt, TaskOutcome outcome)
         implements JobChange {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TaskIntended.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TaskIntended.java
@@ -5,7 +5,8 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * An action on a task is about to be asked of a worker; on the placement stream of its zone.
+ * An action on a task is about to be requested from a worker; written to the placement stream of
+ * the zone.
  *
  * @param job the job
  * @param task index of the task
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TaskOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TaskOutcome.java
@@ -2,18 +2,18 @@
 
 /** How a task or an action on it ended. */
 public enum TaskOutcome {
-    /** The worker runs it. */
+    /** The worker runs the task. */
     RUNNING,
-    /** It is done. */
+    /** The task completed. */
     SUCCEEDED,
-    /** The worker could not run it. */
+    /** The worker could not run the task. */
     FAILED,
-    /** Its lease lapsed. */
+    /** The lease expired. */
     LOST,
-    /** It was stopped or checkpointed. */
+    /** The task was stopped or checkpointed. */
     STOPPED;
 
-    /** Whether the attempt is over. */
+    /** Returns whether the attempt has ended. */
     public boolean isEnded() {
         return this != RUNNING;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TeamQuotaChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TeamQuotaChanged.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.TeamId;
 
 /**
- * The quota of a team changes.
+ * Change of a team's quota.
  *
  * @param team the team
  * @param quota share under contention
- * @param author who and why
+ * @param author who made the change, and why
  */
 public record TeamQuotaChanged(TeamId team, double quota, Author author) implements Change {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Verdict.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Verdict.java
@@ -1,16 +1,16 @@
 package org.foxtailplank.state;
 
-/** What the fold made of one record. */
+/** Result of folding one record. */
 public sealed interface Verdict {
-    /** The one verdict of records that took effect. */
+    /** Verdict of every record that took effect. */
     Verdict APPLIED = new Applied();
 
-    /** The verdict of a record that changed nothing. */
+    /** Returns the verdict of a void record. */
     static Verdict refused(VoidReason reason, String detail) {
         return new Void(reason, detail);
     }
 
-    /** Whether the record took effect. */
+    /** Returns whether the record took effect. */
     default boolean isApplied() {
         return this instanceof Applied;
     }
@@ -19,10 +19,10 @@
     record Applied() implements Verdict {}
 
     /**
-     * The record changed nothing, for every reader alike.
+     * The record is void: it changed nothing, for every reader alike.
      *
-     * @param reason why
-     * @param detail the object or the record that stood against it
+     * @param reason
+     * @param detail description of the conflict
      */
     record Void(VoidReason reason, String detail) implements Verdict {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmAction.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmAction.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 
-/** What the platform is asked to do with a VM. */
+/** Actions on a VM that the platform executes. */
 public enum VmAction {
     /** Power it on. */
     WAKE {
         @Override
-        public Optional<VmPhase> intendedIn(VmPhase phase) {
+        public Optional<VmPhase> pendingPhase(VmPhase phase) {
             return switch (phase) {
                 case OFF -> Optional.of(VmPhase.WAKING);
                 case BROKEN -> Optional.of(phase);
@@ -18,7 +18,7 @@
     /** Drain it, then power it off. */
     SLEEP {
         @Override
-        public Optional<VmPhase> intendedIn(VmPhase phase) {
+        public Optional<VmPhase> pendingPhase(VmPhase phase) {
             return switch (phase) {
                 case SERVING -> Optional.of(VmPhase.STOPPING);
                 case BROKEN -> Optional.of(phase);
@@ -27,14 +27,14 @@
         }
 
         @Override
-        public VmPhase done() {
+        public VmPhase phaseWhenDone() {
             return VmPhase.OFF;
         }
     },
     /** Drain it, then reboot it for maintenance; it serves afterwards. */
     REBOOT {
         @Override
-        public Optional<VmPhase> intendedIn(VmPhase phase) {
+        public Optional<VmPhase> pendingPhase(VmPhase phase) {
             return switch (phase) {
                 case SERVING -> Optional.of(VmPhase.STOPPING);
                 case OFF, BROKEN -> Optional.of(phase);
@@ -45,16 +45,19 @@
     /** Start the service of the pool that it has joined. */
     REASSIGN {
         @Override
-        public Optional<VmPhase> intendedIn(VmPhase phase) {
+        public Optional<VmPhase> pendingPhase(VmPhase phase) {
             return phase == VmPhase.RELEASING ? Optional.of(phase) : Optional.empty();
         }
     };
 
-    /** Phase of a VM while this is pending; empty where it may not be intended. */
-    public abstract Optional<VmPhase> intendedIn(VmPhase phase);
+    /**
+     * Returns the phase of a VM while the action is pending; empty if the current phase does not
+     * allow it.
+     */
+    public abstract Optional<VmPhase> pendingPhase(VmPhase phase);
 
-    /** Phase of a VM for which this is done. */
-    public VmPhase done() {
+    /** Returns the phase of a VM after the action succeeded. */
+    public VmPhase phaseWhenDone() {
         return VmPhase.SERVING;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmActionConfirmed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmActionConfirmed.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * The platform has confirmed how an intended action ended.
+ * The platform has confirmed the outcome of an intended action.
  *
  * @param vm the VM
  * @param generation number of the action, as in its intent
- * @param outcome how it ended
+ * @param outcome the outcome
  */
 public record VmActionConfirmed(VmId vm, long generation, ActionOutcome outcome)
         implements VmChange {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmActionIntended.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmActionIntended.java
@@ -6,14 +6,15 @@
 import org.foxtailplank.id.WaveId;
 
 /**
- * An action on a VM is about to be asked of the platform; it counts against budgets from here.
+ * An action on a VM is about to be requested from the platform; budgets count it from this record
+ * on.
  *
  * @param vm the VM
  * @param action the action
- * @param generation number of this action: one more than the generation that the VM has; the
- *     platform call and the confirmation carry the same number
+ * @param generation the VM's generation plus one; the platform call and the confirmation carry the
+ *     same number
  * @param wave wave that it is a step of
- * @param author who and why
+ * @param author who intends it, and why
  */
 public record VmActionIntended(
         VmId vm, VmAction action, long generation, Optional<WaveId> wave, Author author)
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmChange.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmChange.java
@@ -5,6 +5,6 @@
 /** A change of one VM. */
 public sealed interface VmChange extends Change
         permits VmReleased, VmJoined, VmActionIntended, VmActionConfirmed, VmObserved {
-    /** The VM. */
+    /** Returns the VM that changes. */
     VmId vm();
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmHealth.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmHealth.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** What the platform's list shows of a VM for which no action is pending. */
+/** Observed health of a VM without a pending action. */
 public enum VmHealth {
-    /** It serves. */
+    /** The VM serves. */
     UP {
         @Override
         public Optional<VmPhase> observedIn(VmPhase phase) {
@@ -14,7 +14,7 @@
             };
         }
     },
-    /** It does not serve and nobody asked for that. */
+    /** The VM does not serve although no action requested that. */
     DOWN {
         @Override
         public Optional<VmPhase> observedIn(VmPhase phase) {
@@ -22,6 +22,6 @@
         }
     };
 
-    /** Phase of a VM that was observed so; empty where the observation says nothing new. */
+    /** Returns the phase of a VM after this observation; empty if the phase does not change. */
     public abstract Optional<VmPhase> observedIn(VmPhase phase);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmJoined.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmJoined.java
@@ -5,13 +5,13 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * A drained VM leaves its pool and joins the other one in a single step.
+ * A drained VM leaves its pool and joins another one atomically.
  *
- * <p>Its writer has the word of the backend server or of the platform that it is drained. The
+ * <p>The writer has confirmed with the backend server or the platform that the VM is drained. The
  * service of the new pool is started by {@link VmAction#REASSIGN}.
  *
  * @param vm the VM
- * @param to pool that it joins
+ * @param to pool that the VM joins
  */
 public record VmJoined(VmId vm, PoolId to) implements VmChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmObserved.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmObserved.java
@@ -4,15 +4,15 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * A VM was seen to serve, or to have failed, without an action that asked for it.
+ * A VM was observed to serve, or to have failed, without an action that caused it.
  *
- * <p>It makes budgets count failures that nobody planned, and brings a fleet that already runs into
- * the state. Void while an action is pending, whose confirmation says more.
+ * <p>Makes budgets account for unplanned failures, and imports a fleet that already runs. Void
+ * while an action is pending, because the action's confirmation is authoritative.
  *
  * @param vm the VM
- * @param generation generation of the VM when it was seen; an older sight is void
- * @param health what was seen
- * @param author who saw it, and how
+ * @param generation generation of the VM when it was observed; an older observation is void
+ * @param health observed health
+ * @param author who observed it, and how
  */
 public record VmObserved(VmId vm, long generation, VmHealth health, Author author)
         implements VmChange {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmPhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmPhase.java
@@ -1,22 +1,22 @@
 package org.foxtailplank.state;
 
-/** Where a VM is in its life; it is in exactly one pool in each phase. */
+/** Lifecycle phases of a VM; in each of them it belongs to exactly one pool. */
 public enum VmPhase {
     /** Powered off. */
     OFF,
-    /** Asked to power on. */
+    /** Powering on. */
     WAKING,
     /** Powered on and in service; the only phase that counts towards an availability budget. */
     SERVING,
-    /** Drained, then powered off or rebooted. */
+    /** Draining, then powering off or rebooting. */
     STOPPING,
-    /** Drained to join another pool, or joined and waiting for that pool's service to start. */
+    /** Draining to join another pool, or joined and waiting for that pool's service to start. */
     RELEASING,
-    /** An action failed or it was seen down; it needs attention. */
+    /** An action failed, or the VM was observed down. */
     BROKEN;
 
-    /** Phase after a pending action was withdrawn. */
-    public VmPhase withdrawn() {
+    /** Returns the phase after a pending action was withdrawn. */
+    public VmPhase afterWithdrawal() {
         return switch (this) {
             case WAKING -> OFF;
             case STOPPING -> SERVING;
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmPlace.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmPlace.java
@@ -5,10 +5,10 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * Where a VM stands and the pool it starts in.
+ * Location of a VM and its initial pool.
  *
  * @param zone availability zone
  * @param rack rack
- * @param pool pool it starts in
+ * @param pool initial pool
  */
 public record VmPlace(ZoneId zone, RackId rack, PoolId pool) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmReleased.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmReleased.java
@@ -5,15 +5,15 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * A VM begins to leave its pool; it still belongs to it.
+ * A VM starts to leave its pool; it belongs to that pool until it joins the next one.
  *
- * <p>A move under way may be given another pool, also the one that the VM is in, which calls it
- * off: the VM still joins, since it may be drained already, and its service is started again.
+ * <p>A second release redirects a move in progress. Naming the VM's current pool cancels the move:
+ * the VM still has to join, because it may be drained already, and its service is restarted.
  *
  * @param vm the VM
- * @param from pool that it is in
- * @param to pool that it is to join
- * @param author who and why
+ * @param from current pool
+ * @param to pool to join
+ * @param author who releases it, and why
  */
 public record VmReleased(VmId vm, PoolId from, PoolId to, Author author) implements VmChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
@@ -13,13 +13,13 @@
  * @param id the VM
  * @param zone availability zone
  * @param rack rack
- * @param pool the one pool it belongs to
- * @param poolGeneration number of pools it has belonged to; platform calls carry it
- * @param phase where it is in its life
- * @param generation number of actions intended on it; platform calls carry it
- * @param pending action intended and not confirmed
- * @param wave wave whose step it is in
- * @param joining pool it is released to
+ * @param pool pool that it belongs to
+ * @param poolGeneration number of pools that it has belonged to so far
+ * @param phase lifecycle phase
+ * @param generation number of actions intended on it; platform calls carry it as a fencing number
+ * @param pending action that is intended and not yet confirmed
+ * @param wave wave whose step includes it
+ * @param joining pool that it is to join
  * @param lastMaintained offset of its last confirmed reboot; 0 for none
  * @param version offset of its last change
  */
@@ -36,7 +36,7 @@
         Optional<PoolId> joining,
         long lastMaintained,
         long version) {
-    /** A VM that the configuration names for the first time. */
+    /** Returns the initial state of a VM that the configuration adds. */
     public static VmState of(VmId id, VmPlace place, long version) {
         return new VmState(
                 id,
@@ -53,8 +53,8 @@
                 version);
     }
 
-    /** The VM moved to another place by the configuration. */
-    public VmState standingAt(VmPlace place, long at) {
+    /** Returns a copy at another location. */
+    public VmState withPlace(VmPlace place, long offset) {
         return new VmState(
                 id,
                 place.zone(),
@@ -67,17 +67,23 @@
                 wave,
                 joining,
                 lastMaintained,
-                at);
+                offset);
     }
 
-    /** The VM in another phase, with nothing pending. */
-    public VmState in(VmPhase next, long at) {
+    /** Returns a copy in another phase, with no action pending. */
+    public VmState withPhase(VmPhase next, long offset) {
         return with(
-                next, generation, Optional.empty(), Optional.empty(), joining, lastMaintained, at);
+                next,
+                generation,
+                Optional.empty(),
+                Optional.empty(),
+                joining,
+                lastMaintained,
+                offset);
     }
 
-    /** The VM after its action failed; the wave stays named, so that it can see what it broke. */
-    public VmState failed(long at) {
+    /** Returns a copy whose action failed; it keeps its wave, which counts its failures. */
+    public VmState afterFailure(long offset) {
         return with(
                 VmPhase.BROKEN,
                 generation,
@@ -85,26 +91,27 @@
                 wave,
                 Optional.empty(),
                 lastMaintained,
-                at);
+                offset);
     }
 
-    /** The VM on its way to another pool. */
-    public VmState movingTo(Optional<PoolId> to, VmPhase next, long at) {
-        return with(next, generation, pending, wave, to, lastMaintained, at);
+    /** Returns a copy that moves to another pool. */
+    public VmState withJoining(Optional<PoolId> to, VmPhase next, long offset) {
+        return with(next, generation, pending, wave, to, lastMaintained, offset);
     }
 
-    /** The VM with an action pending. */
-    public VmState intending(VmAction action, Optional<WaveId> step, VmPhase next, long at) {
-        return with(next, generation + 1, Optional.of(action), step, joining, lastMaintained, at);
+    /** Returns a copy with an action pending. */
+    public VmState withPending(VmAction action, Optional<WaveId> step, VmPhase next, long offset) {
+        return with(
+                next, generation + 1, Optional.of(action), step, joining, lastMaintained, offset);
     }
 
-    /** The VM after a reboot. */
-    public VmState maintained(long at) {
-        return with(phase, generation, pending, wave, joining, at, at);
+    /** Returns a copy that was maintained. */
+    public VmState afterMaintenance(long offset) {
+        return with(phase, generation, pending, wave, joining, offset, offset);
     }
 
-    /** The VM in the pool that it was released to. */
-    public VmState joined(long at) {
+    /** Returns a copy that belongs to the pool it was released to. */
+    public VmState afterJoin(long offset) {
         return new VmState(
                 id,
                 zone,
@@ -117,7 +124,7 @@
                 wave,
                 Optional.empty(),
                 lastMaintained,
-                at);
+                offset);
     }
 
     private VmState with(
@@ -127,7 +134,7 @@
             Optional<WaveId> nextWave,
             Optional<PoolId> nextJoining,
             long maintained,
-            long at) {
+            long offset) {
         return new VmState(
                 id,
                 zone,
@@ -140,6 +147,6 @@
                 nextWave,
                 nextJoining,
                 maintained,
-                at);
+                offset);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VoidReason.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VoidReason.java
@@ -1,25 +1,25 @@
 package org.foxtailplank.state;
 
-/** Why a record is void. */
+/** Reasons why a record is void. */
 public enum VoidReason {
-    /** Its id stands earlier in the log. */
+    /** An earlier record has the same id. */
     DUPLICATE_ID,
-    /** It was made so long ago that its id can't be checked any more; make it anew. */
+    /** Its basis is too old for the duplicate check; the writer has to create a new record. */
     TOO_LATE,
-    /** An object that it names has changed since. */
+    /** An object is not at the version that the record expects. */
     STALE_VERSION,
-    /** Another controller has taken its shard. */
+    /** Another controller has taken the epoch of its shard. */
     STALE_EPOCH,
     /** It names an object that does not exist. */
     UNKNOWN_OBJECT,
     /** The object is in a phase that does not allow it. */
     WRONG_PHASE,
-    /** It was made on a log whose records are not those of this one. */
+    /** Its basis belongs to a log with other records. */
     OTHER_HISTORY,
-    /** It contradicts itself or leaves out what it must name. */
+    /** It is inconsistent or incomplete. */
     MALFORMED,
     /** It would break the availability budget of a service. */
     OVER_BUDGET,
-    /** Its kind is newer than this reader; the objects it names are frozen. */
+    /** Its kind is unknown to this program version, or it depends on a frozen object. */
     NOT_UNDERSTOOD
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveChange.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveChange.java
@@ -5,6 +5,6 @@
 /** A change of one maintenance wave. */
 public sealed interface WaveChange extends Change
         permits WaveStarted, WaveControlled, WaveFinished {
-    /** The wave. */
+    /** Returns the wave that changes. */
     WaveId wave();
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveControlled.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveControlled.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.WaveId;
 
 /**
- * A wave is paused, resumed or cancelled.
+ * Pausing, resuming or cancelling of a wave.
  *
  * @param wave the wave
- * @param order what is ordered
- * @param author who and why
+ * @param order the command
+ * @param author who gave the command, and why
  */
 public record WaveControlled(WaveId wave, WaveOrder order, Author author) implements WaveChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveFinished.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveFinished.java
@@ -8,7 +8,7 @@
  * Every VM of a wave in one of its zones has been maintained.
  *
  * @param wave the wave
- * @param zone zone that is finished
+ * @param zone the finished zone
  */
 public record WaveFinished(WaveId wave, ZoneId zone) implements WaveChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveOrder.java
@@ -2,13 +2,13 @@
 
 import java.util.Optional;
 
-/** What an operator or a controller orders of a wave. */
+/** Commands from an operator or a controller to a wave. */
 public enum WaveOrder {
-    /** Start no further step. */
+    /** Start no further steps. */
     PAUSE(WavePhase.PAUSED),
-    /** Go on. */
+    /** Start steps again. */
     RESUME(WavePhase.RUNNING),
-    /** End it after the steps under way. */
+    /** End the wave after the steps in progress. */
     CANCEL(WavePhase.CANCELLED);
 
     private final WavePhase mNext;
@@ -17,8 +17,8 @@
         mNext = next;
     }
 
-    /** Phase of a wave after this order; empty where it changes nothing. */
-    public Optional<WavePhase> givenIn(WavePhase phase) {
+    /** Returns the phase of a wave after this command; empty if it changes nothing. */
+    public Optional<WavePhase> nextPhase(WavePhase phase) {
         return phase.isEnded() || phase == mNext ? Optional.empty() : Optional.of(mNext);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WavePhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WavePhase.java
@@ -1,17 +1,17 @@
 package org.foxtailplank.state;
 
-/** Where a wave is. */
+/** Phases of a maintenance wave. */
 public enum WavePhase {
-    /** Steps are started. */
+    /** Steps may start. */
     RUNNING,
-    /** No step is started. */
+    /** No step may start. */
     PAUSED,
-    /** Ended before its end. */
+    /** Cancelled before every VM was maintained. */
     CANCELLED,
     /** Every VM was maintained. */
     FINISHED;
 
-    /** Whether nothing changes the wave any more. */
+    /** Returns whether the phase is final. */
     public boolean isEnded() {
         return this == CANCELLED || this == FINISHED;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveStarted.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveStarted.java
@@ -6,12 +6,12 @@
 import org.foxtailplank.id.ZoneId;
 
 /**
- * A maintenance wave starts.
+ * Start of a maintenance wave.
  *
  * @param wave the wave
- * @param zones availability zones it covers
- * @param pools pools it covers; empty for all
- * @param author who and why
+ * @param zones availability zones that it covers
+ * @param pools pools that it covers; empty for all
+ * @param author who started it, and why
  */
 public record WaveStarted(WaveId wave, Set<ZoneId> zones, Set<PoolId> pools, Author author)
         implements WaveChange {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveState.java
@@ -9,11 +9,11 @@
  * A maintenance wave as folded from the log.
  *
  * @param id the wave
- * @param zones zones it covers
- * @param pools pools it covers; empty for all
+ * @param zones zones that it covers
+ * @param pools pools that it covers; empty for all
  * @param finished zones that are finished
- * @param phase where it is
- * @param lastOrder who ordered the last change, and why
+ * @param phase current phase
+ * @param lastOrder who gave the last command, and why
  * @param started offset of its start
  * @param version offset of its last change
  */
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WindowContents.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WindowContents.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * What is remembered of the newest records.
+ * Contents of a record window, as stored in snapshots.
  *
  * @param ids hash of the id at each offset modulo the window's size; 0 for none
  * @param digests digest of all records before each offset, modulo the window's size
--- a/foxtail-core/src/main/java/org/foxtailplank/state/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/package-info.java
@@ -1,2 +1,2 @@
-/** What is agreed: the records of the platform's log and the state folded from them. */
+/** Records of the platform's log and the state folded from them. */
 package org.foxtailplank.state;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/state/RackCountsTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/state/RackCountsTest.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.id.RackId;
 import org.testng.annotations.Test;
 
-/** The counts by rack against a plain scan. */
+/** Compares the counts by rack with a full scan. */
 public class RackCountsTest {
     private static final long SEED = 7;
     private static final int RACKS = 6;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/state/RecordWindowTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/state/RecordWindowTest.java
@@ -11,7 +11,7 @@
 import org.foxtailplank.state.Basis;
 import org.testng.annotations.Test;
 
-/** How long the ids of records are remembered. */
+/** Tests duplicate detection over the record window. */
 public class RecordWindowTest {
     private static final long SEED = 20261202;
 
@@ -31,12 +31,9 @@
         }
     }
 
-    /**
-     * An append hangs in the network for long and its writer repeats it. The second copy arrives
-     * when the first one's id is forgotten. The basis tells that it is too late to check.
-     */
+    /** Guards against a delayed duplicate that arrives after the first copy left the window. */
     @Test
-    public void refusesARecordWhoseFirstCopyMayBeForgotten() {
+    public void refusesARecordWhoseFirstCopyMayHaveLeftTheWindow() {
         Basis basis = new Basis(10, 0);
         RecordWindow w = RecordWindow.empty();
         assertTrue(w.add(RecordId.of("a"), basis.offset()));
@@ -50,7 +47,7 @@
     }
 
     @Test
-    public void isTheSameAfterItsContentsWereStored() {
+    public void restoresItsContents() {
         RecordWindow w = RecordWindow.empty();
         for (long offset = 1; offset < 3L * RecordWindow.SIZE / 2; offset++) {
             w.add(RecordId.of("id-" + offset), offset);
--- a/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
@@ -15,25 +15,22 @@
 import org.foxtailplank.id.ZoneId;
 import org.testng.annotations.Test;
 
-/** What the fold makes of configurations that are published. */
+/** Tests folding of configuration changes. */
 public class ConfigurationTest {
     private static final ZoneId SITE = ZoneId.of("sofia-2");
     private static final FleetShape NOTHING = new FleetShape(Map.of(), Map.of(), Map.of());
 
-    /**
-     * Two operators edit the same version and publish. The second one must not undo the first one's
-     * change without having seen it.
-     */
+    /** Guards against a lost update by a publication that is based on an old version. */
     @Test
-    public void letsOneOfTwoOperatorsWin() {
+    public void voidsAPublicationBasedOnAnOldVersion() {
         FoldDriver d = FoldDriver.serving(4, 2);
         long from = version(d);
-        d.applied(change("{\"a\":1}"), configuration(from));
+        d.writeApplied(change("{\"a\":1}"), configuration(from));
         long won = version(d);
         assertRefused(
                 VoidReason.STALE_VERSION,
                 d.write(d.record(change("{\"a\":2}"), configuration(from))));
-        d.refused(VoidReason.MALFORMED, change("{\"a\":2}"));
+        d.writeRefused(VoidReason.MALFORMED, change("{\"a\":2}"));
         assertEquals(version(d), won);
         assertEquals(d.state().configuration().orElseThrow().base(), "{\n  \"a\" : 1\n}");
     }
@@ -52,7 +49,7 @@
     public void patchesTheOverlayOfASite() {
         FoldDriver d = FoldDriver.serving(4, 2);
         Map<ZoneId, String> overlay = Map.of(SITE, "{\"a\":1}");
-        d.applied(
+        d.writeApplied(
                 new ConfigurationChanged("{}", overlay, NOTHING, AUTHOR),
                 configuration(version(d)));
         String text = d.state().configuration().orElseThrow().overlays().get(SITE);
@@ -60,7 +57,7 @@
     }
 
     @Test
-    public void refusesAPatchThatIsNoObject() {
+    public void refusesAPatchThatIsNotAnObject() {
         FoldDriver d = FoldDriver.serving(4, 2);
         for (String bad : new String[] {"", "[1]", "{\"a\":", "{} {}"}) {
             LogRecord r = d.record(change(bad), configuration(version(d)));
@@ -78,9 +75,9 @@
                 published(new FleetShape(fewer, shape.pools(), shape.minAvailable()));
         LogRecord early = d.record(without, configuration(version(d)));
         assertRefused(VoidReason.WRONG_PHASE, d.write(early));
-        d.applied(d.intent("claims1", VmAction.SLEEP));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
-        d.applied(without, configuration(version(d)));
+        d.writeApplied(d.intent("claims1", VmAction.SLEEP));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(without, configuration(version(d)));
         assertFalse(d.state().vm(VmId.of("claims1")).isPresent());
     }
 
@@ -102,15 +99,15 @@
     public void keepsATargetThatTheConfigurationDoesNotChange() {
         FoldDriver d = FoldDriver.serving(4, 2);
         PoolId pool = PoolId.of("claims");
-        d.applied(new PoolTargetChanged(pool, 3, 1, AUTHOR));
-        d.applied(published(FoldDriver.shape(4, 1)), configuration(version(d)));
+        d.writeApplied(new PoolTargetChanged(pool, 3, 1, AUTHOR));
+        d.writeApplied(published(FoldDriver.shape(4, 1)), configuration(version(d)));
         assertEquals(d.state().pool(pool).orElseThrow().target(), 3);
         assertEquals(d.state().minAvailable(ServiceId.of("claims")), 1);
         assertEquals(d.vm("claims1").phase(), VmPhase.SERVING);
     }
 
     private static void patch(FoldDriver d, String patch) {
-        d.applied(change(patch), configuration(version(d)));
+        d.writeApplied(change(patch), configuration(version(d)));
     }
 
     private static ConfigurationPublished published(FleetShape shape) {
--- a/foxtail-core/src/test/java/org/foxtailplank/state/ExploredWorld.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/ExploredState.java
@@ -13,17 +13,17 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * Two controllers of one shard, two operators, a log and a platform, at one moment.
+ * A state of the exploration: two controllers of one shard, two operators, a log and a platform.
  *
- * <p>A process acts on what it has read, which may be old: not reading is being paused. A record
- * that was made may reach the log never, once or twice; a writer learns its verdict by reading
- * only, so each answer is a lost one.
+ * <p>A process acts on the part of the log that it has read; a paused process reads nothing. A
+ * record may reach the log never, once or twice. Writers see verdicts only by reading, which models
+ * lost answers.
  */
-final class ExploredWorld {
+final class ExploredState {
     private static final int CONTROLLERS = 2;
     private static final int PROCESSES = 4;
 
-    /** Times that a record may reach the log. */
+    /** Maximum number of copies of a record that may reach the log. */
     private static final int COPIES = 2;
 
     private static final List<VmId> VMS = List.of(VmId.of("claims1"), VmId.of("claims2"));
@@ -36,7 +36,7 @@
     private final Map<VmId, Boolean> mStopped;
     private final FoldCache mFolds;
 
-    private ExploredWorld(ExploredWorld w) {
+    private ExploredState(ExploredState w) {
         mLog = new ArrayList<>(w.mLog);
         mInFlight = new ArrayList<>(w.mInFlight);
         mRead = w.mRead.clone();
@@ -46,7 +46,7 @@
         mFolds = w.mFolds;
     }
 
-    private ExploredWorld(List<LogRecord> start) {
+    private ExploredState(List<LogRecord> start) {
         mLog = new ArrayList<>(start);
         mInFlight = new ArrayList<>();
         mRead = new int[PROCESSES];
@@ -57,26 +57,26 @@
         mFolds = new FoldCache();
     }
 
-    /** All VMs serve and every process has read the whole log. */
-    static ExploredWorld start(List<LogRecord> records) {
-        return new ExploredWorld(records);
+    /** Returns the start state, in which every process has read the whole log. */
+    static ExploredState start(List<LogRecord> records) {
+        return new ExploredState(records);
     }
 
-    /** The same with a stop of the first VM done and two confirmations of it under way. */
-    ExploredWorld confirmingAStop() {
-        ExploredWorld w = this;
+    /** Returns this state after a stop of the first VM, with two confirmations of it in flight. */
+    ExploredState withStopConfirmedTwice() {
+        ExploredState w = this;
         VmId vm = VMS.get(0);
-        w = w.made(0, w.view(0), w.epoch(0), Map.of(), intent(w.view(0), vm, VmAction.SLEEP));
-        w = w.delivered(0);
+        w = w.withRecord(0, w.view(0), w.epoch(0), Map.of(), intent(w.view(0), vm, VmAction.SLEEP));
+        w = w.withDelivery(0);
         w.mInFlight.clear();
-        w = w.read(0);
-        w = w.acted(w.view(0).vm(vm).orElseThrow());
+        w = w.withRead(0);
+        w = w.withPlatformAction(w.view(0).vm(vm).orElseThrow());
         Change done = new VmActionConfirmed(vm, 1, ActionOutcome.DONE);
-        w = w.made(0, w.view(0), w.epoch(0), Map.of(), done);
-        return w.made(0, w.view(0), w.epoch(0), Map.of(), done);
+        w = w.withRecord(0, w.view(0), w.epoch(0), Map.of(), done);
+        return w.withRecord(0, w.view(0), w.epoch(0), Map.of(), done);
     }
 
-    /** The log as it stands, folded. */
+    /** Returns the folded log. */
     FoldCache.Folded folded() {
         return mFolds.fold(mLog);
     }
@@ -85,32 +85,32 @@
         return mLog.size();
     }
 
-    /** Whether the platform has stopped a VM. */
+    /** Returns whether the platform has stopped a VM. */
     boolean isStopped(VmId vm) {
         return mStopped.getOrDefault(vm, false);
     }
 
-    /** Two worlds with the same key have the same future. */
+    /** Returns a key; states with the same key have the same successors. */
     String key() {
         StringBuilder b = new StringBuilder();
         mLog.forEach(r -> b.append(r.id().value()).append(' '));
-        List<String> flying = new ArrayList<>();
-        mInFlight.forEach(f -> flying.add(f.copies() + "*" + f.record().id()));
-        Collections.sort(flying);
-        b.append(flying).append(Arrays.toString(mRead));
+        List<String> inFlight = new ArrayList<>();
+        mInFlight.forEach(f -> inFlight.add(f.copies() + "*" + f.record().id()));
+        Collections.sort(inFlight);
+        b.append(inFlight).append(Arrays.toString(mRead));
         b.append(Arrays.toString(mMade)).append(mGenerations).append(mStopped);
         return b.toString();
     }
 
-    /** Every world that one step leads to. */
-    List<ExploredWorld> successors() {
-        List<ExploredWorld> all = new ArrayList<>();
+    /** Returns all states that are reachable in one step. */
+    List<ExploredState> successors() {
+        List<ExploredState> all = new ArrayList<>();
         for (int i = 0; i < mInFlight.size(); i++) {
-            all.add(delivered(i));
+            all.add(withDelivery(i));
         }
         for (int p = 0; p < PROCESSES; p++) {
             if (mRead[p] < mLog.size()) {
-                all.add(read(p));
+                all.add(withRead(p));
             }
             if (p < CONTROLLERS) {
                 controllerSteps(p, view(p), all);
@@ -125,8 +125,8 @@
         return mFolds.fold(mLog.subList(0, mRead[p])).state();
     }
 
-    private ExploredWorld read(int p) {
-        ExploredWorld w = new ExploredWorld(this);
+    private ExploredState withRead(int p) {
+        ExploredState w = new ExploredState(this);
         w.mRead[p] = mLog.size();
         return w;
     }
@@ -138,9 +138,12 @@
                 .map(h -> new ActingEpoch(FoldDriver.ZONE, epoch.number()));
     }
 
-    /** A record that is never delivered again is lost; so being lost needs no step of its own. */
-    private ExploredWorld delivered(int index) {
-        ExploredWorld w = new ExploredWorld(this);
+    /**
+     * Delivers one copy of a record. Loss needs no step of its own: a lost record is never
+     * delivered.
+     */
+    private ExploredState withDelivery(int index) {
+        ExploredState w = new ExploredState(this);
         InFlight f = w.mInFlight.remove(index);
         w.mLog.add(f.record());
         if (f.copies() > 1) {
@@ -149,12 +152,12 @@
         return w;
     }
 
-    private void controllerSteps(int p, FleetState view, List<ExploredWorld> all) {
+    private void controllerSteps(int p, FleetState view, List<ExploredState> all) {
         Optional<ActingEpoch> epoch = epoch(p);
         if (epoch.isEmpty()) {
             long number = view.epoch(FoldDriver.ZONE).number();
             EpochTaken taken = new EpochTaken(FoldDriver.ZONE, number, node(p));
-            all.add(made(p, view, Optional.empty(), Map.of(), taken));
+            all.add(withRecord(p, view, Optional.empty(), Map.of(), taken));
             return;
         }
         for (VmId id : VMS) {
@@ -163,16 +166,16 @@
             if (vm.joining().isPresent()) {
                 if (atPlatform <= vm.generation()) {
                     Change joined = new VmJoined(id, vm.joining().get());
-                    all.add(drained(id).made(p, view, epoch, Map.of(), joined));
+                    all.add(withDrained(id).withRecord(p, view, epoch, Map.of(), joined));
                 }
             } else if (vm.pending().isEmpty()) {
                 Change intent = intent(view, id, nextAction(vm.phase()));
-                all.add(made(p, view, epoch, Map.of(), intent));
+                all.add(withRecord(p, view, epoch, Map.of(), intent));
             } else if (atPlatform < vm.generation()) {
-                all.add(acted(vm));
+                all.add(withPlatformAction(vm));
             } else {
                 Change done = new VmActionConfirmed(id, vm.generation(), ActionOutcome.DONE);
-                all.add(made(p, view, epoch, Map.of(), done));
+                all.add(withRecord(p, view, epoch, Map.of(), done));
             }
         }
     }
@@ -190,7 +193,7 @@
         return new VmActionIntended(id, action, generation, Optional.empty(), FoldDriver.AUTHOR);
     }
 
-    private void operatorSteps(int p, FleetState view, List<ExploredWorld> all) {
+    private void operatorSteps(int p, FleetState view, List<ExploredState> all) {
         long version = view.version(ObjectKey.configuration());
         Change publish =
                 new ConfigurationPublished(
@@ -198,35 +201,35 @@
                         Map.of(),
                         FoldDriver.shape(4, 2),
                         FoldDriver.AUTHOR);
-        all.add(made(p, view, Optional.empty(), FoldDriver.configuration(version), publish));
+        all.add(withRecord(p, view, Optional.empty(), FoldDriver.configuration(version), publish));
         VmState vm = view.vm(VMS.get(0)).orElseThrow();
         Change release = new VmReleased(vm.id(), vm.pool(), PoolId.of("photos"), FoldDriver.AUTHOR);
-        all.add(made(p, view, Optional.empty(), Map.of(), release));
+        all.add(withRecord(p, view, Optional.empty(), Map.of(), release));
         Change target = new PoolTargetChanged(PoolId.of("claims"), p, 0, FoldDriver.AUTHOR);
-        all.add(made(p, view, Optional.empty(), Map.of(), target));
+        all.add(withRecord(p, view, Optional.empty(), Map.of(), target));
     }
 
-    private ExploredWorld drained(VmId id) {
-        ExploredWorld w = new ExploredWorld(this);
+    private ExploredState withDrained(VmId id) {
+        ExploredState w = new ExploredState(this);
         w.mStopped.put(id, true);
         return w;
     }
 
-    /** The platform takes an action that is above the VM's generation, late or not. */
-    private ExploredWorld acted(VmState vm) {
-        ExploredWorld w = new ExploredWorld(this);
+    /** Executes a pending action at the platform, possibly late. */
+    private ExploredState withPlatformAction(VmState vm) {
+        ExploredState w = new ExploredState(this);
         w.mGenerations.put(vm.id(), vm.generation());
         w.mStopped.put(vm.id(), vm.pending().orElseThrow() == VmAction.SLEEP);
         return w;
     }
 
-    private ExploredWorld made(
+    private ExploredState withRecord(
             int p,
             FleetState view,
             Optional<ActingEpoch> epoch,
             Map<ObjectKey, Long> expects,
             Change change) {
-        ExploredWorld w = new ExploredWorld(this);
+        ExploredState w = new ExploredState(this);
         RecordId id = RecordId.of(p + "." + ++w.mMade[p] + "@" + mRead[p] + change.hashCode());
         LogRecord r = new LogRecord(id, node(p), epoch, expects, change, view.basis());
         w.mInFlight.add(new InFlight(r, COPIES));
@@ -238,10 +241,10 @@
     }
 
     /**
-     * A record on its way to the log.
+     * A record that was sent and may still reach the log.
      *
      * @param record the record
-     * @param copies times that it may still arrive
+     * @param copies maximum number of copies that may still arrive
      */
     private record InFlight(LogRecord record, int copies) {}
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FleetStateTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FleetStateTest.java
@@ -21,7 +21,7 @@
 import org.foxtailplank.request.RequestClass;
 import org.testng.annotations.Test;
 
-/** What the fold makes of moves, actions, waves, jobs and epochs. */
+/** Tests folding of moves, actions, waves, jobs and epochs. */
 public class FleetStateTest {
     private static final WaveId WAVE = WaveId.of("december");
     private static final JobId JOB = JobId.of("night-run");
@@ -29,15 +29,15 @@
     @Test
     public void keepsAVmInItsPoolUntilItJoinsTheOther() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        d.refused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
-        d.applied(d.release("claims1", "claims", "photos"));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
+        d.writeApplied(d.release("claims1", "claims", "photos"));
         assertEquals(d.vm("claims1").pool(), PoolId.of("claims"));
-        d.refused(VoidReason.WRONG_PHASE, d.join("claims1", "claims"));
-        d.refused(VoidReason.WRONG_PHASE, d.intent("claims1", VmAction.REASSIGN));
-        d.applied(d.join("claims1", "photos"));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.join("claims1", "claims"));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.intent("claims1", VmAction.REASSIGN));
+        d.writeApplied(d.join("claims1", "photos"));
         assertEquals(d.vm("claims1").pool(), PoolId.of("photos"));
         assertEquals(d.vm("claims1").poolGeneration(), 2);
-        d.refused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
         assertEquals(d.state().vmsOf(PoolId.of("claims")).size(), 3);
         assertEquals(d.state().vmsOf(PoolId.of("photos")).size(), 5);
     }
@@ -45,96 +45,92 @@
     @Test
     public void countsAMovedVmOnlyOnceItsNewServiceRuns() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        d.applied(d.release("claims1", "claims", "photos"));
-        d.applied(d.join("claims1", "photos"));
-        d.applied(d.intent("photos1", VmAction.SLEEP));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("photos2", VmAction.SLEEP));
-        d.applied(d.intent("claims1", VmAction.REASSIGN));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("photos2", VmAction.SLEEP));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(d.release("claims1", "claims", "photos"));
+        d.writeApplied(d.join("claims1", "photos"));
+        d.writeApplied(d.intent("photos1", VmAction.SLEEP));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("photos2", VmAction.SLEEP));
+        d.writeApplied(d.intent("claims1", VmAction.REASSIGN));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("photos2", VmAction.SLEEP));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
         assertEquals(d.vm("claims1").phase(), VmPhase.SERVING);
-        d.applied(d.intent("photos2", VmAction.SLEEP));
+        d.writeApplied(d.intent("photos2", VmAction.SLEEP));
     }
 
     /**
-     * An operator calls a move off while the platform already drains the VM. Counted as serving at
-     * once, the VM would cover for another stop although it serves nobody.
+     * Guards against counting a VM as serving after its move was cancelled while it was being
+     * drained.
      */
     @Test
-    public void startsTheServiceAgainWhenAMoveIsCalledOff() {
+    public void restartsTheServiceWhenAMoveIsCancelled() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        d.applied(d.release("claims1", "claims", "photos"));
-        d.applied(d.release("claims1", "claims", "claims"));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
-        d.refused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
-        d.applied(d.join("claims1", "claims"));
-        d.applied(d.intent("claims1", VmAction.REASSIGN));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
-        d.applied(d.intent("claims2", VmAction.SLEEP));
+        d.writeApplied(d.release("claims1", "claims", "photos"));
+        d.writeApplied(d.release("claims1", "claims", "claims"));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.join("claims1", "photos"));
+        d.writeApplied(d.join("claims1", "claims"));
+        d.writeApplied(d.intent("claims1", VmAction.REASSIGN));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(d.intent("claims2", VmAction.SLEEP));
     }
 
-    /**
-     * Two controllers each see one VM that may be stopped, and each intends to stop another one.
-     * Both intents reach the log. Without a check at the offset the service would fall under its
-     * budget as soon as a rack is lost.
-     */
+    /** Guards against two controllers that each intend a stop and together exceed the budget. */
     @Test
-    public void letsOnlyAsManyStopsThroughAsOneMoreRackMayBeLost() {
+    public void voidsStopsThatExceedTheBudgetAfterARackLoss() {
         FoldDriver d = FoldDriver.serving(4, 2);
         VmActionIntended first = d.intent("claims1", VmAction.REBOOT);
         VmActionIntended second = d.intent("claims2", VmAction.SLEEP);
-        d.applied(first);
-        d.refused(VoidReason.OVER_BUDGET, second);
-        d.refused(VoidReason.OVER_BUDGET, d.release("claims2", "claims", "photos"));
-        d.applied(d.intent("photos1", VmAction.REBOOT));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
-        d.applied(second);
+        d.writeApplied(first);
+        d.writeRefused(VoidReason.OVER_BUDGET, second);
+        d.writeRefused(VoidReason.OVER_BUDGET, d.release("claims2", "claims", "photos"));
+        d.writeApplied(d.intent("photos1", VmAction.REBOOT));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(second);
     }
 
     @Test
     public void countsAStopUntilItsOutcomeIsConfirmed() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        d.applied(d.intent("claims1", VmAction.SLEEP));
-        d.applied(d.outcome("claims1", ActionOutcome.FAILED));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
-        d.applied(d.intent("claims1", VmAction.WAKE));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
-        d.applied(d.intent("claims2", VmAction.SLEEP));
-        d.applied(d.outcome("claims2", ActionOutcome.WITHDRAWN));
-        d.applied(d.intent("claims3", VmAction.SLEEP));
+        d.writeApplied(d.intent("claims1", VmAction.SLEEP));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.FAILED));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
+        d.writeApplied(d.intent("claims1", VmAction.WAKE));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.SLEEP));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(d.intent("claims2", VmAction.SLEEP));
+        d.writeApplied(d.outcome("claims2", ActionOutcome.WITHDRAWN));
+        d.writeApplied(d.intent("claims3", VmAction.SLEEP));
     }
 
     @Test
-    public void countsAFailureThatNobodyPlanned() {
+    public void countsAnUnplannedFailure() {
         FoldDriver d = FoldDriver.serving(4, 2);
         VmState vm = d.vm("claims1");
-        d.applied(new VmObserved(vm.id(), vm.generation(), VmHealth.DOWN, AUTHOR));
-        d.refused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.REBOOT));
-        d.applied(new VmObserved(vm.id(), vm.generation(), VmHealth.UP, AUTHOR));
-        d.applied(d.intent("claims2", VmAction.REBOOT));
+        d.writeApplied(new VmObserved(vm.id(), vm.generation(), VmHealth.DOWN, AUTHOR));
+        d.writeRefused(VoidReason.OVER_BUDGET, d.intent("claims2", VmAction.REBOOT));
+        d.writeApplied(new VmObserved(vm.id(), vm.generation(), VmHealth.UP, AUTHOR));
+        d.writeApplied(d.intent("claims2", VmAction.REBOOT));
     }
 
     @Test
     public void refusesAnActionForAnOlderGeneration() {
         FoldDriver d = FoldDriver.serving(6, 2);
         VmActionIntended late = d.intent("claims1", VmAction.REBOOT);
-        d.applied(late);
+        d.writeApplied(late);
         VmActionConfirmed done = d.outcome("claims1", ActionOutcome.DONE);
-        d.applied(done);
-        d.refused(VoidReason.STALE_VERSION, late);
-        d.applied(d.intent("claims1", VmAction.SLEEP));
-        d.refused(VoidReason.STALE_VERSION, done);
+        d.writeApplied(done);
+        d.writeRefused(VoidReason.STALE_VERSION, late);
+        d.writeApplied(d.intent("claims1", VmAction.SLEEP));
+        d.writeRefused(VoidReason.STALE_VERSION, done);
     }
 
     @Test
     public void refusesASecondActionWhileOneIsPending() {
         FoldDriver d = FoldDriver.serving(6, 2);
         VmState vm = d.vm("claims1");
-        d.applied(new VmObserved(vm.id(), vm.generation(), VmHealth.DOWN, AUTHOR));
-        d.applied(d.intent("claims1", VmAction.WAKE));
-        d.refused(VoidReason.WRONG_PHASE, d.intent("claims1", VmAction.REBOOT));
-        d.refused(
+        d.writeApplied(new VmObserved(vm.id(), vm.generation(), VmHealth.DOWN, AUTHOR));
+        d.writeApplied(d.intent("claims1", VmAction.WAKE));
+        d.writeRefused(VoidReason.WRONG_PHASE, d.intent("claims1", VmAction.REBOOT));
+        d.writeRefused(
                 VoidReason.WRONG_PHASE,
                 new VmObserved(vm.id(), vm.generation() + 1, VmHealth.UP, AUTHOR));
     }
@@ -142,31 +138,28 @@
     @Test
     public void startsNoStepOfAPausedWave() {
         FoldDriver d = FoldDriver.serving(6, 2);
-        d.applied(new WaveStarted(WAVE, Set.of(ZONE), Set.of(PoolId.of("claims")), AUTHOR));
-        d.applied(new WaveControlled(WAVE, WaveOrder.PAUSE, AUTHOR));
-        d.refused(VoidReason.WRONG_PHASE, step(d, "claims1"));
-        d.applied(new WaveControlled(WAVE, WaveOrder.RESUME, AUTHOR));
-        d.applied(step(d, "claims1"));
-        d.refused(VoidReason.MALFORMED, step(d, "photos1"));
-        d.applied(d.outcome("claims1", ActionOutcome.DONE));
+        d.writeApplied(new WaveStarted(WAVE, Set.of(ZONE), Set.of(PoolId.of("claims")), AUTHOR));
+        d.writeApplied(new WaveControlled(WAVE, WaveOrder.PAUSE, AUTHOR));
+        d.writeRefused(VoidReason.WRONG_PHASE, step(d, "claims1"));
+        d.writeApplied(new WaveControlled(WAVE, WaveOrder.RESUME, AUTHOR));
+        d.writeApplied(step(d, "claims1"));
+        d.writeRefused(VoidReason.MALFORMED, step(d, "photos1"));
+        d.writeApplied(d.outcome("claims1", ActionOutcome.DONE));
         assertTrue(d.vm("claims1").lastMaintained() > 0);
-        d.applied(new WaveFinished(WAVE, ZONE));
+        d.writeApplied(new WaveFinished(WAVE, ZONE));
         assertEquals(d.state().wave(WAVE).orElseThrow().phase(), WavePhase.FINISHED);
-        d.refused(VoidReason.WRONG_PHASE, new WaveControlled(WAVE, WaveOrder.CANCEL, AUTHOR));
+        d.writeRefused(VoidReason.WRONG_PHASE, new WaveControlled(WAVE, WaveOrder.CANCEL, AUTHOR));
     }
 
-    /**
-     * A controller is paused, another one takes its shard and stops a VM. The first one goes on and
-     * its record reaches the log. Both would act on the same shard at once.
-     */
+    /** Guards against a paused controller that resumes after another one took its shard. */
     @Test
     public void voidsTheRecordsOfAControllerWhoseShardWasTaken() {
         FoldDriver d = FoldDriver.serving(6, 2);
         NodeId other = NodeId.of("entry-2");
-        d.applied(new EpochTaken(ZONE, 0, NODE));
+        d.writeApplied(new EpochTaken(ZONE, 0, NODE));
         LogRecord late = under(1, NODE, d.record(d.intent("claims1", VmAction.REBOOT)));
-        d.applied(new EpochTaken(ZONE, 1, other));
-        d.refused(VoidReason.STALE_EPOCH, new EpochTaken(ZONE, 1, NODE));
+        d.writeApplied(new EpochTaken(ZONE, 1, other));
+        d.writeRefused(VoidReason.STALE_EPOCH, new EpochTaken(ZONE, 1, NODE));
         assertRefused(VoidReason.STALE_EPOCH, d.write(late));
         LogRecord forged = under(2, NODE, d.record(d.intent("claims1", VmAction.REBOOT)));
         assertRefused(VoidReason.STALE_EPOCH, d.write(forged));
@@ -187,16 +180,13 @@
         assertRefused(VoidReason.DUPLICATE_ID, d.write(good));
     }
 
-    /**
-     * The platform comes back without its newest records. A node that does not know them goes on
-     * writing; for a node that knows them the offsets fit, but the state was another one.
-     */
+    /** Guards against records that are based on a log which lost its newest records. */
     @Test
-    public void voidsARecordMadeOnOtherRecords() {
+    public void voidsARecordFromAnotherHistory() {
         FoldDriver d = FoldDriver.serving(4, 2);
         FoldDriver other = FoldDriver.serving(4, 2);
         TeamQuotaChanged quota = new TeamQuotaChanged(TeamId.of("desk"), 0.5, AUTHOR);
-        d.applied(quota);
+        d.writeApplied(quota);
         LogRecord longer = d.record(d.intent("claims1", VmAction.REBOOT));
         assertRefused(VoidReason.OTHER_HISTORY, other.write(longer));
         other.write(other.record(quota));
@@ -205,7 +195,7 @@
     }
 
     @Test
-    public void refusesToLeaveAnOffsetOut() {
+    public void refusesAGapInOffsets() {
         FoldDriver d = FoldDriver.serving(4, 2);
         LogRecord r = d.record(d.intent("claims1", VmAction.REBOOT));
         long next = d.state().nextOffset();
@@ -213,23 +203,24 @@
     }
 
     @Test
-    public void holdsATaskOnOneWorkerAtATime() {
+    public void runsATaskOnOneWorkerAtATime() {
         FoldDriver d = FoldDriver.serving(4, 2);
         PoolId pool = PoolId.of("claims");
         JobSpec spec = new JobSpec(TeamId.of("desk"), pool, RequestClass.BATCH, 4, 1 << 20, 0, 1);
-        d.applied(new JobSubmitted(JOB, spec, AUTHOR));
+        d.writeApplied(new JobSubmitted(JOB, spec, AUTHOR));
         VmId a = VmId.of("claims1");
         VmId b = VmId.of("claims2");
-        d.applied(new TaskIntended(JOB, 0, a, TaskAction.START, 1));
-        d.refused(VoidReason.WRONG_PHASE, new TaskIntended(JOB, 0, b, TaskAction.START, 2));
-        d.applied(new TaskConfirmed(JOB, 0, a, 1, TaskOutcome.LOST));
-        d.applied(new TaskIntended(JOB, 0, b, TaskAction.START, 2));
-        d.refused(VoidReason.STALE_VERSION, new TaskConfirmed(JOB, 0, a, 1, TaskOutcome.RUNNING));
-        d.applied(new JobCancelled(JOB, AUTHOR));
-        d.refused(VoidReason.WRONG_PHASE, new JobCancelled(JOB, AUTHOR));
-        d.applied(new TaskIntended(JOB, 0, b, TaskAction.STOP, 2));
-        d.applied(new TaskConfirmed(JOB, 0, b, 2, TaskOutcome.STOPPED));
-        d.refused(VoidReason.WRONG_PHASE, new TaskIntended(JOB, 0, b, TaskAction.START, 3));
+        d.writeApplied(new TaskIntended(JOB, 0, a, TaskAction.START, 1));
+        d.writeRefused(VoidReason.WRONG_PHASE, new TaskIntended(JOB, 0, b, TaskAction.START, 2));
+        d.writeApplied(new TaskConfirmed(JOB, 0, a, 1, TaskOutcome.LOST));
+        d.writeApplied(new TaskIntended(JOB, 0, b, TaskAction.START, 2));
+        d.writeRefused(
+                VoidReason.STALE_VERSION, new TaskConfirmed(JOB, 0, a, 1, TaskOutcome.RUNNING));
+        d.writeApplied(new JobCancelled(JOB, AUTHOR));
+        d.writeRefused(VoidReason.WRONG_PHASE, new JobCancelled(JOB, AUTHOR));
+        d.writeApplied(new TaskIntended(JOB, 0, b, TaskAction.STOP, 2));
+        d.writeApplied(new TaskConfirmed(JOB, 0, b, 2, TaskOutcome.STOPPED));
+        d.writeRefused(VoidReason.WRONG_PHASE, new TaskIntended(JOB, 0, b, TaskAction.START, 3));
     }
 
     private static VmActionIntended step(FoldDriver d, String vm) {
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldCache.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldCache.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Folds logs from their start with the real fold; the last few are kept. */
+/** Folds logs from the start and caches the most recently used results. */
 final class FoldCache {
     private static final int KEPT = 2_000;
 
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
 
-/** Writes records to a fold of its own, one after the other. */
+/** Writes records to its own {@link FleetState}. */
 public final class FoldDriver {
     public static final Author AUTHOR = new Author("ivana", "test");
     public static final NodeId NODE = NodeId.of("entry-1");
@@ -23,7 +23,7 @@
     private final FleetState mState = new FleetState();
     private int mIds;
 
-    /** Two pools, each running a service of its name, with one VM in each of some racks. */
+    /** Returns two pools that run a service of the same name, with one VM in each rack. */
     public static FleetShape shape(int racks, int minAvailable) {
         Map<VmId, VmPlace> vms = new HashMap<>();
         Map<PoolId, PoolShape> pools = new HashMap<>();
@@ -39,11 +39,11 @@
         return new FleetShape(vms, pools, min);
     }
 
-    /** A fold in which all VMs of {@link #shape} serve. */
+    /** Returns a driver whose state has all VMs of {@link #shape} serving. */
     public static FoldDriver serving(int racks, int minAvailable) {
         FoldDriver d = new FoldDriver();
         FleetShape shape = shape(racks, minAvailable);
-        d.applied(new ConfigurationPublished("{}", Map.of(), shape, AUTHOR), configuration(0));
+        d.writeApplied(new ConfigurationPublished("{}", Map.of(), shape, AUTHOR), configuration(0));
         shape.vms().keySet().forEach(d::serve);
         return d;
     }
@@ -73,18 +73,18 @@
         return new LogRecord(id, NODE, Optional.empty(), expects, change, mState.basis());
     }
 
-    /** Writes a change that must take effect. */
-    public void applied(Change change) {
-        applied(change, Map.of());
+    /** Writes a change and asserts that it takes effect. */
+    public void writeApplied(Change change) {
+        writeApplied(change, Map.of());
     }
 
-    public void applied(Change change, Map<ObjectKey, Long> expects) {
+    public void writeApplied(Change change, Map<ObjectKey, Long> expects) {
         Verdict v = write(record(change, expects));
         assertTrue(v.isApplied(), v.toString());
     }
 
-    /** Writes a change that must be void. */
-    public void refused(VoidReason reason, Change change) {
+    /** Writes a change and asserts that it is void. */
+    public void writeRefused(VoidReason reason, Change change) {
         assertRefused(reason, write(record(change)));
     }
 
@@ -93,13 +93,13 @@
         assertEquals(((Verdict.Void) verdict).reason(), reason, verdict.toString());
     }
 
-    /** An intent for the VM as it is now. */
+    /** Returns an intent for the VM's current generation. */
     public VmActionIntended intent(String vm, VmAction action) {
         return new VmActionIntended(
                 VmId.of(vm), action, vm(vm).generation() + 1, Optional.empty(), AUTHOR);
     }
 
-    /** The outcome of what is pending on the VM. */
+    /** Returns the confirmation of the VM's pending action. */
     public VmActionConfirmed outcome(String vm, ActionOutcome outcome) {
         return new VmActionConfirmed(VmId.of(vm), vm(vm).generation(), outcome);
     }
@@ -114,6 +114,6 @@
 
     private void serve(VmId vm) {
         long generation = mState.vm(vm).orElseThrow().generation();
-        applied(new VmObserved(vm, generation, VmHealth.UP, AUTHOR));
+        writeApplied(new VmObserved(vm, generation, VmHealth.UP, AUTHOR));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
@@ -13,10 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Two controllers take turns, are paused and go on, two operators race them, answers are lost and
- * records come twice. In any order, a VM could end in two pools, a service below its budget, or a
- * configuration undone. Every order is tried on the real fold to a depth, and longer ones at
- * random.
+ * Checks the invariants of the fold over all orders of concurrent writers, pauses, lost answers and
+ * duplicate records up to a depth, and over longer random ones.
  */
 public class FoldExplorationTest {
     private static final int DEPTH = Integer.getInteger("foxtail.exploration.depth", 6);
@@ -30,21 +28,22 @@
         assertTrue(states > 10_000, "the exploration is too small: " + states);
     }
 
-    /** The second confirmation may arrive when the VM has been asked to wake again. */
+    /** Guards against a duplicate confirmation that arrives after the VM's next action. */
     @Test
     public void holdsInEveryOrderAfterAStop() {
-        long states = explore("a stop confirmed twice", start().confirmingAStop(), DEPTH - 1);
+        long states =
+                explore("a stop confirmed twice", start().withStopConfirmedTwice(), DEPTH - 1);
         assertTrue(states > 10_000, "the exploration is too small: " + states);
     }
 
-    private static long explore(String from, ExploredWorld start, int depth) {
+    private static long explore(String from, ExploredState start, int depth) {
         Set<String> seen = new HashSet<>();
-        List<ExploredWorld> frontier = List.of(start);
+        List<ExploredState> frontier = List.of(start);
         long steps = 0;
         for (int d = 1; d <= depth; d++) {
-            List<ExploredWorld> next = new ArrayList<>();
-            for (ExploredWorld w : frontier) {
-                for (ExploredWorld s : w.successors()) {
+            List<ExploredState> next = new ArrayList<>();
+            for (ExploredState w : frontier) {
+                for (ExploredState s : w.successors()) {
                     steps++;
                     if (seen.add(s.key())) {
                         FoldInvariants.check(s);
@@ -72,9 +71,9 @@
         Random random = new Random(SEED);
         int longest = 0;
         for (int walk = 0; walk < WALKS; walk++) {
-            ExploredWorld w = start();
+            ExploredState w = start();
             for (int i = 0; i < WALK_LENGTH; i++) {
-                List<ExploredWorld> next = w.successors();
+                List<ExploredState> next = w.successors();
                 w = next.get(random.nextInt(next.size()));
                 FoldInvariants.check(w);
             }
@@ -92,7 +91,7 @@
                         + longest);
     }
 
-    /** A fold that starts from a snapshot anywhere ends in the same state. */
+    /** Asserts that folding from any snapshot ends in the same state. */
     private static void checkSnapshots(List<LogRecord> log) {
         FleetState whole = new FleetState();
         List<FleetSnapshot> snapshots = new ArrayList<>();
@@ -120,7 +119,7 @@
                 Set.copyOf(s.epochs()));
     }
 
-    private static ExploredWorld start() {
+    private static ExploredState start() {
         List<LogRecord> log = new ArrayList<>();
         FoldDriver d = new FoldDriver();
         FleetShape shape = FoldDriver.shape(4, 2);
@@ -132,7 +131,7 @@
             log.add(r);
             d.write(r);
         }
-        log.add(d.record(new EpochTaken(FoldDriver.ZONE, 0, ExploredWorld.node(0))));
-        return ExploredWorld.start(log);
+        log.add(d.record(new EpochTaken(FoldDriver.ZONE, 0, ExploredState.node(0))));
+        return ExploredState.start(log);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldInvariants.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldInvariants.java
@@ -15,17 +15,17 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 
-/** What must hold in every state, worked out by plain scans. */
+/** Checks the invariants of every state with full scans. */
 final class FoldInvariants {
     private FoldInvariants() {}
 
-    static void check(ExploredWorld world) {
-        FoldCache.Folded folded = world.folded();
+    static void check(ExploredState state) {
+        FoldCache.Folded folded = state.folded();
         checkPools(folded.state());
-        checkNothingTwice(folded);
+        checkNoDuplicates(folded);
         checkConfigurationChain(folded);
         checkEpochs(folded);
-        checkStopsArePaidFor(world, folded.state());
+        checkStopsAreCounted(state, folded.state());
         for (String service : new String[] {"claims", "photos"}) {
             checkBudget(folded.state(), ServiceId.of(service));
         }
@@ -42,7 +42,7 @@
         assertEquals(seen.size(), state.vms().size());
     }
 
-    /** Without unplanned failures, what serves outlives any one rack within the budget. */
+    /** Asserts that each service keeps its budget after the loss of any one rack. */
     static void checkBudget(FleetState state, ServiceId service) {
         Map<RackId, Integer> byRack = new HashMap<>();
         int serving = 0;
@@ -59,7 +59,7 @@
                 service + ": " + serving + " serve, " + worst + " of them in one rack");
     }
 
-    private static void checkNothingTwice(FoldCache.Folded folded) {
+    private static void checkNoDuplicates(FoldCache.Folded folded) {
         Set<RecordId> applied = new HashSet<>();
         for (int i = 0; i < folded.verdicts().size(); i++) {
             RecordId id = folded.records().get(i).id();
@@ -67,7 +67,7 @@
         }
     }
 
-    /** What a controller wrote took effect only while it held the epoch that it wrote under. */
+    /** Asserts that a controller's records took effect only while it held their epoch. */
     private static void checkEpochs(FoldCache.Folded folded) {
         long number = 0;
         Optional<NodeId> holder = Optional.empty();
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Each configuration that took effect was made from the one before it. */
+    /** Asserts that each applied configuration was based on the previous one. */
     private static void checkConfigurationChain(FoldCache.Folded folded) {
         long version = 0;
         for (int i = 0; i < folded.verdicts().size(); i++) {
@@ -97,11 +97,11 @@
         assertEquals(folded.state().version(ObjectKey.configuration()), version);
     }
 
-    /** Whatever the platform has stopped, by whichever controller and how late, is paid for. */
-    private static void checkStopsArePaidFor(ExploredWorld world, FleetState state) {
+    /** Asserts that no VM that the platform has stopped counts as serving. */
+    private static void checkStopsAreCounted(ExploredState explored, FleetState state) {
         for (VmState vm : state.vms()) {
             assertTrue(
-                    !world.isStopped(vm.id()) || vm.phase() != VmPhase.SERVING,
+                    !explored.isStopped(vm.id()) || vm.phase() != VmPhase.SERVING,
                     vm.id() + " is stopped and counted as serving");
         }
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/state/NotUnderstoodTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/NotUnderstoodTest.java
@@ -12,9 +12,7 @@
 import org.testng.annotations.Test;
 
 /**
- * In a rolling upgrade a newer node writes a kind of change that this one does not know. What
- * follows on the touched objects looks plausible here, yet the newer nodes judge it otherwise; an
- * older node that guessed would act on a state that nobody else has.
+ * Guards against state divergence when a newer node writes a kind of change that is unknown here.
  */
 public class NotUnderstoodTest {
     private static final ObjectKey VM = ObjectKey.of(VmId.of("claims1"));
@@ -23,26 +21,26 @@
     public void freezesWhatANewerKindTouches() {
         FoldDriver d = FoldDriver.serving(6, 2);
         VmActionIntended reboot = d.intent("claims1", VmAction.REBOOT);
-        d.refused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
+        d.writeRefused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
         assertTrue(d.state().isFrozen(VM));
-        d.refused(VoidReason.NOT_UNDERSTOOD, reboot);
+        d.writeRefused(VoidReason.NOT_UNDERSTOOD, reboot);
     }
 
     @Test
     public void freezesWhatDependsOnAFrozenBudget() {
         FoldDriver d = FoldDriver.serving(6, 2);
-        d.refused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
-        d.refused(VoidReason.NOT_UNDERSTOOD, d.intent("claims2", VmAction.REBOOT));
+        d.writeRefused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
+        d.writeRefused(VoidReason.NOT_UNDERSTOOD, d.intent("claims2", VmAction.REBOOT));
         assertTrue(d.state().isFrozen(ObjectKey.of(VmId.of("claims2"))));
-        d.applied(d.intent("photos1", VmAction.REBOOT));
+        d.writeApplied(d.intent("photos1", VmAction.REBOOT));
     }
 
     @Test
-    public void goesOnWithOtherObjects() {
+    public void appliesChangesOfOtherObjects() {
         FoldDriver d = FoldDriver.serving(6, 2);
-        d.refused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
-        d.applied(new PoolTargetChanged(PoolId.of("photos"), 3, 0, AUTHOR));
-        d.applied(new EpochTaken(ZoneId.of("sofia-1"), 0, NodeId.of("entry-1")));
+        d.writeRefused(VoidReason.NOT_UNDERSTOOD, new NotUnderstood(Set.of(VM)));
+        d.writeApplied(new PoolTargetChanged(PoolId.of("photos"), 3, 0, AUTHOR));
+        d.writeApplied(new EpochTaken(ZoneId.of("sofia-1"), 0, NodeId.of("entry-1")));
     }
 
     @Test
--- a/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
@@ -13,10 +13,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How a configuration is published: as a whole or as a patch. */
+/** Tests whether a configuration is published whole or as a patch. */
 public class PublicationTest {
     private static final ZoneId SITE = ZoneId.of("sofia-2");
-    private static final String FILLER = "\"filler\":\"" + "x".repeat(Publication.MAX_WHOLE) + "\"";
+    private static final String FILLER =
+            "\"filler\":\"" + "x".repeat(Publication.MAX_FULL_LENGTH) + "\"";
 
     @DataProvider
     public static Object[][] pairs() {
@@ -31,10 +32,10 @@
     }
 
     @Test(dataProvider = "pairs")
-    public void findsThePatchThatLeadsFromOneToTheOther(String from, String to) {
+    public void computesThePatchBetweenTwoObjects(String from, String to) {
         ObjectNode target = MergePatch.parse(to).orElseThrow();
         ObjectNode patch =
-                MergePatch.between(MergePatch.parse(from).orElseThrow(), target).orElseThrow();
+                MergePatch.diff(MergePatch.parse(from).orElseThrow(), target).orElseThrow();
         assertEquals(MergePatch.merge(MergePatch.parse(from).orElseThrow(), patch), target);
     }
 
@@ -48,7 +49,7 @@
         assertTrue(c instanceof ConfigurationChanged, c.toString());
         assertEquals(((ConfigurationChanged) c).basePatch(), "{\"n\":2}");
         assertTrue(((ConfigurationChanged) c).shapePatch().vms().isEmpty());
-        d.applied(c, configuration(version(d)));
+        d.writeApplied(c, configuration(version(d)));
         assertEquals(
                 MergePatch.parse(d.state().configuration().orElseThrow().base()),
                 MergePatch.parse(p.base()));
@@ -56,7 +57,7 @@
     }
 
     @Test
-    public void publishesAsAWholeWhatAPatchCannotSay() {
+    public void publishesWholeWhatAPatchCannotExpress() {
         FoldDriver d = published("{" + FILLER + "}");
         FleetShape same = FoldDriver.shape(4, 2);
         assertWhole(d, "{" + FILLER + ",\"n\":null}", Map.of(SITE, "{}"), same);
@@ -65,9 +66,9 @@
         assertWhole(d, "{\"n\":1}", Map.of(SITE, "{}"), same);
     }
 
-    /** The state here lags behind the version that the operator saw elsewhere. */
+    /** Guards against a patch for a version that this node has not folded yet. */
     @Test
-    public void publishesAsAWholeOnAVersionThatIsNotKnownHere() {
+    public void publishesWholeOnAnUnknownVersion() {
         FoldDriver d = published("{" + FILLER + "}");
         FleetShape shape = FoldDriver.shape(4, 2);
         String base = "{" + FILLER + ",\"n\":1}";
@@ -89,7 +90,7 @@
 
     private static FoldDriver published(String base) {
         FoldDriver d = FoldDriver.serving(4, 2);
-        d.applied(
+        d.writeApplied(
                 new ConfigurationPublished(
                         base, Map.of(SITE, "{}"), FoldDriver.shape(4, 2), AUTHOR),
                 configuration(d.state().version(ObjectKey.configuration())));
