--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferHistory.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferHistory.java
@@ -6,14 +6,14 @@
 import org.foxtailplank.internal.buffer.PoolHistory;
 
 /**
- * What a controller remembers between plans; one that starts anew begins with none.
+ * History that a controller keeps in memory between plans.
  *
  * @param pools history of each pool
- * @param moved time of the last move of each VM that moved lately
+ * @param moved time of the last move of each VM that moved within the cooldown
  */
 public record BufferHistory(Map<PoolId, PoolHistory> pools, Map<VmId, Long> moved) {
 
-    /** Nothing is remembered. */
+    /** Returns an empty history. */
     public static BufferHistory none() {
         return new BufferHistory(Map.of(), Map.of());
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlan.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlan.java
@@ -6,13 +6,13 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * Which VMs to wake, to put to sleep and to move.
+ * VMs to wake, to put to sleep and to move.
  *
  * @param wake VMs to power on
  * @param sleep VMs to drain and power off
- * @param moves VMs to give to another pool
- * @param wants what each pool wants
- * @param history history to hand to the next plan
+ * @param moves VMs to move to another pool
+ * @param wants wanted number of VMs for each pool
+ * @param history history for the next plan
  */
 public record BufferPlan(
         List<VmId> wake,
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlanner.java
@@ -4,14 +4,14 @@
 import org.foxtailplank.settings.FleetSettings;
 import org.foxtailplank.state.FleetView;
 
-/** Decides which VMs are powered on; a pure function of what it is given. */
+/** Decides which VMs are powered on; a pure function of its arguments. */
 public interface BufferPlanner {
 
-    /** A planner that follows demand as far as it can grow during a wake. */
+    /** Returns a planner that covers demand and its growth during one wake. */
     static BufferPlanner byDemand(FleetSettings settings) {
         return new DemandBufferPlanner(settings);
     }
 
-    /** What to wake, put to sleep and move at a time. */
-    BufferPlan plan(FleetView view, Observation seen, BufferHistory history, long nowMs);
+    /** Plans which VMs to wake, put to sleep and move. */
+    BufferPlan plan(FleetView view, Observation observation, BufferHistory history, long nowMs);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/Explanation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/Explanation.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Why something is where it is.
+ * The reasons for the state of an object.
  *
- * @param subject what is explained, for example {@code vm v1}
- * @param reasons the reasons, the weightiest first
+ * @param subject explained object, for example {@code vm v1}
+ * @param reasons the reasons, most important first
  */
 public record Explanation(String subject, List<Reason> reasons) {
 
@@ -17,9 +17,9 @@
     /**
      * One reason.
      *
-     * @param kind kind of the reason, for programs
-     * @param text the reason in words
-     * @param waitsFor what the next decision waits for; empty for nothing
+     * @param kind machine-readable kind
+     * @param text human-readable reason
+     * @param waitsFor condition that the next decision waits for; may be empty
      */
     public record Reason(ReasonKind kind, String text, String waitsFor) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/FleetExplainer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/FleetExplainer.java
@@ -15,27 +15,27 @@
 import org.foxtailplank.state.WaveState;
 
 /**
- * Says why a VM, a pool or a wave is where it is, and what the next decision waits for.
+ * Explains the state of a VM, a pool or a wave, and what the next decision waits for.
  *
- * @param view the agreed state
- * @param seen what the controller sees beside it
- * @param buffer the last plan of the buffer
+ * @param view the state folded from the log
+ * @param observation the controller's observation
+ * @param buffer the last buffer plan
  */
-public record FleetExplainer(FleetView view, Observation seen, BufferPlan buffer) {
+public record FleetExplainer(FleetView view, Observation observation, BufferPlan buffer) {
 
-    /** Why a VM is where it is; empty for an unknown one. */
+    /** Explains the state of a VM; empty for an unknown one. */
     public Optional<Explanation> vm(VmId id) {
         return view.vm(id).map(v -> new Explanation("vm " + id, reasons(v)));
     }
 
     private List<Reason> reasons(VmState vm) {
         List<Reason> reasons = new ArrayList<>();
-        if (seen.notServing().contains(vm.id())) {
+        if (observation.notServing().contains(vm.id())) {
             reasons.add(
                     new Reason(
                             ReasonKind.FAILED,
-                            "it does not serve though it should",
-                            "the VM to answer, or the platform to say what became of it"));
+                            "it does not serve although it should",
+                            "an answer of the VM, or a status from the platform"));
         }
         vm.pending()
                 .ifPresent(
@@ -52,7 +52,7 @@
                                         new Reason(
                                                 ReasonKind.MOVING,
                                                 "it leaves pool " + vm.pool() + " for pool " + to,
-                                                "its drain to end")));
+                                                "the end of its drain")));
         reasons.add(ofPhase(vm));
         return reasons;
     }
@@ -74,7 +74,7 @@
             case BROKEN ->
                     new Reason(
                             ReasonKind.FAILED,
-                            "its last action failed, or it was seen down",
+                            "its last action failed, or it was observed down",
                             "the VM to serve again, or an operator");
         };
     }
@@ -85,7 +85,7 @@
                 .orElse("no plan yet");
     }
 
-    /** Why a pool has what it has; empty for an unknown one. */
+    /** Explains the size of a pool; empty for an unknown one. */
     public Optional<Explanation> pool(PoolId id) {
         return view.pool(id).map(p -> new Explanation("pool " + id, reasons(p)));
     }
@@ -102,7 +102,7 @@
                     new Reason(
                             ReasonKind.NO_ROOM,
                             "it lacks " + want.missing() + " VMs even with all of its VMs on",
-                            "spare VMs of other pools, for as long as the cooldown of moves"));
+                            "spare VMs of other pools for the move cooldown"));
         }
         buffer.moves().stream()
                 .filter(m -> m.to().equals(pool.id()) || m.from().equals(pool.id()))
@@ -117,7 +117,7 @@
         return want.on() > want.wanted() ? "the surplus to last a few wakes" : "";
     }
 
-    /** Why a wave is where it is; empty for an unknown one. */
+    /** Explains the state of a wave; empty for an unknown one. */
     public Optional<Explanation> wave(WaveId id, WavePlanner planner) {
         return view.wave(id).map(w -> new Explanation("wave " + id, reasons(w, planner)));
     }
@@ -134,7 +134,7 @@
     }
 
     private List<Reason> inZone(WaveState wave, ZoneId zone, WavePlanner planner) {
-        WaveDecision next = planner.next(view, wave, zone, seen);
+        WaveDecision next = planner.next(view, wave, zone, observation);
         String at = "zone " + zone + ": ";
         if (next instanceof WaveDecision.Go go) {
             List<Reason> reasons = new ArrayList<>();
@@ -144,13 +144,17 @@
             return reasons;
         } else if (next instanceof WaveDecision.Hold hold) {
             return hold.limits().isEmpty()
-                    ? List.of(new Reason(ReasonKind.WAVE, at + "all steps are under way", "them"))
+                    ? List.of(
+                            new Reason(
+                                    ReasonKind.WAVE,
+                                    at + "all steps are in progress",
+                                    "their VMs to serve"))
                     : hold.limits().stream().map(l -> ofLimit(at, l)).toList();
         } else if (next instanceof WaveDecision.Pause pause) {
             return List.of(
                     new Reason(ReasonKind.FAILED, at + pause.reason(), "an operator to resume it"));
         } else if (next instanceof WaveDecision.Finished finished) {
-            String text = at + "done, " + finished.leftOut().size() + " VMs left out";
+            String text = at + "done, " + finished.leftOut().size() + " VMs skipped";
             return List.of(new Reason(ReasonKind.SETTLED, text, ""));
         }
         return List.of(new Reason(ReasonKind.SETTLED, at + "finished", ""));
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/LimitKind.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/LimitKind.java
@@ -1,15 +1,15 @@
 package org.foxtailplank.fleet;
 
-/** What keeps a wave from stopping more VMs now. */
+/** Limits on the number of VMs that a wave may stop now. */
 public enum LimitKind {
     /** One more stop and the loss of one more rack would break the budget. */
     BUDGET,
-    /** The budget is used up by failures; the wave waits until VMs serve again. */
+    /** Failures have exhausted the budget; the wave waits until VMs serve again. */
     FAILURES,
-    /** The measured demand needs the VMs that serve. */
+    /** The measured demand requires the serving VMs. */
     DEMAND,
-    /** Not even with every VM serving could one be stopped; settings must change. */
+    /** The budget would not allow a stop even if every VM served; settings must change. */
     NEVER,
-    /** The wave widens only as its VMs come back well. */
+    /** The step width is limited by the VMs that were maintained successfully. */
     RAMP
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/Observation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/Observation.java
@@ -6,10 +6,10 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * What a controller sees of the fleet beside the log; it lags and may be wrong.
+ * A controller's view of the fleet from outside the log; it lags and may be wrong.
  *
- * @param notServing VMs that should serve and do not, as the platform or their silence says
- * @param use measured use of each pool that reports any
+ * @param notServing VMs that should serve but do not, according to the platform or missing reports
+ * @param use measured use of each pool that reports it
  */
 public record Observation(Set<VmId> notServing, Map<PoolId, PoolUse> use) {
 
@@ -18,7 +18,7 @@
         use = Map.copyOf(use);
     }
 
-    /** Nothing is reported, so every VM counts as the log says. */
+    /** Returns an observation without reports: every VM counts as in the log. */
     public static Observation none() {
         return new Observation(Set.of(), Map.of());
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementAction.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementAction.java
@@ -4,14 +4,14 @@
 import org.foxtailplank.state.TaskAction;
 
 /**
- * What a worker is to be asked to do with a task.
+ * An action on a task to request from a worker.
  *
  * @param task the task
  * @param worker the worker
  * @param action the action
  * @param attempt attempt number; fences earlier ones
- * @param repeated whether its intent stands in the log, so that only the call is made again
- * @param why reason, for the log
+ * @param repeated whether its intent is in the log already, so that only the call is repeated
+ * @param why reason, for log output
  */
 public record PlacementAction(
         TaskId task, VmId worker, TaskAction action, long attempt, boolean repeated, String why) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementDecision.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementDecision.java
@@ -6,12 +6,12 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * What follows from the state of the tasks at a time.
+ * Result of one placement decision.
  *
- * @param actions actions to intend and to ask for
- * @param lapsed tasks whose lease has lapsed, to be recorded as lost
- * @param refused jobs that will never run, each with the reason, said once
- * @param quarantined workers that get no tasks for a while, each with the reason, said once
+ * @param actions actions to intend and to request
+ * @param lapsed tasks whose lease has expired, to be recorded as lost
+ * @param refused jobs that can't run, each with the reason; reported once
+ * @param quarantined newly quarantined workers, each with the reason; reported once
  */
 public record PlacementDecision(
         List<PlacementAction> actions,
@@ -20,11 +20,11 @@
         Map<VmId, String> quarantined) {
 
     /**
-     * A task whose worker has been silent beyond its lease.
+     * A task whose worker has not renewed its lease.
      *
      * @param task the task
      * @param worker the worker
-     * @param attempt attempt number that is over
+     * @param attempt attempt number that has ended
      */
     public record LapsedTask(TaskId task, VmId worker, long attempt) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementSettings.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementSettings.java
@@ -3,22 +3,23 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of placement.
+ * Timeouts and limits of placement.
  *
- * @param lease time for which a worker may run a task without being heard
- * @param answerPatience time after which an unanswered action is asked for again
- * @param checkpointPatience time that batch work gets to checkpoint before urgent work stops it
- * @param firstQuarantine time that a failing worker is left out at first; doubles each time
- * @param mostActions actions of one decision
+ * @param lease time for which a worker may run a task without renewing the lease
+ * @param answerTimeout time after which an unanswered action is repeated
+ * @param checkpointTimeout time that a batch task gets to checkpoint before it is stopped for
+ *     urgent work
+ * @param firstQuarantine first quarantine of a failing worker; doubles with each further one
+ * @param mostActions maximum number of actions in one decision
  */
 public record PlacementSettings(
         Duration lease,
-        Duration answerPatience,
-        Duration checkpointPatience,
+        Duration answerTimeout,
+        Duration checkpointTimeout,
         Duration firstQuarantine,
         int mostActions) {
 
-    /** Bounds that keep urgent starts within 4.4 s. */
+    /** Returns the default settings, which keep urgent starts within 4.4 s. */
     public static PlacementSettings standard() {
         return new PlacementSettings(
                 Duration.ofSeconds(30),
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/Placer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/Placer.java
@@ -10,45 +10,45 @@
 import org.foxtailplank.state.TaskState;
 
 /**
- * Decides which worker runs which task.
+ * Assigns tasks to workers.
  *
- * <p>It is an index that is told each change, so that a decision costs in proportion to what has
- * changed and not to the fleet. It holds nothing that the log and the workers could not tell anew.
+ * <p>Updated incrementally, so that the cost of a decision depends on the changes and not on the
+ * size of the fleet. Holds only state that can be rebuilt from the log and the workers' reports.
  */
 public interface Placer {
 
-    /** A placer that knows nothing yet. */
+    /** Returns a new placer without workers and jobs. */
     static Placer indexed(PlacementSettings settings) {
         return new IndexedPlacer(settings);
     }
 
-    /** The share of each team under contention. */
+    /** Sets the share of each team under contention. */
     void quotas(Map<TeamId, Double> quotas);
 
-    /** A worker is new or has changed. */
+    /** Adds or updates a worker. */
     void worker(Worker worker, long nowMs);
 
-    /** A worker is gone; its tasks stay until their leases lapse. */
+    /** Removes a worker; its tasks remain until their leases expire. */
     void workerGone(VmId worker, long nowMs);
 
-    /** A job is new, was cancelled, or is read anew from a snapshot. */
+    /** Adds or updates a job: a new one, a cancelled one, or one restored from a snapshot. */
     void job(JobState job, long nowMs);
 
-    /** One task has changed in the log. */
+    /** Updates one task after a change in the log. */
     void task(TaskId task, TaskState state, long nowMs);
 
-    /** A worker's report has arrived. */
+    /** Applies a worker's report. */
     void report(WorkerReport report, long nowMs);
 
-    /** A worker has renewed the lease of a task. */
+    /** Records that a worker renewed the lease of a task. */
     void renewed(TaskId task, long nowMs);
 
-    /** What to do now. */
+    /** Returns the actions to take now. */
     PlacementDecision decide(long nowMs);
 
-    /** Why a job is where it is; empty for an unknown one. */
+    /** Explains the state of a job; empty for an unknown one. */
     Optional<Explanation> explain(JobId job, long nowMs);
 
-    /** Why a worker gets tasks or gets none; empty for an unknown one. */
+    /** Explains why a worker gets tasks or none; empty for an unknown one. */
     Optional<Explanation> explain(VmId worker, long nowMs);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PoolUse.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PoolUse.java
@@ -3,9 +3,9 @@
 /**
  * Measured use of a pool.
  *
- * @param atMs time at which it was measured; reports arrive later than that
- * @param vms use in VMs that would be fully busy
- * @param declared target that was declared at that time
+ * @param atMs time of the measurement; reports arrive later
+ * @param vms use, in fully loaded VMs
+ * @param declared target declared at that time
  */
 public record PoolUse(long atMs, double vms, int declared) {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PoolWant.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PoolWant.java
@@ -1,17 +1,17 @@
 package org.foxtailplank.fleet;
 
 /**
- * How many VMs of a pool should be powered on, and what that number is made of.
+ * The number of VMs of a pool that should be powered on, and its components.
  *
- * @param on VMs that serve or are on their way
- * @param wanted VMs that should
- * @param available VMs that could: all but the broken and silent ones
- * @param missing VMs wanted beyond those that could be on
+ * @param on VMs that serve or are starting
+ * @param wanted VMs that should be powered on
+ * @param available VMs that could be powered on: all except broken and silent ones
+ * @param missing VMs wanted beyond the available ones
  * @param demand estimated demand in VMs now
  * @param growth VMs by which demand can grow during a wake
  * @param reserve VMs kept for the loss of the largest rack
  * @param surge VMs powered on so that a running wave can stop more
- * @param measured whether the estimate rests on a fresh measurement
+ * @param measured whether the estimate is based on a fresh measurement
  */
 public record PoolWant(
         int on,
@@ -24,7 +24,7 @@
         int surge,
         boolean measured) {
 
-    /** The number in words. */
+    /** Returns a human-readable summary. */
     public String text() {
         return String.format(
                 "%d on, %d wanted: demand %.1f (%s), growth during a wake %.1f, rack reserve %d,"
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/ReasonKind.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/ReasonKind.java
@@ -1,31 +1,31 @@
 package org.foxtailplank.fleet;
 
-/** Kinds of reasons why something is where it is. */
+/** Kinds of reasons in an explanation. */
 public enum ReasonKind {
-    /** It is as it should be. */
+    /** The object is in its intended state. */
     SETTLED,
-    /** An action was intended and is not confirmed. */
+    /** An action was intended and is not yet confirmed. */
     ACTION_PENDING,
-    /** It is on its way to another pool. */
+    /** The VM is moving to another pool. */
     MOVING,
-    /** It is powered on for demand, growth or a reserve. */
+    /** The VM is powered on for demand, growth or a reserve. */
     WANTED,
-    /** It is powered off because nothing needs it. */
+    /** The VM is not needed, or does not serve. */
     NOT_WANTED,
-    /** It does not serve though it should. */
+    /** The VM does not serve although it should. */
     FAILED,
-    /** An availability budget holds it back. */
+    /** An availability budget does not allow the action. */
     BUDGET,
-    /** A maintenance wave waits for it, or it for a wave. */
+    /** A step of a maintenance wave is possible or in progress. */
     WAVE,
-    /** An operator or a controller has ordered it. */
+    /** An operator or a controller requested it. */
     ORDERED,
-    /** No worker has room. */
+    /** There is not enough free capacity. */
     NO_ROOM,
-    /** Its team has more than its share. */
+    /** The team exceeds its quota. */
     QUOTA,
-    /** It can never run. */
+    /** It can't happen without a change of settings, job or pool. */
     NEVER,
-    /** It gets no tasks because those it started failed. */
+    /** The worker is quarantined because its tasks failed. */
     QUARANTINED
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/Resources.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/Resources.java
@@ -3,7 +3,7 @@
 import org.foxtailplank.state.JobSpec;
 
 /**
- * An amount of what a worker offers and a task takes.
+ * An amount of resources that a worker offers or a task uses.
  *
  * @param milliProcessors thousandths of a processor core
  * @param memoryBytes memory
@@ -13,14 +13,14 @@
 
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    private static final long MILLI = 1000;
+    private static final long MILLI_PER_PROCESSOR = 1000;
 
-    /** Whole processors, memory and accelerators. */
+    /** Returns an amount with whole processors. */
     public static Resources of(int processors, long memoryBytes, int accelerators) {
-        return new Resources(processors * MILLI, memoryBytes, accelerators);
+        return new Resources(processors * MILLI_PER_PROCESSOR, memoryBytes, accelerators);
     }
 
-    /** What one task of a job declares. */
+    /** Returns the amount that a job declares for each task. */
     public static Resources declaredBy(JobSpec spec) {
         return of(spec.processors(), spec.memoryBytes(), spec.accelerators());
     }
@@ -39,12 +39,12 @@
                 accelerators - other.accelerators);
     }
 
-    /** Whether this amount is within the other one. */
+    /** Returns whether this amount is within the other one. */
     public boolean fitsIn(Resources room) {
         return milliProcessors <= room.milliProcessors && fitsButProcessors(room);
     }
 
-    /** Whether this amount is within the other one, processors aside. */
+    /** Returns whether this amount is within the other one, ignoring processors. */
     public boolean fitsButProcessors(Resources room) {
         return memoryBytes <= room.memoryBytes && accelerators <= room.accelerators;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/TaskId.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/TaskId.java
@@ -3,7 +3,7 @@
 import org.foxtailplank.id.JobId;
 
 /**
- * Names one task of a job.
+ * Identifies a task of a job.
  *
  * @param job the job
  * @param index index of the task in the job
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/VmMove.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/VmMove.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * A VM that is to change its pool.
+ * A planned move of a VM to another pool.
  *
  * @param vm the VM, powered off
- * @param from pool that can spare it
- * @param to pool that is short of it
+ * @param from current pool, which has a surplus
+ * @param to new pool, which has a shortage
  * @param reason why, for operators
  */
 public record VmMove(VmId vm, PoolId from, PoolId to, String reason) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveDecision.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveDecision.java
@@ -3,38 +3,38 @@
 import java.util.List;
 import org.foxtailplank.id.VmId;
 
-/** What a wave does next in one availability zone. */
+/** The next action of a wave in one availability zone. */
 public sealed interface WaveDecision {
 
     /**
      * Reboot these VMs now.
      *
-     * @param step the VMs, and what limits their number
+     * @param step the VMs, and the limits of their number
      */
     record Go(WaveStep step) implements WaveDecision {}
 
     /**
      * Start nothing now.
      *
-     * @param limits what it waits for; empty while its last VMs are on their way
+     * @param limits limits that the wave waits for; empty while its last steps are in progress
      */
     record Hold(List<WaveLimit> limits) implements WaveDecision {}
 
     /**
-     * Pause the wave: VMs fail after its steps.
+     * Pause the wave because VMs failed after its steps.
      *
      * @param reason why, for operators
-     * @param failed the VMs that failed since the wave was last ordered to run
+     * @param failed the VMs that failed since the last command to the wave
      */
     record Pause(String reason, List<VmId> failed) implements WaveDecision {}
 
     /**
-     * Every VM of the zone is done.
+     * The wave is finished in the zone.
      *
      * @param leftOut VMs that do not serve and were not maintained
      */
     record Finished(List<VmId> leftOut) implements WaveDecision {}
 
-    /** The wave does not run here, so nothing is done. */
+    /** The wave is not running in the zone. */
     record Idle() implements WaveDecision {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveLimit.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveLimit.java
@@ -4,14 +4,14 @@
 import org.foxtailplank.id.RackId;
 
 /**
- * What limits the width of a wave's step, for one service or one pool without a service.
+ * A limit of the width of a step, for one service or one pool without a service.
  *
  * @param kind kind of the limit
  * @param subject the service or the pool
- * @param rack rack that holds most of its serving VMs, whose loss is kept in reserve
+ * @param rack rack with the most serving VMs, whose loss the limit covers
  * @param serving VMs that serve
  * @param needed VMs that must serve
- * @param reserved VMs kept for the loss of the rack
+ * @param reserved VMs reserved for the loss of the rack
  * @param width VMs of the subject that the step stops
  */
 public record WaveLimit(
@@ -23,7 +23,7 @@
         int reserved,
         int width) {
 
-    /** The limit in words. */
+    /** Returns a human-readable description. */
     public String text() {
         String numbers =
                 String.format(
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WavePlan.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WavePlan.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * All steps of a wave, if nothing fails meanwhile.
+ * All steps of a wave, provided that nothing fails.
  *
  * @param steps the steps in order
- * @param blocked limits of the VMs that no step can reach; empty when the wave can end
+ * @param blocked limits that keep the remaining VMs from any step; empty if the wave can finish
  */
 public record WavePlan(List<WaveStep> steps, List<WaveLimit> blocked) {
 
@@ -15,7 +15,7 @@
         blocked = List.copyOf(blocked);
     }
 
-    /** Number of VMs in all steps. */
+    /** Returns the number of VMs in all steps. */
     public int vms() {
         return steps.stream().mapToInt(WaveStep::width).sum();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WavePlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WavePlanner.java
@@ -5,17 +5,17 @@
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.WaveState;
 
-/** Decides the next step of a maintenance wave; a pure function of what it is given. */
+/** Decides the next step of a maintenance wave; a pure function of its arguments. */
 public interface WavePlanner {
 
-    /** A planner that goes rack by rack. */
+    /** Returns a planner that maintains rack by rack. */
     static WavePlanner byRack() {
         return new RackWavePlanner();
     }
 
-    /** What the wave does next in a zone. */
-    WaveDecision next(FleetView view, WaveState wave, ZoneId zone, Observation seen);
+    /** Returns the next action of a wave in a zone. */
+    WaveDecision next(FleetView view, WaveState wave, ZoneId zone, Observation observation);
 
-    /** All steps of the wave, its zones together, if nothing fails meanwhile. */
-    WavePlan plan(FleetView view, WaveState wave, Observation seen);
+    /** Returns all steps of a wave over all of its zones, provided that nothing fails. */
+    WavePlan plan(FleetView view, WaveState wave, Observation observation);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WaveStep.java
@@ -5,11 +5,11 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * VMs of a wave that may be stopped at once.
+ * VMs of a wave that may be stopped together.
  *
  * @param vms the VMs, rack by rack
- * @param racks the racks they stand in
- * @param limits what keeps the step from being wider
+ * @param racks the racks of these VMs
+ * @param limits limits of the step's width
  */
 public record WaveStep(List<VmId> vms, List<RackId> racks, List<WaveLimit> limits) {
 
@@ -19,7 +19,7 @@
         limits = List.copyOf(limits);
     }
 
-    /** Number of VMs stopped at once. */
+    /** Returns the number of VMs that are stopped together. */
     public int width() {
         return vms.size();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/WorkerReport.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/WorkerReport.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.VmId;
 
 /**
- * What a worker said of its tasks; it lags.
+ * A worker's report of its running tasks; it lags.
  *
  * @param worker the worker
- * @param asOfMs time of which it speaks
- * @param tasks tasks that it runs
+ * @param asOfMs time of the report's measurements
+ * @param tasks tasks that the worker runs
  */
 public record WorkerReport(VmId worker, long asOfMs, List<Running> tasks) {
 
@@ -21,7 +21,7 @@
      *
      * @param task the task
      * @param attempt attempt number under which it was started
-     * @param used what it uses
+     * @param used resources that the task uses
      */
     public record Running(TaskId task, long attempt, Resources used) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
@@ -23,14 +23,17 @@
 import org.foxtailplank.state.PoolState;
 import org.foxtailplank.state.VmState;
 
-/** Wakes as much as demand can grow by during a wake, and sleeps what was not needed for long. */
+/**
+ * Wakes VMs for the growth of demand during one wake, and puts VMs to sleep after a sustained
+ * surplus.
+ */
 public final class DemandBufferPlanner implements BufferPlanner {
 
-    /** Reports older than so many wakes say nothing about now. */
+    /** Age, in wake times, from which a measurement is stale. */
     private static final int STALE_WAKES = 10;
 
-    /** A surplus lasts at least so many wakes before it is put to sleep. */
-    private static final int SLEEP_HOLD_WAKES = 3;
+    /** Minimum duration of a surplus, in wake times, before VMs are put to sleep. */
+    private static final int MIN_SURPLUS_WAKES = 3;
 
     private final FleetSettings mSettings;
     private final long mWakeMs;
@@ -41,33 +44,34 @@
     }
 
     @Override
-    public BufferPlan plan(FleetView view, Observation seen, BufferHistory history, long nowMs) {
-        Budgets budgets = Budgets.of(view, seen);
-        WaveCover cover = WaveCover.of(view);
+    public BufferPlan plan(
+            FleetView view, Observation observation, BufferHistory history, long nowMs) {
+        Budgets budgets = Budgets.of(view, observation);
+        WavePools cover = WavePools.of(view);
         Map<PoolId, Integer> incoming = incoming(view);
         Map<PoolId, PoolHistory> pools = new HashMap<>();
         Map<PoolId, PoolWant> wants = new TreeMap<>();
         Map<PoolId, PoolRacks> racksOf = new TreeMap<>();
         List<VmId> wake = new ArrayList<>();
         List<VmId> sleep = new ArrayList<>();
-        List<PoolState> inOrder =
+        List<PoolState> sortedPools =
                 view.pools().stream().sorted(Comparator.comparing(PoolState::id)).toList();
-        for (PoolState pool : inOrder) {
+        for (PoolState pool : sortedPools) {
             PoolHistory before = history.pools().getOrDefault(pool.id(), PoolHistory.none());
-            PoolRacks racks = PoolRacks.of(view.vmsOf(pool.id()), seen);
-            DemandEstimate demand = estimate(before.demand(), pool, seen, nowMs);
-            double surge = cover.covers(pool.id()) ? mSettings.rolloutWeight() : -1;
+            PoolRacks racks = PoolRacks.of(view.vmsOf(pool.id()), observation);
+            DemandEstimate demand = estimate(before.demand(), pool, observation, nowMs);
+            double surge = cover.contains(pool.id()) ? mSettings.rolloutWeight() : -1;
             WantedCount wanted = wanted(pool, demand, budgets.of(pool.id()), racks, surge, nowMs);
-            wants.put(pool.id(), wanted.want(racks));
+            wants.put(pool.id(), wanted.toPoolWant(racks));
             int arriving = incoming.getOrDefault(pool.id(), 0);
-            PoolHistory after = remember(before, demand, wanted, racks, arriving, nowMs);
+            PoolHistory after = nextHistory(before, demand, wanted, racks, arriving, nowMs);
             wake.addAll(wake(racks, wanted));
-            int lasting = after.surplus().lasting(nowMs, SLEEP_HOLD_WAKES * mWakeMs);
+            int lasting = after.surplus().sustained(nowMs, MIN_SURPLUS_WAKES * mWakeMs);
             sleep.addAll(sleep(racks, wanted, budgets.of(pool.id()), lasting));
             pools.put(pool.id(), lasting > 0 ? after.afterSleep() : after);
             racksOf.put(pool.id(), racks);
         }
-        Map<VmId, Long> moved = recent(history.moved(), nowMs);
+        Map<VmId, Long> moved = recentMoves(history.moved(), nowMs);
         List<VmMove> moves = new PoolMover(mSettings, pools, racksOf, moved).moves(nowMs);
         for (VmMove move : moves) {
             moved.put(move.vm(), nowMs);
@@ -78,13 +82,13 @@
     }
 
     private DemandEstimate estimate(
-            DemandEstimate before, PoolState pool, Observation seen, long nowMs) {
-        PoolUse use = seen.use().get(pool.id());
+            DemandEstimate before, PoolState pool, Observation observation, long nowMs) {
+        PoolUse use = observation.use().get(pool.id());
         if (use == null) {
             return before;
         }
         long lag = Math.max(0, nowMs - use.atMs());
-        return before.seen(use, mWakeMs + Math.min(lag, STALE_WAKES * mWakeMs));
+        return before.update(use, mWakeMs + Math.min(lag, STALE_WAKES * mWakeMs));
     }
 
     private WantedCount wanted(
@@ -94,34 +98,35 @@
             PoolRacks racks,
             double surge,
             long nowMs) {
-        int othersServe = Math.max(0, budget.serving() - racks.on());
+        int othersServe = Math.max(0, budget.serving() - racks.onCount());
         long stale = STALE_WAKES * mWakeMs;
         return new WantedCount(
-                demand.now(pool.target(), nowMs, stale) * demand.unseen(racks.serving()),
+                demand.demandAt(pool.target(), nowMs, stale)
+                        * demand.saturationFactor(racks.servingCount()),
                 demand.growth(),
                 Math.max(0, budget.minAvailable() - othersServe),
                 pool.reserve(),
                 surge,
-                racks.available(),
+                racks.availableCount(),
                 demand.isFresh(nowMs, stale));
     }
 
-    private static PoolHistory remember(
+    private static PoolHistory nextHistory(
             PoolHistory before,
             DemandEstimate demand,
             WantedCount wanted,
             PoolRacks racks,
             int arriving,
             long nowMs) {
-        int largest = racks.largest();
-        int surplus = racks.on() - wanted.given(largest);
-        int shortage = wanted.firm(largest) - racks.available() - arriving;
-        int spare = racks.available() - wanted.unbounded(largest);
+        int largest = racks.largestRackSize();
+        int surplus = racks.onCount() - wanted.bounded(largest);
+        int shortage = wanted.required(largest) - racks.availableCount() - arriving;
+        int spare = racks.availableCount() - wanted.unbounded(largest);
         return new PoolHistory(
                 demand,
-                before.surplus().seen(surplus, nowMs),
-                before.shortage().seen(shortage, nowMs),
-                before.spare().seen(spare, nowMs));
+                before.surplus().update(surplus, nowMs),
+                before.shortage().update(shortage, nowMs),
+                before.spare().update(spare, nowMs));
     }
 
     private static Map<PoolId, Integer> incoming(FleetView view) {
@@ -132,8 +137,8 @@
 
     private static List<VmId> wake(PoolRacks racks, WantedCount wanted) {
         List<VmId> wake = new ArrayList<>();
-        while (racks.on() < wanted.given(racks.largest())) {
-            Optional<VmState> vm = racks.wakeOne();
+        while (racks.onCount() < wanted.bounded(racks.largestRackSize())) {
+            Optional<VmState> vm = racks.takeForWake();
             if (vm.isEmpty()) {
                 break;
             }
@@ -142,27 +147,28 @@
         return wake;
     }
 
-    /** Sleeps only what has been surplus all the time, and what budget and wants still allow. */
+    /** Selects VMs to put to sleep, at most the sustained surplus and within the budget. */
     private static List<VmId> sleep(
             PoolRacks racks, WantedCount wanted, Budget budget, int lasting) {
         List<VmId> sleep = new ArrayList<>();
-        while (sleep.size() < lasting && racks.on() > wanted.given(racks.largest())) {
-            Optional<VmState> vm = racks.fullest();
+        while (sleep.size() < lasting
+                && racks.onCount() > wanted.bounded(racks.largestRackSize())) {
+            Optional<VmState> vm = racks.nextToStop();
             if (vm.isEmpty()) {
                 break;
             }
             if (budget.canStop(vm.get().rack())) {
                 budget.stop(vm.get().rack());
-                racks.sleep(vm.get());
+                racks.markStopped(vm.get());
                 sleep.add(vm.get().id());
             } else {
-                racks.keep(vm.get());
+                racks.exclude(vm.get());
             }
         }
         return sleep;
     }
 
-    private Map<VmId, Long> recent(Map<VmId, Long> moved, long nowMs) {
+    private Map<VmId, Long> recentMoves(Map<VmId, Long> moved, long nowMs) {
         Map<VmId, Long> recent = new HashMap<>(moved);
         recent.values().removeIf(t -> nowMs - t >= mSettings.moveCooldown().toMillis());
         return recent;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandEstimate.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandEstimate.java
@@ -6,26 +6,26 @@
 import org.foxtailplank.fleet.PoolUse;
 
 /**
- * Demand of a pool, learned from measured use that lags and contradicts what is declared.
+ * Estimated demand of a pool, from measured use that lags and may differ from the declared size.
  *
  * @param samples recent measurements, oldest first
- * @param growth largest rise seen within one wake, fading
- * @param growthAtMs time of that value
+ * @param growth largest rise measured within one wake, decaying
+ * @param growthAtMs time at which the growth was updated
  * @param ratio measured use for each declared VM
  */
 public record DemandEstimate(List<PoolUse> samples, double growth, long growthAtMs, double ratio) {
 
-    /** Declared sizes are taken to be wrong by at most this factor, both ways. */
-    static final double MOST_WRONG = 4;
+    /** Maximum factor between measured and declared use, in both directions. */
+    static final double MAX_DEVIATION = 4;
 
-    private static final double FULL = 0.95;
-    private static final double UNSEEN = 1.25;
-    private static final int MOST_SAMPLES = 24;
-    private static final double RATIO_STEP = 0.2;
+    private static final double SATURATION_THRESHOLD = 0.95;
+    private static final double SATURATION_FACTOR = 1.25;
+    private static final int MAX_SAMPLES = 24;
+    private static final double RATIO_SMOOTHING = 0.2;
     private static final double DAY_MS = 24 * 3_600_000.0;
 
-    /** The estimate after a report; a report that was seen before changes nothing. */
-    DemandEstimate seen(PoolUse use, long horizonMs) {
+    /** Returns the estimate after a report; an older or repeated report changes nothing. */
+    DemandEstimate update(PoolUse use, long horizonMs) {
         Optional<PoolUse> last = last();
         if (last.isPresent() && last.get().atMs() >= use.atMs()) {
             return this;
@@ -48,12 +48,15 @@
         if (use.declared() <= 0) {
             return ratio;
         }
-        double found = use.vms() / use.declared();
-        double bounded = Math.min(MOST_WRONG, Math.max(1 / MOST_WRONG, found));
-        return samples.isEmpty() ? bounded : ratio + RATIO_STEP * (bounded - ratio);
+        double measured = use.vms() / use.declared();
+        double bounded = Math.min(MAX_DEVIATION, Math.max(1 / MAX_DEVIATION, measured));
+        return samples.isEmpty() ? bounded : ratio + RATIO_SMOOTHING * (bounded - ratio);
     }
 
-    /** Samples closer together than the horizon needs are merged, so that the list is bounded. */
+    /**
+     * Appends a sample; merges samples that are closer than the horizon requires, so that the list
+     * stays bounded.
+     */
     private List<PoolUse> append(PoolUse use, long horizonMs) {
         List<PoolUse> kept = new ArrayList<>(samples);
         int size = kept.size();
@@ -62,7 +65,7 @@
             kept.remove(size - 1);
         }
         kept.add(use);
-        while (kept.size() > MOST_SAMPLES) {
+        while (kept.size() > MAX_SAMPLES) {
             kept.remove(0);
         }
         return List.copyOf(kept);
@@ -73,12 +76,12 @@
     }
 
     /**
-     * Demand now: the last measurement, moved by what was declared since.
+     * Returns the estimated demand: the last measurement, adjusted by what was declared since.
      *
-     * <p>Guards against the lag of reports: jobs that were declared after the measurement are not
-     * in it, and waiting for the next report would leave them without VMs for a lag and a wake.
+     * <p>Guards against the lag of reports: jobs declared after the measurement would get no VMs
+     * until the next report.
      */
-    double now(int declared, long nowMs, long staleMs) {
+    double demandAt(int declared, long nowMs, long staleMs) {
         if (!isFresh(nowMs, staleMs)) {
             double known = last().map(PoolUse::vms).orElse(0.0);
             return Math.max(declared, known);
@@ -88,14 +91,14 @@
     }
 
     /**
-     * Factor by which demand may be above what is measured.
+     * Returns the factor by which demand may exceed the measured use.
      *
-     * <p>Guards against a pool that is full: use can't be measured beyond what serves, so a pool
-     * that is too small would look as if it were just large enough, for ever.
+     * <p>Guards against a saturated pool: use can't exceed the capacity that serves, so a pool that
+     * is too small would never grow.
      */
-    double unseen(int serving) {
-        boolean full = last().filter(u -> u.vms() >= FULL * serving).isPresent();
-        return full && serving > 0 ? UNSEEN : 1;
+    double saturationFactor(int serving) {
+        boolean full = last().filter(u -> u.vms() >= SATURATION_THRESHOLD * serving).isPresent();
+        return full && serving > 0 ? SATURATION_FACTOR : 1;
     }
 
     boolean isFresh(long nowMs, long staleMs) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolHistory.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolHistory.java
@@ -3,31 +3,34 @@
 import java.util.List;
 
 /**
- * What is remembered of one pool.
+ * Planning history of one pool.
  *
- * @param demand estimate of its demand
- * @param surplus VMs on beyond what is wanted
- * @param shortage VMs wanted beyond those it has
- * @param spare VMs it has beyond what it wants
+ * @param demand estimated demand
+ * @param surplus powered-on VMs beyond the wanted count
+ * @param shortage required VMs beyond the available ones
+ * @param spare available VMs beyond the wanted count
  */
 public record PoolHistory(
-        DemandEstimate demand, LastingCount surplus, LastingCount shortage, LastingCount spare) {
+        DemandEstimate demand,
+        SustainedCount surplus,
+        SustainedCount shortage,
+        SustainedCount spare) {
 
     static PoolHistory none() {
         return new PoolHistory(
                 new DemandEstimate(List.of(), 0, 0, 1),
-                LastingCount.none(),
-                LastingCount.none(),
-                LastingCount.none());
+                SustainedCount.none(),
+                SustainedCount.none(),
+                SustainedCount.none());
     }
 
-    /** A surplus that was acted on begins anew. */
+    /** Returns the history after a sleep, which restarts the surplus. */
     PoolHistory afterSleep() {
-        return new PoolHistory(demand, LastingCount.none(), shortage, spare);
+        return new PoolHistory(demand, SustainedCount.none(), shortage, spare);
     }
 
-    /** A reason for a move that was acted on has to last anew. */
+    /** Returns the history after a move, which restarts the shortage and the spare count. */
     PoolHistory afterMove() {
-        return new PoolHistory(demand, surplus, LastingCount.none(), LastingCount.none());
+        return new PoolHistory(demand, surplus, SustainedCount.none(), SustainedCount.none());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolMover.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolMover.java
@@ -12,7 +12,9 @@
 import org.foxtailplank.settings.FleetSettings;
 import org.foxtailplank.state.VmState;
 
-/** Moves VMs that are off from pools that have long had too many to those long short of them. */
+/**
+ * Moves VMs that are off from pools with a sustained surplus to pools with a sustained shortage.
+ */
 final class PoolMover {
 
     private final long mHoldMs;
@@ -33,10 +35,10 @@
     }
 
     List<VmMove> moves(long nowMs) {
-        mPools.forEach((id, h) -> mSpare.put(id, h.spare().lasting(nowMs, mHoldMs)));
+        mPools.forEach((id, h) -> mSpare.put(id, h.spare().sustained(nowMs, mHoldMs)));
         List<VmMove> moves = new ArrayList<>();
         for (PoolId pool : mRacks.keySet()) {
-            int shortage = mPools.get(pool).shortage().lasting(nowMs, mHoldMs);
+            int shortage = mPools.get(pool).shortage().sustained(nowMs, mHoldMs);
             for (int i = 0; i < shortage; i++) {
                 moveTo(pool, shortage).ifPresent(moves::add);
             }
@@ -59,7 +61,7 @@
         mSpare.merge(donor.get(), -1, Integer::sum);
         String reason =
                 String.format(
-                        "pool %s has been short of %d VMs and pool %s had spare ones for %d s",
+                        "pool %s has lacked %d VMs and pool %s had spare ones for %d s",
                         pool, shortage, donor.get(), mHoldMs / 1000);
         return Optional.of(new VmMove(vm.id(), donor.get(), pool, reason));
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolRacks.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolRacks.java
@@ -13,93 +13,100 @@
 import org.foxtailplank.state.VmPhase;
 import org.foxtailplank.state.VmState;
 
-/** The VMs of one pool by rack: those that are on, and those that could be woken or stopped. */
+/** The VMs of one pool by rack: powered-on VMs, and candidates to wake or stop. */
 final class PoolRacks {
 
     private static final Comparator<VmState> BY_ID = Comparator.comparing(VmState::id);
 
-    private final Map<RackId, Integer> mOn = new HashMap<>();
+    private final Map<RackId, Integer> mOnByRack = new HashMap<>();
     private final List<VmState> mOff = new ArrayList<>();
     private final List<VmState> mServing = new ArrayList<>();
     private int mOnCount;
     private int mServingCount;
 
-    static PoolRacks of(Iterable<VmState> vms, Observation seen) {
+    static PoolRacks of(Iterable<VmState> vms, Observation observation) {
         PoolRacks racks = new PoolRacks();
         for (VmState vm : vms) {
-            racks.add(vm, seen);
+            racks.add(vm, observation);
         }
         racks.mOff.sort(BY_ID);
         racks.mServing.sort(BY_ID);
         return racks;
     }
 
-    private void add(VmState vm, Observation seen) {
+    private void add(VmState vm, Observation observation) {
         boolean idle = vm.pending().isEmpty() && vm.joining().isEmpty();
-        if (Budgets.serves(vm, seen)) {
-            turnOn(vm);
+        if (Budgets.serves(vm, observation)) {
+            countOn(vm);
             mServingCount++;
             if (idle) {
                 mServing.add(vm);
             }
-        } else if (vm.phase() == VmPhase.WAKING || isRebooting(vm, seen)) {
-            turnOn(vm);
+        } else if (vm.phase() == VmPhase.WAKING || isRebooting(vm, observation)) {
+            countOn(vm);
         } else if (vm.phase() == VmPhase.OFF && idle) {
             mOff.add(vm);
         }
     }
 
-    /** A VM in a wave comes back by itself, so nothing is woken in its place. */
-    private static boolean isRebooting(VmState vm, Observation seen) {
+    /**
+     * Returns whether a VM is rebooting; it will serve again, so no other VM is woken to replace
+     * it.
+     */
+    private static boolean isRebooting(VmState vm, Observation observation) {
         return vm.pending().filter(VmAction.REBOOT::equals).isPresent()
-                && !seen.notServing().contains(vm.id());
+                && !observation.notServing().contains(vm.id());
     }
 
-    private void turnOn(VmState vm) {
-        mOn.merge(vm.rack(), 1, Integer::sum);
+    private void countOn(VmState vm) {
+        mOnByRack.merge(vm.rack(), 1, Integer::sum);
         mOnCount++;
     }
 
-    int on() {
+    int onCount() {
         return mOnCount;
     }
 
-    int serving() {
+    int servingCount() {
         return mServingCount;
     }
 
-    int available() {
+    int availableCount() {
         return mOnCount + mOff.size();
     }
 
-    int largest() {
-        return mOn.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int largestRackSize() {
+        return mOnByRack.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** Wakes the VM whose rack has the fewest on, so that the loss of one rack takes few. */
-    Optional<VmState> wakeOne() {
+    /**
+     * Selects a VM to wake from the rack with the fewest powered-on VMs, to limit the effect of a
+     * rack loss.
+     */
+    Optional<VmState> takeForWake() {
         Optional<VmState> vm =
-                mOff.stream().min(Comparator.comparingInt(v -> mOn.getOrDefault(v.rack(), 0)));
+                mOff.stream()
+                        .min(Comparator.comparingInt(v -> mOnByRack.getOrDefault(v.rack(), 0)));
         vm.ifPresent(
                 v -> {
                     mOff.remove(v);
-                    turnOn(v);
+                    countOn(v);
                 });
         return vm;
     }
 
-    /** The VM to stop first: one of the rack that has the most on. */
-    Optional<VmState> fullest() {
-        return mServing.stream().max(Comparator.comparingInt(v -> mOn.get(v.rack())));
+    /** Returns the next VM to stop: one in the rack with the most powered-on VMs. */
+    Optional<VmState> nextToStop() {
+        return mServing.stream().max(Comparator.comparingInt(v -> mOnByRack.get(v.rack())));
     }
 
-    void sleep(VmState vm) {
+    void markStopped(VmState vm) {
         mServing.remove(vm);
-        mOn.merge(vm.rack(), -1, Integer::sum);
+        mOnByRack.merge(vm.rack(), -1, Integer::sum);
         mOnCount--;
     }
 
-    void keep(VmState vm) {
+    void exclude(VmState vm) {
         mServing.remove(vm);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/WantedCount.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/WantedCount.java
@@ -3,15 +3,15 @@
 import org.foxtailplank.fleet.PoolWant;
 
 /**
- * What the number of VMs wanted in a pool is made of, but for the racks that are on.
+ * Inputs for the number of VMs wanted in a pool, except the size of its largest rack.
  *
  * @param demand estimated demand
  * @param growth rise within one wake
  * @param minAvailable availability budget left to this pool
- * @param configuredReserve spares that operators ask for
- * @param surge share of the idle VMs woken for a wave; empty when below 0
- * @param available VMs that could be on
- * @param measured whether the estimate rests on a fresh measurement
+ * @param configuredReserve configured reserve
+ * @param surge share of the idle VMs woken for a wave; negative for no wave
+ * @param available VMs that are on or could be woken
+ * @param measured whether the estimate is based on a fresh measurement
  */
 record WantedCount(
         double demand,
@@ -23,26 +23,26 @@
         boolean measured) {
 
     /**
-     * VMs wanted while the largest rack holds so many.
+     * Returns the VMs wanted for a size of the largest rack, limited to the available ones.
      *
-     * <p>Growth and the loss of a rack share their spares: a rack is lost about weekly, and the
-     * budget itself holds without the growth.
+     * <p>Growth and the loss of a rack share one reserve, because a rack loss during full growth is
+     * rare and the budget holds without the growth.
      */
-    int given(int largestRack) {
+    int bounded(int largestRack) {
         return Math.min(available, base(largestRack) + surgeVms(largestRack));
     }
 
     /**
-     * VMs without which demand or budget would not be met, however many there are.
+     * Returns the VMs required for demand and budget, not limited to the available ones.
      *
-     * <p>Growth is left out: a move takes longer than what it would cover.
+     * <p>Excludes growth, because a move takes longer than the wake that growth covers.
      */
-    int firm(int largestRack) {
+    int required(int largestRack) {
         int forBudget = minAvailable > 0 ? minAvailable + largestRack : 0;
         return Math.max((int) Math.ceil(demand), forBudget);
     }
 
-    /** VMs wanted without regard to how many there are. */
+    /** Returns the VMs wanted, not limited to the available ones. */
     int unbounded(int largestRack) {
         return base(largestRack);
     }
@@ -65,11 +65,11 @@
         return Math.min(idle, Math.max(1, (int) Math.ceil(surge * idle)));
     }
 
-    PoolWant want(PoolRacks racks) {
-        int largest = racks.largest();
+    PoolWant toPoolWant(PoolRacks racks) {
+        int largest = racks.largestRackSize();
         return new PoolWant(
-                racks.on(),
-                given(largest),
+                racks.onCount(),
+                bounded(largest),
                 available,
                 Math.max(0, unbounded(largest) - available),
                 demand,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/WaveCover.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/WavePools.java
@@ -10,25 +10,25 @@
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
 
-/** The pools that a running wave still has to maintain. */
-final class WaveCover {
+/** The pools with VMs that a running wave still has to maintain. */
+final class WavePools {
 
     private final Set<PoolId> mPools = new HashSet<>();
 
-    private WaveCover() {}
+    private WavePools() {}
 
-    static WaveCover of(FleetView view) {
-        WaveCover cover = new WaveCover();
+    static WavePools of(FleetView view) {
+        WavePools pools = new WavePools();
         List<WaveState> running =
                 view.waves().stream().filter(w -> w.phase() == WavePhase.RUNNING).toList();
         if (running.isEmpty()) {
-            return cover;
+            return pools;
         }
         view.vms().stream()
                 .filter(v -> v.phase() != VmPhase.OFF && v.phase() != VmPhase.BROKEN)
                 .filter(v -> running.stream().anyMatch(w -> waitsFor(w, v)))
-                .forEach(v -> cover.mPools.add(v.pool()));
-        return cover;
+                .forEach(v -> pools.mPools.add(v.pool()));
+        return pools;
     }
 
     private static boolean waitsFor(WaveState wave, VmState vm) {
@@ -38,7 +38,7 @@
                 && vm.lastMaintained() <= wave.started();
     }
 
-    boolean covers(PoolId pool) {
+    boolean contains(PoolId pool) {
         return mPools.contains(pool);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/package-info.java
@@ -1,2 +1,2 @@
-/** Which VMs of a pool are powered on, and which move to another pool. */
+/** Planning of which VMs are powered on and which move to another pool. */
 package org.foxtailplank.internal.buffer;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/FitCheck.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/FeasibilityCheck.java
@@ -4,12 +4,12 @@
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.state.JobSpec;
 
-/** Whether a job could ever run in its pool, however long it waits. */
-final class FitCheck {
+/** Checks whether a job can ever run in its pool. */
+final class FeasibilityCheck {
 
-    private FitCheck() {}
+    private FeasibilityCheck() {}
 
-    /** Why it can never run; empty when it can. */
+    /** Returns why the job can never run; empty if it can. */
     static Optional<String> refusal(JobEntry job, PoolEntry pool) {
         JobSpec spec = job.spec();
         if (spec.tasks() <= 0) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/IndexedPlacer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/IndexedPlacer.java
@@ -24,73 +24,73 @@
 import org.foxtailplank.state.TaskAction;
 import org.foxtailplank.state.TaskState;
 
-/** Places tasks by indexes that are told each change. */
+/** A placer that maintains its indexes incrementally. */
 public final class IndexedPlacer implements Placer {
 
-    /** Time after which everything that waits is looked at again, whatever has changed. */
-    private static final long SWEEP_MS = 30_000;
+    /** Interval at which all pools are considered again, whether or not they changed. */
+    private static final long FULL_PASS_INTERVAL_MS = 30_000;
 
-    /** Time that a task has to run for its worker to count as sound. */
-    private static final long SOUND_MS = 10_000;
+    /** Time after which a running task shows that its worker is healthy. */
+    private static final long HEALTHY_RUN_MS = 10_000;
 
     private final PlacementState mState;
-    private final TaskEvents mEvents;
-    private final TaskWatch mWatch;
-    private long mNextSweepMs;
+    private final TaskUpdater mUpdater;
+    private final TaskMonitor mMonitor;
+    private long mNextFullPassMs;
 
     public IndexedPlacer(PlacementSettings settings) {
         mState = new PlacementState(settings);
-        mEvents = new TaskEvents(mState);
-        mWatch = new TaskWatch(mState);
+        mUpdater = new TaskUpdater(mState);
+        mMonitor = new TaskMonitor(mState);
     }
 
     @Override
     public void quotas(Map<TeamId, Double> quotas) {
-        quotas.forEach((team, quota) -> mState.team(team).quota(quota));
-        mState.pools().forEach(this::reconsider);
+        quotas.forEach((team, quota) -> mState.team(team).setQuota(quota));
+        mState.pools().forEach(this::reconsiderRefused);
     }
 
     @Override
     public void worker(Worker worker, long nowMs) {
         mState.worker(worker.id())
                 .filter(w -> !w.worker().pool().equals(worker.pool()))
-                .ifPresent(w -> poolLost(w));
+                .ifPresent(w -> removeFromPool(w));
         mState.put(worker);
-        reconsider(mState.pool(worker.pool()));
+        reconsiderRefused(mState.pool(worker.pool()));
     }
 
     @Override
     public void workerGone(VmId worker, long nowMs) {
-        mState.worker(worker).ifPresent(this::poolLost);
+        mState.worker(worker).ifPresent(this::removeFromPool);
     }
 
-    /** Jobs that only a lost worker could have run are refused, and not left to wait for ever. */
-    private void poolLost(WorkerEntry worker) {
+    /** Removes a worker and refuses waiting jobs that no other worker of the pool can run. */
+    private void removeFromPool(WorkerEntry worker) {
         PoolId id = worker.worker().pool();
         mState.remove(worker);
         PoolEntry pool = mState.pool(id);
         for (RequestClass c : RequestClass.values()) {
             List<JobEntry> waiting = new ArrayList<>();
             pool.waiting(c).values().forEach(waiting::addAll);
-            waiting.forEach(job -> check(job, pool));
+            waiting.forEach(job -> refuseIfInfeasible(job, pool));
         }
     }
 
-    /** Refused jobs are looked at again when the pool or a quota has changed. */
-    private void reconsider(PoolEntry pool) {
-        for (JobEntry job : pool.takeRefused()) {
+    /** Readmits refused jobs that became feasible after a change of the pool or of a quota. */
+    private void reconsiderRefused(PoolEntry pool) {
+        for (JobEntry job : pool.pollRefused()) {
             boolean failed = !job.failedOn().isEmpty();
-            if (failed || FitCheck.refusal(job, pool).isPresent()) {
-                pool.refused(job);
+            if (failed || FeasibilityCheck.refusal(job, pool).isPresent()) {
+                pool.addRefused(job);
             } else {
                 job.readmit();
-                pool.sort(job);
+                pool.updateQueue(job);
             }
         }
     }
 
-    private void check(JobEntry job, PoolEntry pool) {
-        FitCheck.refusal(job, pool).ifPresent(why -> mState.refuse(job, why));
+    private void refuseIfInfeasible(JobEntry job, PoolEntry pool) {
+        FeasibilityCheck.refusal(job, pool).ifPresent(why -> mState.refuse(job, why));
     }
 
     @Override
@@ -105,42 +105,43 @@
             cancel(entry, nowMs);
         }
         for (Map.Entry<Integer, TaskState> task : new TreeMap<>(job.tasks()).entrySet()) {
-            mEvents.seen(new TaskId(job.id(), task.getKey()), task.getValue(), nowMs);
+            mUpdater.apply(new TaskId(job.id(), task.getKey()), task.getValue(), nowMs);
         }
         if (entry.isWaiting()) {
-            check(entry, pool);
+            refuseIfInfeasible(entry, pool);
         }
-        pool.sort(entry);
-        if (entry.isOver() && entry.refused().isEmpty()) {
+        pool.updateQueue(entry);
+        if (entry.isFinished() && entry.refused().isEmpty()) {
             mState.jobs().remove(job.id());
         }
     }
 
-    /** Costs in proportion to the tasks of the job that are placed. */
+    /** Cancels a job; the cost depends only on its placed tasks. */
     private void cancel(JobEntry job, long nowMs) {
         job.cancel();
         for (PlacedTask task : new ArrayList<>(job.placed().values())) {
-            boolean neverAsked =
-                    task.phase() == TaskPhase.AWAITING_ROOM || task.phase() == TaskPhase.PROPOSED;
-            if (neverAsked) {
+            boolean neverStarted =
+                    task.phase() == TaskPhase.AWAITING_CAPACITY
+                            || task.phase() == TaskPhase.PROPOSED;
+            if (neverStarted) {
                 mState.displace(task);
-            } else if (task.asked() != TaskAction.STOP) {
-                mEvents.stop(task, nowMs);
+            } else if (task.lastAction() != TaskAction.STOP) {
+                mUpdater.stop(task, nowMs);
             }
         }
     }
 
     @Override
     public void task(TaskId task, TaskState state, long nowMs) {
-        mEvents.seen(task, state, nowMs);
+        mUpdater.apply(task, state, nowMs);
     }
 
     @Override
     public void renewed(TaskId task, long nowMs) {
-        placed(task).ifPresent(t -> t.heard(nowMs));
+        placedTask(task).ifPresent(t -> t.recordHeartbeat(nowMs));
     }
 
-    private Optional<PlacedTask> placed(TaskId task) {
+    private Optional<PlacedTask> placedTask(TaskId task) {
         return Optional.ofNullable(mState.jobs().get(task.job()))
                 .map(j -> j.placed().get(task.index()));
     }
@@ -154,15 +155,15 @@
         Resources used = Resources.NONE;
         for (WorkerReport.Running running : report.tasks()) {
             used = used.plus(running.used());
-            runs(worker.get(), running, report.asOfMs());
+            applyRunning(worker.get(), running, report.asOfMs());
         }
-        worker.get().measured(used);
+        worker.get().setMeasured(used);
         if (worker.get().isShortOfMemory()) {
-            relieve(worker.get(), nowMs);
+            relieveMemory(worker.get(), nowMs);
         }
     }
 
-    private void runs(WorkerEntry worker, WorkerReport.Running running, long asOfMs) {
+    private void applyRunning(WorkerEntry worker, WorkerReport.Running running, long asOfMs) {
         JobEntry job = mState.jobs().get(running.task().job());
         if (job == null) {
             return;
@@ -171,83 +172,92 @@
         boolean current =
                 task != null && task.worker() == worker && task.attempt() == running.attempt();
         if (!current) {
-            fence(job, worker, running);
+            stopStaleAttempt(job, worker, running);
             return;
         }
-        task.heard(asOfMs);
-        learn(task, running.used());
-        if (task.phase().runs() && asOfMs - task.sinceMs() >= SOUND_MS) {
-            worker.health().succeeded();
+        task.recordHeartbeat(asOfMs);
+        updateEstimate(task, running.used());
+        if (task.phase().runs() && asOfMs - task.phaseSinceMs() >= HEALTHY_RUN_MS) {
+            worker.health().recordSuccess();
         }
     }
 
-    /** A throttled task shows less than it needs, so nothing is learned from it. */
-    private void learn(PlacedTask task, Resources used) {
+    /** Updates the usage estimate of a running task; a throttled task uses less than it needs. */
+    private void updateEstimate(PlacedTask task, Resources used) {
         if (task.phase() != TaskPhase.RUNNING) {
             return;
         }
         boolean first = !task.job().estimate().isMeasured();
-        task.job().estimate().seen(used);
+        task.job().estimate().update(used);
         if (first) {
-            task.job().team().learn(task.job().estimate().ratio());
+            task.job().team().updateRatio(task.job().estimate().ratio());
         }
-        mState.reserve(task, task.need());
+        mState.reserve(task, task.requirement());
     }
 
     /**
-     * Guards against a worker that was paused past its lease: it shows as two workers that report
-     * the same task. The lower attempt is stopped, since only the higher one is in the log.
+     * Stops an attempt that a later one has replaced. Guards against a worker that was paused
+     * beyond its lease and resumes its task, so that two workers run it.
      */
-    private void fence(JobEntry job, WorkerEntry worker, WorkerReport.Running running) {
+    private void stopStaleAttempt(JobEntry job, WorkerEntry worker, WorkerReport.Running running) {
         if (running.attempt() < job.attempt(running.task().index())) {
             mState.outbox()
-                    .ask(
+                    .add(
                             new PlacementAction(
                                     running.task(),
                                     worker.worker().id(),
                                     TaskAction.STOP,
                                     running.attempt(),
                                     true,
-                                    "a later attempt has taken its place"));
+                                    "replaced by a later attempt"));
         }
     }
 
-    /** Memory can't be throttled: the youngest batch task gives way before the worker fails. */
-    private void relieve(WorkerEntry worker, long nowMs) {
-        boolean underWay = worker.tasks().stream().anyMatch(t -> t.phase() == TaskPhase.LEAVING);
-        if (underWay) {
+    /**
+     * Checkpoints the most recent batch task of a worker that runs out of memory, because memory
+     * can't be throttled.
+     */
+    private void relieveMemory(WorkerEntry worker, long nowMs) {
+        boolean relieving = worker.tasks().stream().anyMatch(t -> t.phase() == TaskPhase.LEAVING);
+        if (relieving) {
             return;
         }
         worker.tasks().stream()
-                .filter(PlacedTask::canGiveWay)
-                .max(Comparator.comparingLong(PlacedTask::sinceMs))
+                .filter(PlacedTask::isPreemptible)
+                .max(Comparator.comparingLong(PlacedTask::phaseSinceMs))
                 .ifPresent(
                         t -> {
-                            t.enter(TaskPhase.LEAVING, TaskAction.CHECKPOINT, nowMs);
+                            t.transitionTo(TaskPhase.LEAVING, TaskAction.CHECKPOINT, nowMs);
                             mState.outbox()
-                                    .ask(t, TaskAction.CHECKPOINT, false, "memory runs out on it");
+                                    .add(
+                                            t,
+                                            TaskAction.CHECKPOINT,
+                                            false,
+                                            "its worker runs out of memory");
                             mState.timers()
-                                    .at(nowMs + mState.settings().answerPatience().toMillis(), t);
+                                    .schedule(
+                                            nowMs + mState.settings().answerTimeout().toMillis(),
+                                            t);
                         });
     }
 
     @Override
     public PlacementDecision decide(long nowMs) {
-        mState.wakeRested(nowMs);
-        mWatch.run(nowMs);
-        if (nowMs >= mNextSweepMs) {
-            mNextSweepMs = nowMs + SWEEP_MS;
-            mState.pools().forEach(PoolEntry::roomChanged);
+        mState.reopenWorkers(nowMs);
+        mMonitor.run(nowMs);
+        if (nowMs >= mNextFullPassMs) {
+            mNextFullPassMs = nowMs + FULL_PASS_INTERVAL_MS;
+            mState.pools().forEach(PoolEntry::capacityChanged);
         }
         for (RequestClass urgency : RequestClass.values()) {
             for (PoolEntry pool : mState.pools()) {
-                if (pool.takeChanged(urgency)) {
-                    RoomFinder finder = new RoomFinder(pool, nowMs);
+                if (pool.pollChanged(urgency)) {
+                    WorkerFinder finder = new WorkerFinder(pool, nowMs);
                     new PlacementPass(mState, pool, urgency, finder, nowMs).run();
                 }
             }
         }
-        return mState.outbox().take();
+        return mState.outbox().takeAll();
     }
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/JobEntry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/JobEntry.java
@@ -13,11 +13,11 @@
 import org.foxtailplank.request.RequestClass;
 import org.foxtailplank.state.JobSpec;
 
-/** A job, its tasks that wait and its tasks that are placed. */
+/** A job with its waiting and its placed tasks. */
 final class JobEntry {
 
-    /** Workers on which a job may fail before it is held to be its own fault. */
-    private static final int WORKERS_TO_GIVE_UP = 3;
+    /** Number of workers on which a job fails before the job is refused. */
+    private static final int MAX_FAILED_WORKERS = 3;
 
     private final JobId mId;
     private final TeamShare mTeam;
@@ -26,10 +26,10 @@
     private final Map<Integer, PlacedTask> mPlaced = new HashMap<>();
     private final Map<RackId, Integer> mRacks = new HashMap<>();
     private final Map<Integer, Long> mAttempts = new HashMap<>();
-    private final Set<Integer> mAgain = new LinkedHashSet<>();
+    private final Set<Integer> mRequeued = new LinkedHashSet<>();
     private final Set<VmId> mFailedOn = new HashSet<>();
-    private int mNextFresh;
-    private int mDone;
+    private int mNextUnplaced;
+    private int mSucceeded;
     private boolean mCancelled;
     private Optional<String> mRefused = Optional.empty();
 
@@ -61,44 +61,44 @@
     }
 
     boolean isWaiting() {
-        boolean more = !mAgain.isEmpty() || mNextFresh < mSpec.tasks();
-        return more && !mCancelled && mRefused.isEmpty();
+        boolean hasWaiting = !mRequeued.isEmpty() || mNextUnplaced < mSpec.tasks();
+        return hasWaiting && !mCancelled && mRefused.isEmpty();
     }
 
     int waiting() {
-        return mAgain.size() + mSpec.tasks() - mNextFresh;
+        return mRequeued.size() + mSpec.tasks() - mNextUnplaced;
     }
 
-    /** Takes the index of a task that waits. */
-    int takeWaiting() {
-        if (mAgain.isEmpty()) {
-            return mNextFresh++;
+    /** Removes and returns the index of a waiting task. */
+    int pollWaiting() {
+        if (mRequeued.isEmpty()) {
+            return mNextUnplaced++;
         }
-        int index = mAgain.iterator().next();
-        mAgain.remove(index);
+        int index = mRequeued.iterator().next();
+        mRequeued.remove(index);
         return index;
     }
 
-    /** A task is known to the log, so it is not fresh any more. */
-    void known(int index) {
-        while (mNextFresh <= index) {
-            if (mNextFresh < index && !mAttempts.containsKey(mNextFresh)) {
-                mAgain.add(mNextFresh);
+    /** Marks a task as recorded in the log; earlier tasks that are not recorded are requeued. */
+    void markRecorded(int index) {
+        while (mNextUnplaced <= index) {
+            if (mNextUnplaced < index && !mAttempts.containsKey(mNextUnplaced)) {
+                mRequeued.add(mNextUnplaced);
             }
-            mNextFresh++;
+            mNextUnplaced++;
         }
-        mAgain.remove(index);
+        mRequeued.remove(index);
     }
 
-    void again(int index) {
-        mAgain.add(index);
+    void requeue(int index) {
+        mRequeued.add(index);
     }
 
     long attempt(int index) {
         return mAttempts.getOrDefault(index, 0L);
     }
 
-    void attempt(int index, long attempt) {
+    void raiseAttempt(int index, long attempt) {
         mAttempts.merge(index, attempt, Math::max);
     }
 
@@ -106,62 +106,62 @@
         mPlaced.put(task.id().index(), task);
         mRacks.merge(task.worker().worker().rack(), 1, Integer::sum);
         task.worker().add(task);
-        used(task.reserved().milliProcessors());
+        adjustUsage(task.reserved().milliProcessors());
     }
 
     void displace(PlacedTask task) {
         mPlaced.remove(task.id().index());
         mRacks.merge(task.worker().worker().rack(), -1, Integer::sum);
         task.worker().remove(task);
-        used(-task.reserved().milliProcessors());
+        adjustUsage(-task.reserved().milliProcessors());
     }
 
-    /** Its tasks take more or less than before. */
-    void used(long milliProcessors) {
-        mTeam.used(milliProcessors, mSpec.urgency() == RequestClass.URGENT);
+    /** Adjusts the processors that the job uses. */
+    void adjustUsage(long milliProcessors) {
+        mTeam.adjustUsage(milliProcessors, mSpec.urgency() == RequestClass.URGENT);
     }
 
     int tasksIn(RackId rack) {
         return mRacks.getOrDefault(rack, 0);
     }
 
-    void done() {
-        mDone++;
+    void taskSucceeded() {
+        mSucceeded++;
     }
 
-    boolean isOver() {
-        boolean allDone = mDone >= mSpec.tasks();
+    boolean isFinished() {
+        boolean allDone = mSucceeded >= mSpec.tasks();
         boolean ended = mCancelled || mRefused.isPresent();
         return mPlaced.isEmpty() && (allDone || ended);
     }
 
-    /** A task failed on a worker; whether the job has now failed on too many to be tried again. */
-    boolean failedOn(VmId worker) {
+    /** Records a failure on a worker; returns whether the job has failed on too many workers. */
+    boolean recordFailure(VmId worker) {
         mFailedOn.add(worker);
-        // One failure is as likely the worker's; two workers hardly fail the same job by chance.
+        // A single failure may be caused by the worker; failures on two workers suggest the job.
         if (mFailedOn.size() > 1) {
-            mEstimate.failed();
+            mEstimate.raiseMemory();
         }
-        return mFailedOn.size() >= WORKERS_TO_GIVE_UP;
+        return mFailedOn.size() >= MAX_FAILED_WORKERS;
     }
 
-    /** The worker was at fault, not the job. */
-    void forgive(VmId worker) {
+    /** Clears a failure that was caused by the worker. */
+    void clearFailure(VmId worker) {
         mFailedOn.remove(worker);
-        mEstimate.forgive();
+        mEstimate.resetMemory();
     }
 
     Set<VmId> failedOn() {
         return mFailedOn;
     }
 
-    boolean runsSomewhere() {
-        return mDone > 0 || mPlaced.values().stream().anyMatch(t -> t.phase().runs());
+    boolean hasRunningOrSucceededTask() {
+        return mSucceeded > 0 || mPlaced.values().stream().anyMatch(t -> t.phase().runs());
     }
 
     void cancel() {
         mCancelled = true;
-        mAgain.clear();
+        mRequeued.clear();
     }
 
     boolean isCancelled() {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/Outbox.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/Outbox.java
@@ -11,7 +11,7 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.state.TaskAction;
 
-/** What has been decided and not been handed out yet. */
+/** Collects decisions until they are handed to the caller. */
 final class Outbox {
 
     private List<PlacementAction> mActions = new ArrayList<>();
@@ -19,32 +19,32 @@
     private Map<JobId, String> mRefused = new LinkedHashMap<>();
     private Map<VmId, String> mQuarantined = new LinkedHashMap<>();
 
-    void ask(PlacedTask task, TaskAction action, boolean repeated, String why) {
+    void add(PlacedTask task, TaskAction action, boolean repeated, String why) {
         VmId worker = task.worker().worker().id();
         mActions.add(new PlacementAction(task.id(), worker, action, task.attempt(), repeated, why));
     }
 
-    void ask(PlacementAction action) {
+    void add(PlacementAction action) {
         mActions.add(action);
     }
 
-    void lapsed(PlacedTask task) {
+    void addLapsed(PlacedTask task) {
         mLapsed.add(new LapsedTask(task.id(), task.worker().worker().id(), task.attempt()));
     }
 
-    void refused(JobId job, String why) {
+    void addRefused(JobId job, String why) {
         mRefused.put(job, why);
     }
 
-    void quarantined(VmId worker, String why) {
+    void addQuarantined(VmId worker, String why) {
         mQuarantined.put(worker, why);
     }
 
-    int actions() {
+    int actionCount() {
         return mActions.size();
     }
 
-    PlacementDecision take() {
+    PlacementDecision takeAll() {
         PlacementDecision decision =
                 new PlacementDecision(mActions, mLapsed, mRefused, mQuarantined);
         mActions = new ArrayList<>();
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacedTask.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacedTask.java
@@ -5,10 +5,10 @@
 import org.foxtailplank.request.RequestClass;
 import org.foxtailplank.state.TaskAction;
 
-/** A task that takes room on a worker. */
+/** A task that reserves resources on a worker. */
 final class PlacedTask {
 
-    /** Share of its processors that a throttled task keeps. */
+    /** Divisor of the processors of a throttled task. */
     private static final int THROTTLED_DIVISOR = 4;
 
     private final TaskId mId;
@@ -17,9 +17,9 @@
     private final long mAttempt;
     private Resources mReserved;
     private TaskPhase mPhase;
-    private TaskAction mAsked;
-    private long mSinceMs;
-    private long mHeardMs;
+    private TaskAction mLastAction;
+    private long mPhaseSinceMs;
+    private long mLastHeartbeatMs;
 
     PlacedTask(
             TaskId id,
@@ -34,9 +34,9 @@
         mAttempt = attempt;
         mReserved = job.estimate().reserve(worker.capacity());
         mPhase = phase;
-        mAsked = TaskAction.START;
-        mSinceMs = nowMs;
-        mHeardMs = nowMs;
+        mLastAction = TaskAction.START;
+        mPhaseSinceMs = nowMs;
+        mLastHeartbeatMs = nowMs;
     }
 
     TaskId id() {
@@ -63,47 +63,47 @@
         return mPhase;
     }
 
-    TaskAction asked() {
-        return mAsked;
+    TaskAction lastAction() {
+        return mLastAction;
     }
 
-    long sinceMs() {
-        return mSinceMs;
+    long phaseSinceMs() {
+        return mPhaseSinceMs;
     }
 
-    long heardMs() {
-        return mHeardMs;
+    long lastHeartbeatMs() {
+        return mLastHeartbeatMs;
     }
 
-    void heard(long nowMs) {
-        mHeardMs = Math.max(mHeardMs, nowMs);
+    void recordHeartbeat(long nowMs) {
+        mLastHeartbeatMs = Math.max(mLastHeartbeatMs, nowMs);
     }
 
-    void enter(TaskPhase phase, TaskAction asked, long nowMs) {
+    void transitionTo(TaskPhase phase, TaskAction action, long nowMs) {
         mWorker.phaseChanged(mPhase, phase);
         mPhase = phase;
-        mAsked = asked;
-        mSinceMs = nowMs;
+        mLastAction = action;
+        mPhaseSinceMs = nowMs;
     }
 
-    /** The action was asked for again. */
-    void askedAgain(long nowMs) {
-        mSinceMs = nowMs;
+    /** Restarts the answer timeout after the action was repeated. */
+    void recordRetry(long nowMs) {
+        mPhaseSinceMs = nowMs;
     }
 
-    /** What it takes from now on, as learned. */
-    Resources need() {
+    /** Returns the resources to reserve, based on the current estimate. */
+    Resources requirement() {
         Resources full = mJob.estimate().reserve(mWorker.capacity());
         return mPhase == TaskPhase.THROTTLED
-                ? new Resources(throttled(full), full.memoryBytes(), full.accelerators())
+                ? new Resources(throttledProcessors(full), full.memoryBytes(), full.accelerators())
                 : full;
     }
 
-    static long throttled(Resources full) {
+    static long throttledProcessors(Resources full) {
         return full.milliProcessors() / THROTTLED_DIVISOR;
     }
 
-    void reserve(Resources amount) {
+    void setReserved(Resources amount) {
         mReserved = amount;
     }
 
@@ -111,8 +111,8 @@
         return mJob.spec().urgency() == RequestClass.BATCH;
     }
 
-    /** Whether it can be asked to give way now. */
-    boolean canGiveWay() {
+    /** Returns whether the task may be preempted now. */
+    boolean isPreemptible() {
         return isBatch() && mPhase.runs();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementExplainer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementExplainer.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.fleet.Explanation.Reason;
 import org.foxtailplank.fleet.ReasonKind;
 
-/** Says why jobs and workers are where they are. */
+/** Explains the state of jobs and workers. */
 final class PlacementExplainer {
 
     private PlacementExplainer() {}
@@ -21,7 +21,7 @@
                                 reasons.add(
                                         new Reason(
                                                 ReasonKind.NEVER,
-                                                "it will not run: " + why,
+                                                "it can't run: " + why,
                                                 "a change of the job or of its pool")));
         if (job.isCancelled()) {
             reasons.add(
@@ -39,46 +39,49 @@
     }
 
     private static Reason waiting(JobEntry job, PlacementState state) {
-        if (job.team().isOver(state.totalMilli())) {
+        if (job.team().isOverQuota(state.totalMilliProcessors())) {
             return new Reason(
                     ReasonKind.QUOTA,
-                    job.waiting() + " tasks wait; its team has more than its quota",
-                    "room that no team below its quota wants");
+                    job.waiting() + " tasks wait; its team exceeds its quota",
+                    "capacity that no team below its quota needs");
         }
         return new Reason(
                 ReasonKind.NO_ROOM,
-                job.waiting() + " tasks wait; no worker of pool " + job.spec().pool() + " has room",
-                "a task to end, a worker to be woken, or batch work to give way");
+                job.waiting()
+                        + " tasks wait; no worker of pool "
+                        + job.spec().pool()
+                        + " has enough free capacity",
+                "a task to end, a worker to be woken, or batch work to be preempted");
     }
 
     private static Reason placed(TaskPhase phase, int count) {
         String tasks = count + (count == 1 ? " task " : " tasks ");
         return switch (phase) {
-            case AWAITING_ROOM ->
+            case AWAITING_CAPACITY ->
                     new Reason(
                             ReasonKind.NO_ROOM,
-                            tasks + "have a place that batch work is leaving",
+                            tasks + "wait for preempted batch work to leave",
                             "checkpoints");
             case PROPOSED ->
                     new Reason(
                             ReasonKind.ACTION_PENDING,
                             tasks + "are to be started",
-                            "the intent to stand in the log");
+                            "the intent to be in the log");
             case STARTING ->
                     new Reason(
                             ReasonKind.ACTION_PENDING,
-                            tasks + "were asked to start",
+                            tasks + "were requested to start",
                             "the workers' answers");
             case RUNNING -> new Reason(ReasonKind.SETTLED, tasks + "run", "");
             case THROTTLED ->
                     new Reason(
                             ReasonKind.NO_ROOM,
                             tasks + "run slower for urgent work",
-                            "room on other workers");
+                            "capacity on other workers");
             case LEAVING ->
                     new Reason(
                             ReasonKind.ACTION_PENDING,
-                            tasks + "were asked to checkpoint or stop",
+                            tasks + "were requested to checkpoint or stop",
                             "the workers' answers");
         };
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementPass.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementPass.java
@@ -9,31 +9,34 @@
 import org.foxtailplank.request.RequestClass;
 import org.foxtailplank.state.TaskAction;
 
-/** Places what waits in one class of one pool, team by team. */
+/** Places waiting tasks of one class in one pool, by the relative usage of teams. */
 final class PlacementPass {
 
-    /** Jobs of a team that are tried before the team counts as blocked for this pass. */
-    private static final int JOBS_TRIED = 8;
+    /** Maximum number of jobs of a team that are tried before the team counts as blocked. */
+    private static final int MAX_JOBS_TRIED = 8;
 
-    /** Searches for room that others could leave, for other than urgent work in one pass. */
-    private static final int RECLAIMS_TRIED = 4;
+    /** Maximum number of preemption searches for non-urgent work in one pass. */
+    private static final int MAX_PREEMPTION_SEARCHES = 4;
 
-    /** Places that other than urgent work may be waiting for in one pool. */
-    private static final int MOST_RECLAIMS = 8;
+    /**
+     * Maximum number of tasks in one pool that wait for preempted work before non-urgent work stops
+     * preempting.
+     */
+    private static final int MAX_PENDING_PREEMPTIONS = 8;
 
     private final PlacementState mState;
     private final PoolEntry mPool;
     private final RequestClass mUrgency;
-    private final RoomFinder mFinder;
+    private final WorkerFinder mFinder;
     private final long mNowMs;
     private final Set<JobEntry> mBlockedJobs = new HashSet<>();
-    private int mReclaimsTried;
+    private int mPreemptionSearches;
 
     PlacementPass(
             PlacementState state,
             PoolEntry pool,
             RequestClass urgency,
-            RoomFinder finder,
+            WorkerFinder finder,
             long nowMs) {
         mState = state;
         mPool = pool;
@@ -44,26 +47,26 @@
 
     void run() {
         Map<TeamShare, Set<JobEntry>> waiting = mPool.waiting(mUrgency);
-        PriorityQueue<Ranked> teams = new PriorityQueue<>();
-        waiting.keySet().forEach(t -> teams.add(new Ranked(t, t.pressure())));
-        while (mState.outbox().actions() < mState.settings().mostActions()) {
-            Ranked next = teams.poll();
+        PriorityQueue<RankedTeam> teams = new PriorityQueue<>();
+        waiting.keySet().forEach(t -> teams.add(new RankedTeam(t, t.usagePerQuota())));
+        while (mState.outbox().actionCount() < mState.settings().mostActions()) {
+            RankedTeam next = teams.poll();
             if (next == null) {
                 return;
             }
-            boolean more = placeOneOf(firstJobs(waiting, next.team()));
-            if (more && waiting.containsKey(next.team())) {
-                teams.add(new Ranked(next.team(), next.team().pressure()));
+            boolean placed = placeOneOf(nextJobs(waiting, next.team()));
+            if (placed && waiting.containsKey(next.team())) {
+                teams.add(new RankedTeam(next.team(), next.team().usagePerQuota()));
             }
         }
-        mPool.changed(mUrgency);
+        mPool.markChanged(mUrgency);
     }
 
-    private static List<JobEntry> firstJobs(Map<TeamShare, Set<JobEntry>> waiting, TeamShare team) {
-        return waiting.get(team).stream().limit(JOBS_TRIED).toList();
+    private static List<JobEntry> nextJobs(Map<TeamShare, Set<JobEntry>> waiting, TeamShare team) {
+        return waiting.get(team).stream().limit(MAX_JOBS_TRIED).toList();
     }
 
-    /** Places a task of the first job that finds room; whether there was one. */
+    /** Places a task of the first job that fits; returns whether a task was placed. */
     private boolean placeOneOf(List<JobEntry> jobs) {
         for (JobEntry job : jobs) {
             if (mBlockedJobs.contains(job)) {
@@ -77,65 +80,70 @@
         return false;
     }
 
-    /** A team by what it had for its quota when it was put in line. */
-    private record Ranked(TeamShare team, double pressure) implements Comparable<Ranked> {
+    /** A team with its usage per quota at the time of queueing. */
+    private record RankedTeam(TeamShare team, double usagePerQuota)
+            implements Comparable<RankedTeam> {
         @Override
-        public int compareTo(Ranked other) {
-            return Double.compare(pressure, other.pressure);
+        public int compareTo(RankedTeam other) {
+            return Double.compare(usagePerQuota, other.usagePerQuota);
         }
     }
 
     private boolean place(JobEntry job) {
-        Optional<WorkerEntry> room = mFinder.find(job);
-        if (room.isPresent()) {
-            start(job, room.get(), TaskPhase.PROPOSED, "room on it");
+        Optional<WorkerEntry> worker = mFinder.find(job);
+        if (worker.isPresent()) {
+            start(job, worker.get(), TaskPhase.PROPOSED, "free capacity");
             return true;
         }
         if (mUrgency != RequestClass.URGENT) {
-            mReclaimsTried++;
-            boolean tooMany = mReclaimsTried > RECLAIMS_TRIED || reclaimsOfPool() >= MOST_RECLAIMS;
+            mPreemptionSearches++;
+            boolean tooMany =
+                    mPreemptionSearches > MAX_PREEMPTION_SEARCHES
+                            || pendingPreemptions() >= MAX_PENDING_PREEMPTIONS;
             if (tooMany) {
                 return false;
             }
         }
-        Optional<Reclaim> way = new Reclaimer(mPool, mState.totalMilli(), mNowMs).find(job);
-        way.ifPresent(r -> reclaim(job, r));
-        return way.isPresent();
+        Optional<PreemptionPlan> plan =
+                new PreemptionPlanner(mPool, mState.totalMilliProcessors(), mNowMs).find(job);
+        plan.ifPresent(p -> preempt(job, p));
+        return plan.isPresent();
     }
 
-    private long reclaimsOfPool() {
-        return mState.awaitingRoom().stream()
+    private long pendingPreemptions() {
+        return mState.awaitingCapacity().stream()
                 .filter(t -> t.worker().worker().pool().equals(mPool.id()))
                 .count();
     }
 
-    private void reclaim(JobEntry job, Reclaim way) {
-        String why = "makes room for job " + job.id();
-        for (PlacedTask victim : way.victims()) {
-            if (way.byThrottling()) {
-                victim.enter(TaskPhase.THROTTLED, TaskAction.THROTTLE, mNowMs);
-                mState.reserve(victim, victim.need());
-                mState.outbox().ask(victim, TaskAction.THROTTLE, false, why);
+    private void preempt(JobEntry job, PreemptionPlan plan) {
+        String why = "preempted for job " + job.id();
+        for (PlacedTask victim : plan.victims()) {
+            if (plan.byThrottling()) {
+                victim.transitionTo(TaskPhase.THROTTLED, TaskAction.THROTTLE, mNowMs);
+                mState.reserve(victim, victim.requirement());
+                mState.outbox().add(victim, TaskAction.THROTTLE, false, why);
             } else {
-                victim.enter(TaskPhase.LEAVING, TaskAction.CHECKPOINT, mNowMs);
-                mState.outbox().ask(victim, TaskAction.CHECKPOINT, false, why);
-                mState.timers().at(mNowMs + mState.settings().answerPatience().toMillis(), victim);
+                victim.transitionTo(TaskPhase.LEAVING, TaskAction.CHECKPOINT, mNowMs);
+                mState.outbox().add(victim, TaskAction.CHECKPOINT, false, why);
+                mState.timers()
+                        .schedule(mNowMs + mState.settings().answerTimeout().toMillis(), victim);
             }
         }
-        TaskPhase phase = way.byThrottling() ? TaskPhase.PROPOSED : TaskPhase.AWAITING_ROOM;
-        start(job, way.worker(), phase, "batch work gave way");
+        TaskPhase phase = plan.byThrottling() ? TaskPhase.PROPOSED : TaskPhase.AWAITING_CAPACITY;
+        start(job, plan.worker(), phase, "preempted batch work");
     }
 
     private void start(JobEntry job, WorkerEntry worker, TaskPhase phase, String why) {
-        int index = job.takeWaiting();
+        int index = job.pollWaiting();
         long attempt = job.attempt(index) + 1;
         PlacedTask task = mState.place(job, index, worker, attempt, phase, mNowMs);
-        mPool.sort(job);
-        if (phase == TaskPhase.AWAITING_ROOM) {
-            mState.awaitingRoom().add(task);
+        mPool.updateQueue(job);
+        if (phase == TaskPhase.AWAITING_CAPACITY) {
+            mState.awaitingCapacity().add(task);
             return;
         }
-        mState.outbox().ask(task, TaskAction.START, false, why);
-        mState.timers().at(mNowMs + TaskWatch.PROPOSAL_MS, task);
+        mState.outbox().add(task, TaskAction.START, false, why);
+        mState.timers().schedule(mNowMs + TaskMonitor.PROPOSAL_TIMEOUT_MS, task);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementState.java
@@ -18,21 +18,21 @@
 import org.foxtailplank.id.TeamId;
 import org.foxtailplank.id.VmId;
 
-/** All that the placer knows, and the few changes that keep its indexes together. */
+/** The placer's state, with the operations that keep its indexes consistent. */
 final class PlacementState {
 
-    private static final RackId NO_RACK = RackId.of("unknown");
+    private static final RackId UNKNOWN_RACK = RackId.of("unknown");
 
     private final PlacementSettings mSettings;
     private final Outbox mOutbox = new Outbox();
     private final TaskTimers mTimers = new TaskTimers();
-    private final Set<PlacedTask> mAwaitingRoom = new LinkedHashSet<>();
-    private final Set<WorkerEntry> mResting = new LinkedHashSet<>();
+    private final Set<PlacedTask> mAwaitingCapacity = new LinkedHashSet<>();
+    private final Set<WorkerEntry> mBackingOff = new LinkedHashSet<>();
     private final Map<VmId, WorkerEntry> mWorkers = new HashMap<>();
     private final Map<PoolId, PoolEntry> mPools = new LinkedHashMap<>();
     private final Map<JobId, JobEntry> mJobs = new HashMap<>();
     private final Map<TeamId, TeamShare> mTeams = new HashMap<>();
-    private long mTotalMilli;
+    private long mTotalMilliProcessors;
 
     PlacementState(PlacementSettings settings) {
         mSettings = settings;
@@ -50,12 +50,12 @@
         return mTimers;
     }
 
-    Set<PlacedTask> awaitingRoom() {
-        return mAwaitingRoom;
+    Set<PlacedTask> awaitingCapacity() {
+        return mAwaitingCapacity;
     }
 
-    Set<WorkerEntry> resting() {
-        return mResting;
+    Set<WorkerEntry> backingOff() {
+        return mBackingOff;
     }
 
     PoolEntry pool(PoolId id) {
@@ -70,7 +70,7 @@
         return mPools.values();
     }
 
-    /** A team that no quota names has none. */
+    /** Returns a team; its quota is 0 until it is set. */
     TeamShare team(TeamId id) {
         return mTeams.computeIfAbsent(id, t -> new TeamShare(0));
     }
@@ -83,18 +83,18 @@
         return Optional.ofNullable(mWorkers.get(id));
     }
 
-    /** Processors of all workers, which quotas are shares of. */
-    long totalMilli() {
-        return mTotalMilli;
+    /** Returns the processors of all workers; quotas are shares of them. */
+    long totalMilliProcessors() {
+        return mTotalMilliProcessors;
     }
 
     void put(Worker worker) {
         WorkerEntry entry = mWorkers.get(worker.id());
         if (entry != null && entry.worker().pool().equals(worker.pool())) {
-            mTotalMilli += worker.capacity().milliProcessors();
-            mTotalMilli -= entry.capacity().milliProcessors();
+            mTotalMilliProcessors += worker.capacity().milliProcessors();
+            mTotalMilliProcessors -= entry.capacity().milliProcessors();
             entry.replace(worker);
-            pool(worker.pool()).roomChanged();
+            pool(worker.pool()).capacityChanged();
             return;
         }
         if (entry != null) {
@@ -105,64 +105,65 @@
         WorkerEntry added = new WorkerEntry(worker, pool.index(), quarantine);
         mWorkers.put(worker.id(), added);
         pool.add(added);
-        mTotalMilli += worker.capacity().milliProcessors();
+        mTotalMilliProcessors += worker.capacity().milliProcessors();
     }
 
     void remove(WorkerEntry entry) {
         mWorkers.remove(entry.worker().id());
         pool(entry.worker().pool()).remove(entry);
-        entry.gone();
-        mTotalMilli -= entry.capacity().milliProcessors();
+        entry.markRemoved();
+        mTotalMilliProcessors -= entry.capacity().milliProcessors();
     }
 
-    /** A worker that the log names and the fleet does not; it takes no tasks. */
-    WorkerEntry workerOrClosed(VmId id, JobEntry job) {
+    /** Returns a worker, or a closed placeholder for one that the log names but the fleet lacks. */
+    WorkerEntry workerOrPlaceholder(VmId id, JobEntry job) {
         WorkerEntry known = mWorkers.get(id);
         if (known != null) {
             return known;
         }
-        Worker closed = new Worker(id, job.spec().pool(), NO_RACK, Resources.NONE, false);
-        return new WorkerEntry(closed, new FreeIndex(), mSettings.firstQuarantine().toMillis());
+        Worker closed = new Worker(id, job.spec().pool(), UNKNOWN_RACK, Resources.NONE, false);
+        return new WorkerEntry(
+                closed, new FreeProcessorIndex(), mSettings.firstQuarantine().toMillis());
     }
 
     PlacedTask place(
             JobEntry job, int index, WorkerEntry worker, long attempt, TaskPhase phase, long now) {
         PlacedTask task =
                 new PlacedTask(new TaskId(job.id(), index), job, worker, attempt, phase, now);
-        job.attempt(index, attempt);
+        job.raiseAttempt(index, attempt);
         job.place(task);
         return task;
     }
 
     void displace(PlacedTask task) {
         task.job().displace(task);
-        mAwaitingRoom.remove(task);
-        pool(task.worker().worker().pool()).roomChanged();
+        mAwaitingCapacity.remove(task);
+        pool(task.worker().worker().pool()).capacityChanged();
     }
 
-    /** Sets what a task takes, on its worker and for its team. */
+    /** Updates the resources reserved by a task, on its worker and for its team. */
     void reserve(PlacedTask task, Resources amount) {
         long before = task.reserved().milliProcessors();
         task.worker().adjust(task, amount);
-        task.job().used(amount.milliProcessors() - before);
+        task.job().adjustUsage(amount.milliProcessors() - before);
         if (amount.milliProcessors() < before) {
-            pool(task.worker().worker().pool()).roomChanged();
+            pool(task.worker().worker().pool()).capacityChanged();
         }
     }
 
     void refuse(JobEntry job, String why) {
         job.refuse(why);
-        poolOf(job).refused(job);
-        mOutbox.refused(job.id(), why);
+        poolOf(job).addRefused(job);
+        mOutbox.addRefused(job.id(), why);
     }
 
-    /** Workers whose pause is over get tasks again. */
-    void wakeRested(long nowMs) {
-        List<WorkerEntry> rested = new ArrayList<>(mResting);
-        rested.removeIf(w -> w.health().closedUntilMs() > nowMs);
-        for (WorkerEntry w : rested) {
-            mResting.remove(w);
-            pool(w.worker().pool()).roomChanged();
+    /** Reopens workers whose backoff has expired. */
+    void reopenWorkers(long nowMs) {
+        List<WorkerEntry> reopened = new ArrayList<>(mBackingOff);
+        reopened.removeIf(w -> w.health().closedUntilMs() > nowMs);
+        for (WorkerEntry w : reopened) {
+            mBackingOff.remove(w);
+            pool(w.worker().pool()).capacityChanged();
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PoolEntry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PoolEntry.java
@@ -10,11 +10,11 @@
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.request.RequestClass;
 
-/** A pool: its workers, and the jobs that wait in it by class and team. */
+/** A pool with its workers and its waiting jobs by class and team. */
 final class PoolEntry {
 
     private final PoolId mId;
-    private final FreeIndex mIndex = new FreeIndex();
+    private final FreeProcessorIndex mIndex = new FreeProcessorIndex();
     private final Set<WorkerEntry> mWorkers = new LinkedHashSet<>();
     private final Map<RequestClass, Map<TeamShare, Set<JobEntry>>> mWaiting =
             new EnumMap<>(RequestClass.class);
@@ -32,7 +32,7 @@
         return mId;
     }
 
-    FreeIndex index() {
+    FreeProcessorIndex index() {
         return mIndex;
     }
 
@@ -42,7 +42,7 @@
 
     void add(WorkerEntry worker) {
         mWorkers.add(worker);
-        roomChanged();
+        capacityChanged();
     }
 
     void remove(WorkerEntry worker) {
@@ -50,8 +50,8 @@
         mIndex.remove(worker);
     }
 
-    /** Puts a job among the waiting ones, or takes it out, as it is. */
-    void sort(JobEntry job) {
+    /** Adds a waiting job to the queue of its class and team, or removes one that does not wait. */
+    void updateQueue(JobEntry job) {
         Map<TeamShare, Set<JobEntry>> byTeam = mWaiting.get(job.spec().urgency());
         if (job.isWaiting()) {
             byTeam.computeIfAbsent(job.team(), t -> new LinkedHashSet<>()).add(job);
@@ -68,36 +68,36 @@
         return mWaiting.get(urgency);
     }
 
-    void refused(JobEntry job) {
+    void addRefused(JobEntry job) {
         mRefused.add(job);
-        sort(job);
+        updateQueue(job);
     }
 
-    /** Jobs refused so far; a new worker may change the reason. */
-    Collection<JobEntry> takeRefused() {
+    /** Removes and returns the refused jobs, for another feasibility check. */
+    Collection<JobEntry> pollRefused() {
         Set<JobEntry> refused = Set.copyOf(mRefused);
         mRefused.clear();
         return refused;
     }
 
-    void forget(JobEntry job) {
+    void removeRefused(JobEntry job) {
         mRefused.remove(job);
-        sort(job);
+        updateQueue(job);
     }
 
-    /** Room was freed, so every class that waits may go on. */
-    void roomChanged() {
+    /** Marks all classes for another pass after a change of capacity. */
+    void capacityChanged() {
         for (RequestClass c : RequestClass.values()) {
             mChanged.add(c);
         }
     }
 
-    /** Whether a pass over the class could place anything new. */
-    boolean takeChanged(RequestClass urgency) {
+    /** Returns whether a class is marked and has waiting jobs; clears the mark. */
+    boolean pollChanged(RequestClass urgency) {
         return mChanged.remove(urgency) && !mWaiting.get(urgency).isEmpty();
     }
 
-    void changed(RequestClass urgency) {
+    void markChanged(RequestClass urgency) {
         mChanged.add(urgency);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskPhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskPhase.java
@@ -1,21 +1,21 @@
 package org.foxtailplank.internal.placement;
 
-/** Where a placed task is, as the placer knows. */
+/** Phases of a placed task. */
 enum TaskPhase {
-    /** Its place is kept until others have left it. */
-    AWAITING_ROOM,
-    /** Its start was decided and is not in the log yet. */
+    /** Waits until preempted tasks have left its worker. */
+    AWAITING_CAPACITY,
+    /** Its start is decided and not yet in the log. */
     PROPOSED,
-    /** Its start is in the log and not confirmed. */
+    /** Its start is in the log and not yet confirmed. */
     STARTING,
-    /** It runs. */
+    /** The task runs. */
     RUNNING,
-    /** It runs at reduced speed. */
+    /** The task runs at reduced speed. */
     THROTTLED,
-    /** It was asked to checkpoint or stop. */
+    /** A checkpoint or stop was requested. */
     LEAVING;
 
-    /** Whether it is not known yet if the worker can run it. */
+    /** Returns whether the start is not yet confirmed. */
     boolean isStarting() {
         return this == PROPOSED || this == STARTING;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskTimers.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskTimers.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** When to look at tasks again that may never be heard of; each task has few entries at a time. */
+/** Timers for checks of placed tasks; a task may have several. */
 final class TaskTimers {
 
     private record Timer(long atMs, PlacedTask task) {}
@@ -12,12 +12,12 @@
     private final PriorityQueue<Timer> mQueue =
             new PriorityQueue<>(Comparator.comparingLong(Timer::atMs));
 
-    void at(long atMs, PlacedTask task) {
+    void schedule(long atMs, PlacedTask task) {
         mQueue.add(new Timer(atMs, task));
     }
 
-    /** The next task whose time has come. */
-    Optional<PlacedTask> takeDue(long nowMs) {
+    /** Removes and returns the next task that is due. */
+    Optional<PlacedTask> pollDue(long nowMs) {
         Timer first = mQueue.peek();
         if (first == null || first.atMs() > nowMs) {
             return Optional.empty();
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskEvents.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TaskUpdater.java
@@ -6,39 +6,39 @@
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.TaskState;
 
-/** Brings the indexes in line with what the log says of a task. */
-final class TaskEvents {
+/** Updates the placer's indexes after changes of tasks in the log. */
+final class TaskUpdater {
 
-    /** Failures of one task after which its job is held to be at fault. */
-    private static final int MOST_ATTEMPTS = 20;
+    /** Number of attempts of a task after which a failure refuses its job. */
+    private static final int MAX_ATTEMPTS = 20;
 
     private final PlacementState mState;
 
-    TaskEvents(PlacementState state) {
+    TaskUpdater(PlacementState state) {
         mState = state;
     }
 
-    void seen(TaskId id, TaskState task, long nowMs) {
+    void apply(TaskId id, TaskState task, long nowMs) {
         JobEntry job = mState.jobs().get(id.job());
-        // A record of an earlier attempt comes late; the higher attempt has fenced it.
+        // Ignores a delayed record of an earlier attempt, which the later attempt has fenced off.
         if (job == null || task.attempt() < job.attempt(id.index())) {
             return;
         }
-        job.known(id.index());
+        job.markRecorded(id.index());
         boolean ended = task.outcome().isPresent() && task.outcome().get() != TaskOutcome.RUNNING;
         if (ended) {
-            ended(job, id.index(), task, nowMs);
+            applyEnded(job, id.index(), task, nowMs);
         } else {
-            stands(job, id, task, nowMs);
+            applyActive(job, id, task, nowMs);
         }
-        mState.poolOf(job).sort(job);
-        if (job.isOver() && job.refused().isEmpty()) {
+        mState.poolOf(job).updateQueue(job);
+        if (job.isFinished() && job.refused().isEmpty()) {
             mState.jobs().remove(job.id());
-            mState.poolOf(job).forget(job);
+            mState.poolOf(job).removeRefused(job);
         }
     }
 
-    private void stands(JobEntry job, TaskId id, TaskState state, long nowMs) {
+    private void applyActive(JobEntry job, TaskId id, TaskState state, long nowMs) {
         PlacedTask task = job.placed().get(id.index());
         boolean same =
                 task != null
@@ -48,7 +48,7 @@
             if (task != null) {
                 mState.displace(task);
             }
-            WorkerEntry worker = mState.workerOrClosed(state.worker(), job);
+            WorkerEntry worker = mState.workerOrPlaceholder(state.worker(), job);
             task =
                     mState.place(
                             job, id.index(), worker, state.attempt(), TaskPhase.STARTING, nowMs);
@@ -59,15 +59,15 @@
             phase = TaskPhase.THROTTLED;
         }
         boolean started = task.phase().isStarting() && !phase.isStarting();
-        task.enter(phase, state.action(), nowMs);
+        task.transitionTo(phase, state.action(), nowMs);
         if (started) {
-            mState.pool(task.worker().worker().pool()).roomChanged();
+            mState.pool(task.worker().worker().pool()).capacityChanged();
         }
         if (running) {
-            task.heard(nowMs);
+            task.recordHeartbeat(nowMs);
         }
-        mState.reserve(task, task.need());
-        mState.timers().at(nowMs + mState.settings().answerPatience().toMillis(), task);
+        mState.reserve(task, task.requirement());
+        mState.timers().schedule(nowMs + mState.settings().answerTimeout().toMillis(), task);
         if (job.isCancelled() && phase != TaskPhase.LEAVING) {
             stop(task, nowMs);
         }
@@ -82,72 +82,73 @@
     }
 
     void stop(PlacedTask task, long nowMs) {
-        task.enter(TaskPhase.LEAVING, TaskAction.STOP, nowMs);
-        mState.outbox().ask(task, TaskAction.STOP, false, "its job is cancelled");
-        mState.timers().at(nowMs + mState.settings().answerPatience().toMillis(), task);
+        task.transitionTo(TaskPhase.LEAVING, TaskAction.STOP, nowMs);
+        mState.outbox().add(task, TaskAction.STOP, false, "its job is cancelled");
+        mState.timers().schedule(nowMs + mState.settings().answerTimeout().toMillis(), task);
     }
 
-    private void ended(JobEntry job, int index, TaskState state, long nowMs) {
+    private void applyEnded(JobEntry job, int index, TaskState state, long nowMs) {
         Optional<PlacedTask> task = Optional.ofNullable(job.placed().get(index));
         boolean leaving = task.filter(t -> t.phase() == TaskPhase.LEAVING).isPresent();
-        job.attempt(index, state.attempt());
+        job.raiseAttempt(index, state.attempt());
         task.ifPresent(mState::displace);
         switch (state.outcome().orElseThrow()) {
             case SUCCEEDED -> {
-                job.done();
-                task.ifPresent(t -> t.worker().health().succeeded());
+                job.taskSucceeded();
+                task.ifPresent(t -> t.worker().health().recordSuccess());
             }
             case FAILED -> {
                 if (!leaving) {
-                    failed(job, index, state, nowMs);
+                    applyFailure(job, index, state, nowMs);
                 }
-                again(job, index);
+                requeue(job, index);
             }
-            default -> again(job, index);
+            default -> requeue(job, index);
         }
     }
 
-    private static void again(JobEntry job, int index) {
+    private static void requeue(JobEntry job, int index) {
         if (!job.isCancelled()) {
-            job.again(index);
+            job.requeue(index);
         }
     }
 
-    private void failed(JobEntry job, int index, TaskState state, long nowMs) {
+    private void applyFailure(JobEntry job, int index, TaskState state, long nowMs) {
         Optional<WorkerEntry> worker = mState.worker(state.worker());
         if (worker.isPresent()) {
             WorkerHealth health = worker.get().health();
-            boolean guilty = health.failed(job.id(), job.runsSomewhere(), nowMs);
-            mState.resting().add(worker.get());
-            if (guilty) {
-                quarantined(worker.get(), nowMs);
+            boolean quarantined =
+                    health.recordFailure(job.id(), job.hasRunningOrSucceededTask(), nowMs);
+            mState.backingOff().add(worker.get());
+            if (quarantined) {
+                reportQuarantine(worker.get(), nowMs);
                 return;
             }
         }
-        boolean everywhere = job.failedOn(state.worker()) && !job.runsSomewhere();
-        if (everywhere || job.attempt(index) >= MOST_ATTEMPTS) {
+        boolean rejected = job.recordFailure(state.worker()) && !job.hasRunningOrSucceededTask();
+        if (rejected || job.attempt(index) >= MAX_ATTEMPTS) {
             mState.refuse(
                     job,
                     String.format(
-                            "its tasks failed on %d workers that run other jobs (%s); mend the job"
-                                    + " and submit it anew",
+                            "its tasks failed on %d workers that run other jobs (%s); fix the job"
+                                    + " and submit it again",
                             job.failedOn().size(), job.failedOn()));
         }
     }
 
-    /** The worker is at fault, so what failed on it is not held against the jobs. */
-    private void quarantined(WorkerEntry worker, long nowMs) {
+    /** Reports a quarantined worker and clears its failures from the jobs that failed on it. */
+    private void reportQuarantine(WorkerEntry worker, long nowMs) {
         long seconds = (worker.health().closedUntilMs() - nowMs) / 1000;
         String why =
                 String.format(
                         "%d tasks in a row failed on it; it gets no tasks for %d s, then one on"
                                 + " trial",
                         worker.health().failures(), seconds);
-        mState.outbox().quarantined(worker.worker().id(), why);
+        mState.outbox().addQuarantined(worker.worker().id(), why);
         for (var id : worker.health().failedJobs()) {
             JobEntry job = mState.jobs().get(id);
             if (job != null) {
-                job.forgive(worker.worker().id());
+                job.clearFailure(worker.worker().id());
             }
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TeamShare.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/TeamShare.java
@@ -1,21 +1,21 @@
 package org.foxtailplank.internal.placement;
 
-/** What a team takes of the fleet, against its quota. */
+/** A team's use of the fleet relative to its quota. */
 final class TeamShare {
 
-    private static final double RATIO_STEP = 0.1;
-    private static final double OVER = 1.1;
+    private static final double RATIO_SMOOTHING = 0.1;
+    private static final double OVER_QUOTA_FACTOR = 1.1;
 
     private double mQuota;
-    private long mUsedMilli;
-    private long mUrgentMilli;
+    private long mUsedMilliProcessors;
+    private long mUrgentMilliProcessors;
     private double mRatio = 1;
 
     TeamShare(double quota) {
         mQuota = quota;
     }
 
-    void quota(double quota) {
+    void setQuota(double quota) {
         mQuota = quota;
     }
 
@@ -23,41 +23,41 @@
         return mQuota;
     }
 
-    void used(long milliProcessors, boolean urgent) {
-        mUsedMilli += milliProcessors;
-        mUrgentMilli += urgent ? milliProcessors : 0;
+    void adjustUsage(long milliProcessors, boolean urgent) {
+        mUsedMilliProcessors += milliProcessors;
+        mUrgentMilliProcessors += urgent ? milliProcessors : 0;
     }
 
-    /** Use for each unit of quota; the team with the least goes first. */
-    double pressure() {
-        return mQuota <= 0 ? Double.MAX_VALUE : mUsedMilli / mQuota;
+    /** Returns the use per unit of quota; the team with the lowest value is served first. */
+    double usagePerQuota() {
+        return mQuota <= 0 ? Double.MAX_VALUE : mUsedMilliProcessors / mQuota;
     }
 
     /**
-     * Whether the team's urgent work is within its quota.
+     * Returns whether the team's urgent work is within its quota.
      *
-     * <p>Its batch work does not count: it took what nobody else wanted, and would else stand in
-     * the way of the team's own urgent work.
+     * <p>Other work of the team does not count, so that its batch work does not block its urgent
+     * work.
      */
-    boolean isUrgentWithin(long totalMilli, long moreMilli) {
-        return mUrgentMilli + moreMilli <= mQuota * totalMilli;
+    boolean isUrgentWithinQuota(long totalMilliProcessors, long requestedMilliProcessors) {
+        return mUrgentMilliProcessors + requestedMilliProcessors <= mQuota * totalMilliProcessors;
     }
 
-    boolean isWithin(long totalMilli, long moreMilli) {
-        return mUsedMilli + moreMilli <= mQuota * totalMilli;
+    boolean isWithinQuota(long totalMilliProcessors, long requestedMilliProcessors) {
+        return mUsedMilliProcessors + requestedMilliProcessors <= mQuota * totalMilliProcessors;
     }
 
-    /** Whether it is over its quota by more than a task or two. */
-    boolean isOver(long totalMilli) {
-        return mUsedMilli > OVER * mQuota * totalMilli;
+    /** Returns whether the team exceeds its quota by more than a tolerance. */
+    boolean isOverQuota(long totalMilliProcessors) {
+        return mUsedMilliProcessors > OVER_QUOTA_FACTOR * mQuota * totalMilliProcessors;
     }
 
-    /** Measured use for each declared unit over the team's jobs. */
+    /** Returns the smoothed ratio of measured to declared use over the team's jobs. */
     double ratio() {
         return mRatio;
     }
 
-    void learn(double ratio) {
-        mRatio += RATIO_STEP * (ratio - mRatio);
+    void updateRatio(double ratio) {
+        mRatio += RATIO_SMOOTHING * (ratio - mRatio);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/UsageEstimate.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/UsageEstimate.java
@@ -3,16 +3,16 @@
 import org.foxtailplank.fleet.Resources;
 
 /**
- * What a task of a job really takes, learned from usage reports.
+ * Estimated resource use of a job's tasks, from usage reports.
  *
- * <p>Declared sizes are wrong by several times both ways, and reports lag and err too; so the
- * estimate rises at once, falls slowly, and stays within a factor of what was declared.
+ * <p>Declared sizes and reports are both inaccurate, so the estimate rises immediately, falls
+ * slowly, and stays within a factor of the declared size.
  */
 final class UsageEstimate {
 
-    private static final double MOST_WRONG = 4;
-    private static final double FALL = 0.25;
-    private static final double MARGIN = 1.1;
+    private static final double MAX_DEVIATION = 4;
+    private static final double DECAY = 0.25;
+    private static final double SAFETY_MARGIN = 1.1;
 
     private final Resources mDeclared;
     private double mMilliProcessors;
@@ -22,51 +22,53 @@
     UsageEstimate(Resources declared, double teamRatio) {
         mDeclared = declared;
         mMilliProcessors =
-                bounded(declared.milliProcessors() * teamRatio, declared.milliProcessors());
+                clamp(declared.milliProcessors() * teamRatio, declared.milliProcessors());
         mMemoryBytes = declared.memoryBytes();
     }
 
-    void seen(Resources used) {
-        mMilliProcessors = follow(mMilliProcessors, used.milliProcessors());
-        mMemoryBytes = follow(mMemoryBytes, used.memoryBytes());
+    void update(Resources used) {
+        mMilliProcessors = smooth(mMilliProcessors, used.milliProcessors());
+        mMemoryBytes = smooth(mMemoryBytes, used.memoryBytes());
         mMeasured = true;
     }
 
-    /** A task failed before anything was measured; it may have lacked memory. */
-    void failed() {
+    /**
+     * Raises the memory estimate after a failure without a measurement; the task may have run out
+     * of memory.
+     */
+    void raiseMemory() {
         if (!mMeasured) {
-            mMemoryBytes = MOST_WRONG * mDeclared.memoryBytes();
+            mMemoryBytes = MAX_DEVIATION * mDeclared.memoryBytes();
         }
     }
 
-    /** The failure was the worker's. */
-    void forgive() {
+    /** Resets the memory estimate after a failure that was caused by the worker. */
+    void resetMemory() {
         if (!mMeasured) {
             mMemoryBytes = mDeclared.memoryBytes();
         }
     }
 
-    private double follow(double known, double seen) {
-        boolean rises = seen > known;
-        return rises ? seen : known + FALL * (seen - known);
+    private double smooth(double current, double measured) {
+        boolean rises = measured > current;
+        return rises ? measured : current + DECAY * (measured - current);
     }
 
-    /** What to keep for one task on a worker of that capacity. */
+    /** Returns the resources to reserve for one task on a worker of the given capacity. */
     Resources reserve(Resources capacity) {
-        double margin = mMeasured ? MARGIN : 1;
-        long milli = (long) bounded(mMilliProcessors * margin, mDeclared.milliProcessors());
-        long memory = (long) bounded(mMemoryBytes * margin, mDeclared.memoryBytes());
+        double margin = mMeasured ? SAFETY_MARGIN : 1;
+        long milli = (long) clamp(mMilliProcessors * margin, mDeclared.milliProcessors());
+        long memory = (long) clamp(mMemoryBytes * margin, mDeclared.memoryBytes());
         return new Resources(
                 Math.min(milli, capacity.milliProcessors()),
                 Math.min(memory, capacity.memoryBytes()),
                 mDeclared.accelerators());
     }
 
-    /** Measured use for each declared unit. */
+    /** Returns the ratio of measured to declared processors; 1 without a measurement. */
     double ratio() {
         return mMeasured && mDeclared.milliProcessors() > 0
-                ? bounded(mMilliProcessors, mDeclared.milliProcessors())
-                        / mDeclared.milliProcessors()
+                ? clamp(mMilliProcessors, mDeclared.milliProcessors()) / mDeclared.milliProcessors()
                 : 1;
     }
 
@@ -74,7 +76,7 @@
         return mMeasured;
     }
 
-    private static double bounded(double value, double declared) {
-        return Math.max(declared / MOST_WRONG, Math.min(declared * MOST_WRONG, value));
+    private static double clamp(double value, double declared) {
+        return Math.max(declared / MAX_DEVIATION, Math.min(declared * MAX_DEVIATION, value));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/WorkerEntry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/WorkerEntry.java
@@ -5,19 +5,19 @@
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.fleet.Worker;
 
-/** A worker and what stands on it. */
+/** A worker with its placed tasks. */
 final class WorkerEntry {
 
     private final WorkerHealth mHealth;
     private final Set<PlacedTask> mTasks = new LinkedHashSet<>();
-    private final FreeIndex mIndex;
+    private final FreeProcessorIndex mIndex;
     private Worker mWorker;
-    private boolean mGone;
+    private boolean mRemoved;
     private int mStarting;
     private Resources mReserved = Resources.NONE;
     private Resources mMeasured = Resources.NONE;
 
-    WorkerEntry(Worker worker, FreeIndex index, long firstQuarantineMs) {
+    WorkerEntry(Worker worker, FreeProcessorIndex index, long firstQuarantineMs) {
         mWorker = worker;
         mIndex = index;
         mHealth = new WorkerHealth(firstQuarantineMs);
@@ -34,12 +34,12 @@
 
     void replace(Worker worker) {
         mWorker = worker;
-        mGone = false;
+        mRemoved = false;
         mIndex.update(this);
     }
 
-    void gone() {
-        mGone = true;
+    void markRemoved() {
+        mRemoved = true;
         mIndex.remove(this);
     }
 
@@ -70,35 +70,35 @@
         }
     }
 
-    /** What a task takes has changed. */
+    /** Changes the resources reserved by a task. */
     void adjust(PlacedTask task, Resources amount) {
         if (mTasks.contains(task)) {
             mReserved = mReserved.minus(task.reserved()).plus(amount);
         }
-        task.reserve(amount);
+        task.setReserved(amount);
         mIndex.update(this);
     }
 
-    void measured(Resources used) {
+    void setMeasured(Resources used) {
         mMeasured = used;
     }
 
-    /** Whether what it runs uses more memory than it should. */
+    /** Returns whether the measured memory use is close to the capacity. */
     boolean isShortOfMemory() {
         return mMeasured.memoryBytes() > 0.95 * mWorker.capacity().memoryBytes();
     }
 
     boolean isOpen() {
-        return mWorker.open() && !mGone;
+        return mWorker.open() && !mRemoved;
     }
 
     boolean accepts(boolean urgent, long nowMs) {
         return isOpen()
-                && mStarting < mHealth.mostStarting()
+                && mStarting < mHealth.maxStarting()
                 && mHealth.accepts(urgent, mTasks.isEmpty(), nowMs);
     }
 
-    /** A task on it goes from one phase to the other. */
+    /** Updates the number of starting tasks after a phase change. */
     void phaseChanged(TaskPhase from, TaskPhase to) {
         mStarting += (to.isStarting() ? 1 : 0) - (from.isStarting() ? 1 : 0);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/RoomFinder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/WorkerFinder.java
@@ -6,24 +6,26 @@
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.request.RequestClass;
 
-/** Finds a worker with room in one pool; what found none once is not looked for again. */
-final class RoomFinder {
+/**
+ * Finds workers with enough free capacity in one pool; remembers requirements that no worker met.
+ */
+final class WorkerFinder {
 
-    private static final int CANDIDATES = 8;
-    private static final long MILLI = 1000;
+    private static final int MAX_CANDIDATES = 8;
+    private static final long MILLI_PER_PROCESSOR = 1000;
 
     private final PoolEntry mPool;
     private final long mNowMs;
-    private final List<Resources> mNoRoom = new ArrayList<>();
-    private final Resources mLargest;
+    private final List<Resources> mUnplaceable = new ArrayList<>();
+    private final Resources mLargestCapacity;
 
-    RoomFinder(PoolEntry pool, long nowMs) {
+    WorkerFinder(PoolEntry pool, long nowMs) {
         mPool = pool;
         mNowMs = nowMs;
-        mLargest = largest(pool);
+        mLargestCapacity = largestCapacity(pool);
     }
 
-    private static Resources largest(PoolEntry pool) {
+    private static Resources largestCapacity(PoolEntry pool) {
         Resources largest = Resources.NONE;
         for (WorkerEntry w : pool.workers()) {
             Resources c = w.capacity();
@@ -36,37 +38,42 @@
         return largest;
     }
 
-    /** The worker with the least room left over, in the rack that has fewest of the job's tasks. */
+    /**
+     * Returns a worker with little spare capacity, preferably in the rack with the fewest tasks of
+     * the job.
+     */
     Optional<WorkerEntry> find(JobEntry job) {
-        Resources need = job.estimate().reserve(mLargest);
-        if (mNoRoom.stream().anyMatch(r -> r.fitsIn(need))) {
+        Resources need = job.estimate().reserve(mLargestCapacity);
+        if (mUnplaceable.stream().anyMatch(r -> r.fitsIn(need))) {
             return Optional.empty();
         }
         boolean urgent = job.spec().urgency() == RequestClass.URGENT;
         WorkerEntry best = null;
-        int seen = 0;
-        int from = (int) (need.milliProcessors() / MILLI);
-        for (int free = from; free < mPool.index().places() && seen < CANDIDATES; free++) {
-            for (WorkerEntry w : mPool.index().at(free)) {
-                if (!isFit(job, w, urgent)) {
+        int found = 0;
+        int from = (int) (need.milliProcessors() / MILLI_PER_PROCESSOR);
+        for (int free = from;
+                free < mPool.index().bucketCount() && found < MAX_CANDIDATES;
+                free++) {
+            for (WorkerEntry w : mPool.index().bucket(free)) {
+                if (!canRun(job, w, urgent)) {
                     continue;
                 }
-                seen++;
+                found++;
                 if (best == null || tasksInRack(job, w) < tasksInRack(job, best)) {
                     best = w;
                 }
-                if (seen >= CANDIDATES) {
+                if (found >= MAX_CANDIDATES) {
                     break;
                 }
             }
         }
         if (best == null) {
-            mNoRoom.add(need);
+            mUnplaceable.add(need);
         }
         return Optional.ofNullable(best);
     }
 
-    private boolean isFit(JobEntry job, WorkerEntry w, boolean urgent) {
+    private boolean canRun(JobEntry job, WorkerEntry w, boolean urgent) {
         return w.accepts(urgent, mNowMs)
                 && !job.failedOn().contains(w.worker().id())
                 && job.estimate().reserve(w.capacity()).fitsIn(w.free())
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/WorkerHealth.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/WorkerHealth.java
@@ -5,19 +5,19 @@
 import org.foxtailplank.id.JobId;
 
 /**
- * Whether a worker can be trusted with tasks.
+ * Tracks failures of a worker and decides whether it may get tasks.
  *
- * <p>Guards against a worker that fails everything it starts: it is always free, so it draws task
- * after task. It shows as failures in a row from different jobs, and each failure costs it a pause,
- * so it can't draw many before it is left out. One trial task at a time lets it back in.
+ * <p>Guards against a faulty worker that attracts tasks because it is always free. Each failure
+ * causes a backoff, and consecutive failures of different jobs a quarantine. After it, one trial
+ * task at a time decides whether the worker gets tasks again.
  */
 final class WorkerHealth {
 
     private static final int FAILURES_TO_QUARANTINE = 3;
-    private static final int MOST_STARTING = 4;
-    private static final int MOST_STARTING_UNPROVEN = 2;
-    private static final long FIRST_PAUSE_MS = 1_000;
-    private static final long LONGEST_QUARANTINE_MS = 3_600_000;
+    private static final int MAX_STARTING = 4;
+    private static final int MAX_STARTING_UNPROVEN = 2;
+    private static final long FIRST_BACKOFF_MS = 1_000;
+    private static final long MAX_QUARANTINE_MS = 3_600_000;
 
     private final long mFirstQuarantineMs;
     private final Set<JobId> mFailedJobs = new HashSet<>();
@@ -31,25 +31,25 @@
         mFirstQuarantineMs = firstQuarantineMs;
     }
 
-    /** A task failed; returns whether the worker is quarantined for it. */
-    boolean failed(JobId job, boolean jobRunsElsewhere, long nowMs) {
+    /** Records a failed task; returns whether the worker is quarantined for it. */
+    boolean recordFailure(JobId job, boolean jobRunsElsewhere, long nowMs) {
         mFailures++;
         mFailedJobs.add(job);
         boolean onlyThatJob = mFailedJobs.size() == 1 && !jobRunsElsewhere;
-        boolean guilty = mOnTrial || mFailures >= FAILURES_TO_QUARANTINE && !onlyThatJob;
-        long pause = FIRST_PAUSE_MS << Math.min(mFailures - 1, 5);
-        if (guilty) {
-            pause = mFirstQuarantineMs << Math.min(mQuarantines, 16);
+        boolean quarantined = mOnTrial || mFailures >= FAILURES_TO_QUARANTINE && !onlyThatJob;
+        long backoff = FIRST_BACKOFF_MS << Math.min(mFailures - 1, 5);
+        if (quarantined) {
+            backoff = mFirstQuarantineMs << Math.min(mQuarantines, 16);
             mQuarantines++;
             mOnTrial = true;
             mProven = false;
         }
-        mClosedUntilMs = nowMs + Math.min(pause, LONGEST_QUARANTINE_MS);
-        return guilty;
+        mClosedUntilMs = nowMs + Math.min(backoff, MAX_QUARANTINE_MS);
+        return quarantined;
     }
 
-    /** A task ran or ended well. */
-    void succeeded() {
+    /** Records a task that runs or has succeeded. */
+    void recordSuccess() {
         mFailures = 0;
         mFailedJobs.clear();
         mOnTrial = false;
@@ -57,7 +57,7 @@
         mClosedUntilMs = 0;
     }
 
-    /** Whether it may be given a task now; urgent work is not used for trials. */
+    /** Returns whether the worker may get a task now; urgent tasks are not used as trials. */
     boolean accepts(boolean urgent, boolean idle, long nowMs) {
         if (nowMs < mClosedUntilMs) {
             return false;
@@ -66,13 +66,12 @@
     }
 
     /**
-     * Starts that may be unanswered at once.
+     * Returns the maximum number of unconfirmed starts.
      *
-     * <p>Failures are only known after the answers, so without a bound a bad worker draws as many
-     * tasks as fit on it before the first failure is seen.
+     * <p>Limits the tasks that a faulty worker fails before the first failure is known.
      */
-    int mostStarting() {
-        return mProven ? MOST_STARTING : MOST_STARTING_UNPROVEN;
+    int maxStarting() {
+        return mProven ? MAX_STARTING : MAX_STARTING_UNPROVEN;
     }
 
     boolean isQuarantined() {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budget.java
@@ -7,9 +7,9 @@
 import org.foxtailplank.id.RackId;
 
 /**
- * Availability budget of one service, or of one pool without a service: serving VMs by rack.
+ * Availability budget of one service, or of one pool without a service; counts serving VMs by rack.
  *
- * <p>The largest rack is kept by counting racks of each size, so that a stop costs constant time.
+ * <p>Racks are counted by size, so that the largest one is updated in constant time.
  */
 public final class Budget {
 
@@ -17,7 +17,7 @@
     private final int mMinAvailable;
     private final int mDemand;
     private final Map<RackId, int[]> mByRack = new HashMap<>();
-    private int[] mRacksOfSize = new int[8];
+    private int[] mRacksBySize = new int[8];
     private int mServing;
     private int mLargest;
     private int mPowered;
@@ -29,25 +29,25 @@
         mDemand = demand;
     }
 
-    /** A VM that serves. */
+    /** Counts a VM that serves. */
     void add(RackId rack) {
         int[] count = mByRack.computeIfAbsent(rack, r -> new int[1]);
         resize(count, count[0] + 1);
         mServing++;
     }
 
-    /** A VM that would serve if nothing had failed and nothing were under way. */
+    /** Counts a VM that is powered on, whether or not it serves. */
     void addPowered() {
         mPowered++;
     }
 
-    /** Whether one VM of the rack can stop and any one more rack still be lost. */
+    /** Returns whether the budget allows a stop in the rack and the loss of any one more rack. */
     public boolean canStop(RackId rack) {
         int[] count = mByRack.get(rack);
         if (count == null || count[0] == 0) {
             return false;
         }
-        boolean shrinks = count[0] == mLargest && mRacksOfSize[mLargest] == 1;
+        boolean shrinks = count[0] == mLargest && mRacksBySize[mLargest] == 1;
         int largest = shrinks ? mLargest - 1 : mLargest;
         int left = mServing - 1;
         return left - largest >= mMinAvailable && left >= mDemand;
@@ -68,14 +68,14 @@
     }
 
     private void resize(int[] count, int size) {
-        if (size >= mRacksOfSize.length) {
-            mRacksOfSize = Arrays.copyOf(mRacksOfSize, size * 2);
+        if (size >= mRacksBySize.length) {
+            mRacksBySize = Arrays.copyOf(mRacksBySize, size * 2);
         }
-        mRacksOfSize[count[0]]--;
-        mRacksOfSize[size]++;
+        mRacksBySize[count[0]]--;
+        mRacksBySize[size]++;
         count[0] = size;
         mLargest = Math.max(mLargest, size);
-        while (mLargest > 0 && mRacksOfSize[mLargest] == 0) {
+        while (mLargest > 0 && mRacksBySize[mLargest] == 0) {
             mLargest--;
         }
     }
@@ -108,7 +108,7 @@
         return mLargest;
     }
 
-    /** VMs that could stop now, each from the rack where it hurts least. */
+    /** Returns the number of VMs that may stop now if the largest rack keeps its size. */
     int slack() {
         return Math.min(mServing - mLargest - mMinAvailable, mServing - mDemand);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budgets.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budgets.java
@@ -12,19 +12,20 @@
 import org.foxtailplank.state.VmPhase;
 import org.foxtailplank.state.VmState;
 
-/** The availability budgets of all services, with every pending intent and failure counted. */
+/** Availability budgets of all services; accounts for pending intents and failures. */
 public final class Budgets {
 
     private final Map<PoolId, Budget> mByPool = new HashMap<>();
 
     private Budgets() {}
 
-    /** Counts the fleet once. */
-    public static Budgets of(FleetView view, Observation seen) {
+    /** Computes the budgets from one pass over the fleet. */
+    public static Budgets of(FleetView view, Observation observation) {
         Budgets budgets = new Budgets();
         Map<ServiceId, Integer> demand = new HashMap<>();
         for (PoolState pool : view.pools()) {
-            pool.service().ifPresent(s -> demand.merge(s, demandOf(pool, seen), Integer::sum));
+            pool.service()
+                    .ifPresent(s -> demand.merge(s, demandOf(pool, observation), Integer::sum));
         }
         Map<ServiceId, Budget> byService = new HashMap<>();
         for (PoolState pool : view.pools()) {
@@ -39,26 +40,26 @@
                                                                     "service " + k,
                                                                     view.minAvailable(k),
                                                                     demand.get(k))))
-                            .orElseGet(() -> ofJobs(pool, seen));
+                            .orElseGet(() -> ofJobs(pool, observation));
             budgets.mByPool.put(pool.id(), budget);
         }
         for (VmState vm : view.vms()) {
-            budgets.count(vm, seen);
+            budgets.count(vm, observation);
         }
         return budgets;
     }
 
-    /** A pool that runs jobs and no service has no availability budget, only a demand. */
-    private static Budget ofJobs(PoolState pool, Observation seen) {
-        return new Budget("pool " + pool.id(), 0, demandOf(pool, seen));
+    /** Returns the budget of a pool without a service: only its demand limits stops. */
+    private static Budget ofJobs(PoolState pool, Observation observation) {
+        return new Budget("pool " + pool.id(), 0, demandOf(pool, observation));
     }
 
-    private static int demandOf(PoolState pool, Observation seen) {
-        var use = seen.use().get(pool.id());
+    private static int demandOf(PoolState pool, Observation observation) {
+        var use = observation.use().get(pool.id());
         return use == null ? 0 : (int) Math.ceil(use.vms());
     }
 
-    private void count(VmState vm, Observation seen) {
+    private void count(VmState vm, Observation observation) {
         Budget budget = mByPool.get(vm.pool());
         if (budget == null) {
             return;
@@ -66,20 +67,22 @@
         if (vm.phase() != VmPhase.OFF && vm.phase() != VmPhase.RELEASING) {
             budget.addPowered();
         }
-        if (serves(vm, seen)) {
+        if (serves(vm, observation)) {
             budget.add(vm.rack());
         }
     }
 
     /**
-     * Whether a VM counts as serving.
+     * Returns whether a VM counts as serving.
      *
-     * <p>An intended stop counts as one from its offset on, whoever wrote it: a controller that was
-     * paused after its intent may still act on it, so its stop is already paid for.
+     * <p>A VM with an intended stop does not count, whoever wrote the intent: a controller that was
+     * paused after writing it may still execute the stop.
      */
-    public static boolean serves(VmState vm, Observation seen) {
+    public static boolean serves(VmState vm, Observation observation) {
         boolean stopping = vm.pending().isPresent() && vm.pending().get() != VmAction.WAKE;
-        return vm.phase() == VmPhase.SERVING && !stopping && !seen.notServing().contains(vm.id());
+        return vm.phase() == VmPhase.SERVING
+                && !stopping
+                && !observation.notServing().contains(vm.id());
     }
 
     public Budget of(PoolId pool) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/RackWavePlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/RackWavePlanner.java
@@ -17,55 +17,55 @@
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
 
-/** Plans waves rack by rack, anew at each step. */
+/** Plans waves rack by rack; replans before each step. */
 public final class RackWavePlanner implements WavePlanner {
 
-    /** Fewest failures that pause a wave; a single one is an ordinary day's. */
-    private static final int FEWEST_FAILURES = 2;
+    /** Minimum number of failures that pause a wave; a single one may be unrelated. */
+    private static final int MIN_FAILURES = 2;
 
-    /** Share of touched VMs whose failure pauses a wave; three times what an ordinary day loses. */
-    private static final double FAILED_SHARE = 0.05;
+    /** Share of maintained VMs whose failure pauses a wave. */
+    private static final double MAX_FAILED_SHARE = 0.05;
 
-    /** Share of the wave's VMs in a zone that it may leave out because they do not serve. */
-    private static final double LEFT_OUT_SHARE = 0.05;
+    /** Share of the VMs in a zone that a wave may skip because they do not serve. */
+    private static final double MAX_SKIPPED_SHARE = 0.05;
 
-    /** How many times the VMs that came back well may be stopped at once. */
+    /** Maximum step width as a multiple of the VMs that were maintained successfully. */
     private static final int RAMP_FACTOR = 2;
 
     @Override
-    public WaveDecision next(FleetView view, WaveState wave, ZoneId zone, Observation seen) {
+    public WaveDecision next(FleetView view, WaveState wave, ZoneId zone, Observation observation) {
         boolean here = wave.zones().contains(zone) && !wave.finished().contains(zone);
         if (wave.phase() != WavePhase.RUNNING || !here) {
             return new WaveDecision.Idle();
         }
-        WaveScope scope = WaveScope.of(view, wave, Set.of(zone), seen);
-        if (isCorrelated(scope)) {
+        WaveScope scope = WaveScope.of(view, wave, Set.of(zone), observation);
+        if (hasCorrelatedFailures(scope)) {
             return pause(scope);
         }
         if (scope.waiting().isEmpty()) {
-            return atEnd(scope);
+            return finish(scope);
         }
-        Budgets budgets = Budgets.of(view, seen);
-        StepChooser chooser =
-                StepChooser.choose(budgets, scope.waiting(), widest(scope) - scope.underWay());
-        return chooser.chosen().isEmpty()
+        Budgets budgets = Budgets.of(view, observation);
+        StepSelector chooser =
+                StepSelector.select(budgets, scope.waiting(), maxWidth(scope) - scope.inProgress());
+        return chooser.selected().isEmpty()
                 ? new WaveDecision.Hold(chooser.limits())
                 : new WaveDecision.Go(chooser.step());
     }
 
     /**
-     * Guards against a bad image or firmware: it shows as VMs that fail after their step. The wave
-     * starts with one rack and at most doubles with the VMs that came back, so few are hit before
-     * their share says so.
+     * Returns the maximum width of the next step. Guards against a bad image or firmware: the first
+     * step is limited to one rack and later ones to twice the maintained VMs, so few VMs are
+     * affected before the failures pause the wave.
      */
-    private static int widest(WaveScope scope) {
+    private static int maxWidth(WaveScope scope) {
         int rack = scope.waiting().values().stream().mapToInt(List::size).max().orElse(1);
         return Math.max(rack, RAMP_FACTOR * scope.maintained());
     }
 
-    private static boolean isCorrelated(WaveScope scope) {
+    private static boolean hasCorrelatedFailures(WaveScope scope) {
         int failed = scope.failures();
-        return failed >= FEWEST_FAILURES && failed >= FAILED_SHARE * scope.touchedSinceOrder();
+        return failed >= MIN_FAILURES && failed >= MAX_FAILED_SHARE * scope.touchedSinceOrder();
     }
 
     private static WaveDecision pause(WaveScope scope) {
@@ -83,35 +83,35 @@
     }
 
     /**
-     * Guards against a report that calls every VM silent, as in a cut-off zone: a wave ends over
-     * few dead VMs, and waits where they are many.
+     * Finishes the wave unless too many VMs are silent. Guards against a report from a cut-off
+     * zone, which lists every VM as silent.
      */
-    private static WaveDecision atEnd(WaveScope scope) {
-        boolean few = scope.silent() <= Math.max(1, LEFT_OUT_SHARE * scope.size());
-        if (scope.underWay() > 0 || !few) {
+    private static WaveDecision finish(WaveScope scope) {
+        boolean few = scope.silent() <= Math.max(1, MAX_SKIPPED_SHARE * scope.size());
+        if (scope.inProgress() > 0 || !few) {
             return new WaveDecision.Hold(List.of());
         }
-        return new WaveDecision.Finished(List.copyOf(scope.leftOut()));
+        return new WaveDecision.Finished(List.copyOf(scope.skipped()));
     }
 
     @Override
-    public WavePlan plan(FleetView view, WaveState wave, Observation seen) {
-        WaveScope scope = WaveScope.of(view, wave, wave.zones(), seen);
-        Budgets budgets = Budgets.of(view, seen);
+    public WavePlan plan(FleetView view, WaveState wave, Observation observation) {
+        WaveScope scope = WaveScope.of(view, wave, wave.zones(), observation);
+        Budgets budgets = Budgets.of(view, observation);
         List<WaveStep> steps = new ArrayList<>();
         List<WaveLimit> blocked = List.of();
         int done = scope.maintained();
         while (!scope.waiting().isEmpty()) {
             int rack = scope.waiting().values().stream().mapToInt(List::size).max().orElse(1);
             int widest = Math.max(rack * wave.zones().size(), RAMP_FACTOR * done);
-            StepChooser chooser = StepChooser.choose(budgets, scope.waiting(), widest);
-            if (chooser.chosen().isEmpty()) {
+            StepSelector chooser = StepSelector.select(budgets, scope.waiting(), widest);
+            if (chooser.selected().isEmpty()) {
                 blocked = chooser.limits();
                 break;
             }
             steps.add(chooser.step());
-            done += chooser.chosen().size();
-            for (VmState vm : chooser.chosen()) {
+            done += chooser.selected().size();
+            for (VmState vm : chooser.selected()) {
                 budgets.of(vm.pool()).restart(vm.rack());
             }
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/StepChooser.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/StepSelector.java
@@ -15,30 +15,30 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.state.VmState;
 
-/** Chooses the VMs of one step: whole racks first, then parts of racks, as the budgets allow. */
-final class StepChooser {
+/** Selects the VMs of one step within the budgets: whole racks first, then parts of racks. */
+final class StepSelector {
 
     private final Budgets mBudgets;
     private final Map<RackId, List<VmState>> mWaiting;
-    private final int mWidest;
-    private final List<VmState> mChosen = new ArrayList<>();
+    private final int mMaxWidth;
+    private final List<VmState> mSelected = new ArrayList<>();
     private final Set<RackId> mRacks = new LinkedHashSet<>();
-    private final Set<Budget> mLimited = new LinkedHashSet<>();
-    private boolean mRamped;
+    private final Set<Budget> mLimiting = new LinkedHashSet<>();
+    private boolean mRampLimited;
 
-    private StepChooser(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
+    private StepSelector(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
         mBudgets = budgets;
         mWaiting = waiting;
-        mWidest = widest;
+        mMaxWidth = widest;
     }
 
-    /** The widest step; its VMs are taken out of the budgets and of the waiting ones. */
-    static StepChooser choose(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
-        StepChooser chooser = new StepChooser(budgets, waiting, widest);
+    /** Selects the widest step; removes its VMs from the budgets and from the waiting VMs. */
+    static StepSelector select(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
+        StepSelector chooser = new StepSelector(budgets, waiting, widest);
         List<RackId> racks = chooser.racksBySize();
-        racks.forEach(chooser::takeWhole);
-        racks.forEach(chooser::takePart);
-        chooser.forgetChosen();
+        racks.forEach(chooser::addWholeRack);
+        racks.forEach(chooser::addPartialRack);
+        chooser.removeSelected();
         return chooser;
     }
 
@@ -51,9 +51,9 @@
                 .toList();
     }
 
-    private void takeWhole(RackId rack) {
+    private void addWholeRack(RackId rack) {
         List<VmState> vms = mWaiting.get(rack);
-        if (mChosen.size() + vms.size() > mWidest) {
+        if (mSelected.size() + vms.size() > mMaxWidth) {
             return;
         }
         int taken = 0;
@@ -61,27 +61,27 @@
             taken++;
         }
         if (taken == vms.size()) {
-            mChosen.addAll(vms);
+            mSelected.addAll(vms);
             mRacks.add(rack);
         } else {
             vms.subList(0, taken).forEach(vm -> budget(vm).restart(rack));
         }
     }
 
-    private void takePart(RackId rack) {
+    private void addPartialRack(RackId rack) {
         if (mRacks.contains(rack)) {
             return;
         }
         for (VmState vm : mWaiting.get(rack)) {
-            if (mChosen.size() >= mWidest) {
-                mRamped = true;
+            if (mSelected.size() >= mMaxWidth) {
+                mRampLimited = true;
                 return;
             }
             if (tryStop(vm)) {
-                mChosen.add(vm);
+                mSelected.add(vm);
                 mRacks.add(rack);
             } else {
-                mLimited.add(budget(vm));
+                mLimiting.add(budget(vm));
             }
         }
     }
@@ -99,8 +99,8 @@
         return mBudgets.of(vm.pool());
     }
 
-    private void forgetChosen() {
-        Set<VmState> chosen = Set.copyOf(mChosen);
+    private void removeSelected() {
+        Set<VmState> chosen = Set.copyOf(mSelected);
         for (RackId rack : mRacks) {
             List<VmState> left = mWaiting.get(rack);
             left.removeIf(chosen::contains);
@@ -110,23 +110,23 @@
         }
     }
 
-    List<VmState> chosen() {
-        return mChosen;
+    List<VmState> selected() {
+        return mSelected;
     }
 
     WaveStep step() {
-        List<VmId> vms = mChosen.stream().map(VmState::id).toList();
+        List<VmId> vms = mSelected.stream().map(VmState::id).toList();
         return new WaveStep(vms, List.copyOf(mRacks), limits());
     }
 
-    /** What kept the step from being wider, one line for each service that was held back. */
+    /** Returns the limits of the step's width, one for each budget that was exhausted. */
     List<WaveLimit> limits() {
         List<WaveLimit> limits = new ArrayList<>();
-        for (Budget budget : mLimited) {
+        for (Budget budget : mLimiting) {
             limits.add(limit(kindOf(budget), budget));
         }
-        if (mRamped) {
-            int width = mChosen.size();
+        if (mRampLimited) {
+            int width = mSelected.size();
             limits.add(new WaveLimit(LimitKind.RAMP, "wave", Optional.empty(), 0, 0, 0, width));
         }
         return limits;
@@ -149,12 +149,12 @@
     }
 
     private static LimitKind kindOf(Budget budget) {
-        boolean whole = budget.serving() + budget.stopped() >= budget.powered();
+        boolean allServing = budget.serving() + budget.stopped() >= budget.powered();
         boolean byDemand = budget.serving() - budget.largest() > budget.minAvailable();
         if (byDemand) {
             return LimitKind.DEMAND;
         }
-        if (!whole) {
+        if (!allServing) {
             return LimitKind.FAILURES;
         }
         return budget.stopped() == 0 ? LimitKind.NEVER : LimitKind.BUDGET;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/WaveScope.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/WaveScope.java
@@ -17,122 +17,126 @@
 import org.foxtailplank.state.VmState;
 import org.foxtailplank.state.WaveState;
 
-/** The VMs of a wave in some of its zones, sorted by what became of them. */
+/** The VMs of a wave in some of its zones, grouped by progress. */
 final class WaveScope {
 
     private final WaveState mWave;
-    private final Observation mSeen;
+    private final Observation mObservation;
     private final Map<RackId, List<VmState>> mWaiting = new TreeMap<>();
     private final List<VmId> mFailed = new ArrayList<>();
     private final Map<RackId, Integer> mFailedByRack = new HashMap<>();
-    private final Set<RackId> mUp = new HashSet<>();
-    private final List<VmId> mLeftOut = new ArrayList<>();
+    private final Set<RackId> mServingRacks = new HashSet<>();
+    private final List<VmId> mSkipped = new ArrayList<>();
     private int mSize;
     private int mMaintained;
-    private int mUnderWay;
+    private int mInProgress;
     private int mTouchedSinceOrder;
     private int mSilent;
 
-    private WaveScope(WaveState wave, Observation seen) {
+    private WaveScope(WaveState wave, Observation observation) {
         mWave = wave;
-        mSeen = seen;
+        mObservation = observation;
     }
 
-    static WaveScope of(FleetView view, WaveState wave, Set<ZoneId> zones, Observation seen) {
-        WaveScope scope = new WaveScope(wave, seen);
+    static WaveScope of(
+            FleetView view, WaveState wave, Set<ZoneId> zones, Observation observation) {
+        WaveScope scope = new WaveScope(wave, observation);
         for (VmState vm : view.vms()) {
             boolean poolCovered = wave.pools().isEmpty() || wave.pools().contains(vm.pool());
             if (poolCovered && zones.contains(vm.zone())) {
-                scope.sort(vm);
+                scope.classify(vm);
             }
         }
         scope.mWaiting.values().forEach(vms -> vms.sort(Comparator.comparing(VmState::id)));
         return scope;
     }
 
-    private void sort(VmState vm) {
+    private void classify(VmState vm) {
         mSize++;
-        boolean silent = mSeen.notServing().contains(vm.id());
+        boolean silent = mObservation.notServing().contains(vm.id());
         countFailures(vm, silent);
         if (vm.lastMaintained() > mWave.started()) {
             mMaintained++;
             return;
         }
         switch (vm.phase()) {
-            case SERVING -> sortServing(vm, silent);
-            case OFF, BROKEN -> mLeftOut.add(vm.id());
-            default -> mUnderWay++;
+            case SERVING -> classifyServing(vm, silent);
+            case OFF, BROKEN -> mSkipped.add(vm.id());
+            default -> mInProgress++;
         }
     }
 
-    private void sortServing(VmState vm, boolean silent) {
+    private void classifyServing(VmState vm, boolean silent) {
         if (vm.pending().isPresent()) {
-            mUnderWay++;
+            mInProgress++;
         } else if (silent) {
             mSilent++;
-            mLeftOut.add(vm.id());
+            mSkipped.add(vm.id());
         } else {
             mWaiting.computeIfAbsent(vm.rack(), r -> new ArrayList<>()).add(vm);
         }
     }
 
     /**
-     * Failures since the wave was last ordered to run; a resumed wave does not stop over old ones.
+     * Counts failures since the last command to the wave, so that a resumed wave does not pause for
+     * earlier ones.
      */
     private void countFailures(VmState vm, boolean silent) {
         boolean inWave = vm.wave().filter(mWave.id()::equals).isPresent();
         if (vm.phase() == VmPhase.SERVING && !silent) {
-            mUp.add(vm.rack());
+            mServingRacks.add(vm.rack());
         }
         boolean touched = inWave || vm.lastMaintained() > mWave.started();
-        boolean broke = vm.phase() == VmPhase.BROKEN && touched && vm.version() > mWave.version();
+        boolean broken = vm.phase() == VmPhase.BROKEN && touched && vm.version() > mWave.version();
         boolean maintained = vm.lastMaintained() > mWave.version();
-        if (maintained || broke) {
+        if (maintained || broken) {
             mTouchedSinceOrder++;
         }
-        if (broke || maintained && silent && vm.pending().isEmpty()) {
+        if (broken || maintained && silent && vm.pending().isEmpty()) {
             mFailed.add(vm.id());
             mFailedByRack.merge(vm.rack(), 1, Integer::sum);
         }
     }
 
     /**
-     * Failures that may be the wave's doing.
+     * Returns the failures that the wave may have caused.
      *
-     * <p>Guards against a rack that is lost beside the wave: it shows as VMs that fail together,
-     * with nothing left up in their rack, after others came back well. That counts as one failure;
-     * a bad image goes on to break the next rack, which makes two.
+     * <p>Guards against pausing for a rack that fails independently of the wave. If no VM of a rack
+     * serves and other VMs were maintained successfully, its failures count as one. A bad image
+     * also breaks the next rack, which makes two.
      */
     int failures() {
         int failures = 0;
         for (Map.Entry<RackId, Integer> rack : mFailedByRack.entrySet()) {
-            boolean rackLost = !mUp.contains(rack.getKey()) && mMaintained > 0;
+            boolean rackLost = !mServingRacks.contains(rack.getKey()) && mMaintained > 0;
             failures += rackLost ? 1 : rack.getValue();
         }
         return failures;
     }
 
-    /** VMs that still have to be maintained and could be stopped, by rack. */
+    /** Returns the VMs by rack that still have to be maintained and could be stopped. */
     Map<RackId, List<VmState>> waiting() {
         return mWaiting;
     }
 
-    /** VMs that failed after a step, since the wave was last ordered to run. */
+    /** Returns the VMs that failed after a step since the last command to the wave. */
     List<VmId> failed() {
         return mFailed;
     }
 
-    /** VMs that were maintained or failed since the wave was last ordered to run. */
+    /**
+     * Returns the number of VMs that were maintained or failed since the last command to the wave.
+     */
     int touchedSinceOrder() {
         return mTouchedSinceOrder;
     }
 
-    /** VMs that are off, broken or silent and were not maintained. */
-    List<VmId> leftOut() {
-        return mLeftOut;
+    /** Returns the VMs that are off, broken or silent and were not maintained. */
+    List<VmId> skipped() {
+        return mSkipped;
     }
 
-    /** VMs left out because reports say that they do not serve. */
+    /** Returns the number of VMs skipped because reports say that they do not serve. */
     int silent() {
         return mSilent;
     }
@@ -145,8 +149,8 @@
         return mMaintained;
     }
 
-    /** VMs with an action under way, of this wave or of anybody else. */
-    int underWay() {
-        return mUnderWay;
+    /** Returns the number of VMs with an action in progress, of this wave or another writer. */
+    int inProgress() {
+        return mInProgress;
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/fleet/FakeFleet.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/fleet/FakeFleetView.java
@@ -26,8 +26,8 @@
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
 
-/** A fleet that tests write by hand; each change takes the next offset. */
-public final class FakeFleet implements FleetView {
+/** A mutable {@link FleetView} for tests; each change takes the next offset. */
+public final class FakeFleetView implements FleetView {
 
     private final Map<VmId, VmState> mVms = new LinkedHashMap<>();
     private final Map<PoolId, PoolState> mPools = new LinkedHashMap<>();
@@ -36,8 +36,8 @@
     private final Map<JobId, JobState> mJobs = new LinkedHashMap<>();
     private long mOffset = 1;
 
-    /** A pool that runs a service of the same name. */
-    public FakeFleet pool(String name, int minAvailable, int target, int reserve) {
+    /** Adds a pool that runs a service of the same name. */
+    public FakeFleetView pool(String name, int minAvailable, int target, int reserve) {
         ServiceId service = ServiceId.of(name);
         PoolId id = PoolId.of(name);
         mMinAvailable.put(service, minAvailable);
@@ -45,8 +45,8 @@
         return this;
     }
 
-    /** VMs of a pool, spread evenly over racks named from the zone. */
-    public FakeFleet vms(String pool, String zone, int racks, int count, VmPhase phase) {
+    /** Adds VMs to a pool, spread evenly over racks that are named after the zone. */
+    public FakeFleetView vms(String pool, String zone, int racks, int count, VmPhase phase) {
         for (int i = 0; i < count; i++) {
             VmId id = VmId.of(pool + "-" + zone + "-" + phase.name().toLowerCase() + i);
             mVms.put(
@@ -68,7 +68,7 @@
         return this;
     }
 
-    /** A running wave over zones. */
+    /** Adds a running wave over zones. */
     public WaveState wave(String name, String... zones) {
         Set<ZoneId> all = new java.util.HashSet<>();
         for (String zone : zones) {
@@ -89,7 +89,7 @@
         return wave;
     }
 
-    /** The wave is ordered to run again. */
+    /** Resumes a wave. */
     public WaveState resumed(WaveState w) {
         WaveState next =
                 new WaveState(
@@ -105,13 +105,13 @@
         return next;
     }
 
-    /** A reboot is intended. */
+    /** Sets an action of a VM as pending. */
     public void intend(VmId vm, VmAction action, Optional<WaveId> wave) {
         VmPhase phase = action == VmAction.WAKE ? VmPhase.WAKING : VmPhase.STOPPING;
         put(vm, v -> with(v, phase, Optional.of(action), wave, v.lastMaintained()));
     }
 
-    /** The pending action has taken effect. */
+    /** Completes the pending action of a VM. */
     public void done(VmId vm) {
         VmState v = mVms.get(vm);
         VmAction action = v.pending().orElseThrow();
@@ -120,18 +120,18 @@
         put(vm, s -> with(s, phase, Optional.empty(), s.wave(), maintained));
     }
 
-    /** The pending action has failed. */
+    /** Fails the pending action of a VM. */
     public void failed(VmId vm) {
         put(vm, v -> with(v, VmPhase.BROKEN, Optional.empty(), v.wave(), v.lastMaintained()));
     }
 
-    /** The target of a pool changes. */
+    /** Changes the target of a pool. */
     public void target(String pool, int target) {
         PoolState p = mPools.get(PoolId.of(pool));
         mPools.put(p.id(), new PoolState(p.id(), p.service(), target, p.reserve(), mOffset++));
     }
 
-    /** A job. */
+    /** Adds a job. */
     public void job(JobState job) {
         mJobs.put(job.id(), job);
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/fleet/FleetExplainerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/fleet/FleetExplainerTest.java
@@ -16,7 +16,7 @@
 import org.foxtailplank.state.WaveState;
 import org.testng.annotations.Test;
 
-/** Operators read why things are where they are. */
+/** Tests the explanations that operators read. */
 public class FleetExplainerTest {
 
     private static final FleetSettings SETTINGS =
@@ -29,15 +29,15 @@
 
     private final WavePlanner mPlanner = WavePlanner.byRack();
 
-    private static FleetExplainer explainer(FakeFleet fleet, Set<VmId> notServing) {
+    private static FleetExplainer explainer(FakeFleetView fleet, Set<VmId> notServing) {
         Observation seen = new Observation(notServing, Map.of());
         BufferPlan plan =
                 BufferPlanner.byDemand(SETTINGS).plan(fleet, seen, BufferHistory.none(), 0);
         return new FleetExplainer(fleet, seen, plan);
     }
 
-    private static FakeFleet fleet(int minAvailable) {
-        FakeFleet fleet = new FakeFleet().pool("claims", minAvailable, 6, 0);
+    private static FakeFleetView fleet(int minAvailable) {
+        FakeFleetView fleet = new FakeFleetView().pool("claims", minAvailable, 6, 0);
         fleet.vms("claims", "a", 3, 6, VmPhase.SERVING);
         return fleet;
     }
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void saysWhatAVmWaitsFor() {
-        FakeFleet fleet = fleet(2);
+    public void explainsWhatAVmWaitsFor() {
+        FakeFleetView fleet = fleet(2);
         VmId vm = fleet.vms().iterator().next().id();
         WaveState wave = fleet.wave("w", "a");
         fleet.intend(vm, VmAction.REBOOT, Optional.of(wave.id()));
@@ -62,8 +62,8 @@
     }
 
     @Test
-    public void saysThatAPoolIsShort() {
-        FakeFleet fleet = fleet(2);
+    public void explainsAShortageOfAPool() {
+        FakeFleetView fleet = fleet(2);
         fleet.target("claims", 20);
 
         assertTrue(
@@ -73,8 +73,8 @@
     }
 
     @Test
-    public void saysWhatHoldsAWaveBack() {
-        FakeFleet fleet = fleet(6);
+    public void explainsWhatLimitsAWave() {
+        FakeFleetView fleet = fleet(6);
         WaveState wave = fleet.wave("w", "a");
 
         Optional<Explanation> why = explainer(fleet, Set.of()).wave(wave.id(), mPlanner);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/buffer/DemandBufferPlannerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/buffer/DemandBufferPlannerTest.java
@@ -11,7 +11,7 @@
 import org.foxtailplank.fleet.BufferHistory;
 import org.foxtailplank.fleet.BufferPlan;
 import org.foxtailplank.fleet.BufferPlanner;
-import org.foxtailplank.fleet.FakeFleet;
+import org.foxtailplank.fleet.FakeFleetView;
 import org.foxtailplank.fleet.Observation;
 import org.foxtailplank.fleet.PoolUse;
 import org.foxtailplank.id.PoolId;
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The buffer follows demand, and neither flaps nor cuts into a budget. */
+/** Tests that the buffer follows demand without flapping and keeps the budgets. */
 public class DemandBufferPlannerTest {
 
     private static final long WAKE = 60_000;
@@ -32,7 +32,7 @@
     private BufferHistory mHistory = BufferHistory.none();
 
     @BeforeMethod
-    public void forget() {
+    public void resetHistory() {
         mHistory = BufferHistory.none();
     }
 
@@ -45,14 +45,14 @@
                 Duration.ofMinutes(30));
     }
 
-    private static FakeFleet fleet(int serving, int off) {
-        FakeFleet fleet = new FakeFleet().pool("claims", 2, 6, 0);
+    private static FakeFleetView fleet(int serving, int off) {
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 2, 6, 0);
         fleet.vms("claims", "a", 4, serving, VmPhase.SERVING);
         fleet.vms("claims", "b", 4, off, VmPhase.OFF);
         return fleet;
     }
 
-    private BufferPlan plan(FakeFleet fleet, Optional<PoolUse> use, long now) {
+    private BufferPlan plan(FakeFleetView fleet, Optional<PoolUse> use, long now) {
         Map<PoolId, PoolUse> uses = use.map(u -> Map.of(POOL, u)).orElse(Map.of());
         BufferPlan plan =
                 BufferPlanner.byDemand(settings(0))
@@ -62,7 +62,7 @@
     }
 
     @Test
-    public void wakesForWhatIsDeclaredWhereNothingIsMeasured() {
+    public void wakesForDeclaredDemandWithoutMeasurements() {
         BufferPlan plan = plan(fleet(2, 10), Optional.empty(), 0);
 
         // Six are declared, and the loss of the largest rack is kept in reserve.
@@ -71,9 +71,8 @@
 
     @Test
     public void wakesWhatIsDeclaredBeforeItIsMeasured() {
-        // Jobs are declared at once, and the report lags a minute. Waiting for it would leave the
-        // jobs without VMs for the lag and a wake.
-        FakeFleet fleet = fleet(7, 10);
+        // Guards against waiting for a lagging report before VMs are woken for declared jobs.
+        FakeFleetView fleet = fleet(7, 10);
         plan(fleet, Optional.of(new PoolUse(0, 6, 6)), 1_000);
         fleet.target("claims", 12);
 
@@ -84,7 +83,7 @@
 
     @Test
     public void followsMeasuredUseWhereTheDeclaredIsFourTimesTooHigh() {
-        FakeFleet fleet = fleet(8, 0);
+        FakeFleetView fleet = fleet(8, 0);
         fleet.target("claims", 8);
         BufferPlan plan = null;
         for (int i = 0; i <= 10; i++) {
@@ -100,8 +99,8 @@
     }
 
     @Test
-    public void sleepsNothingForADipThatIsShorterThanAFewWakes() {
-        FakeFleet fleet = fleet(8, 4);
+    public void keepsVmsOnDuringAShortDip() {
+        FakeFleetView fleet = fleet(8, 4);
         for (int i = 0; i < 20; i++) {
             double use = i % 2 == 0 ? 3 : 7;
             BufferPlan plan = plan(fleet, Optional.of(new PoolUse(i * WAKE, use, 6)), i * WAKE);
@@ -115,7 +114,7 @@
 
     @Test
     public void keepsWhatDemandHasGrownByDuringAWake() {
-        FakeFleet fleet = fleet(6, 10);
+        FakeFleetView fleet = fleet(6, 10);
         plan(fleet, Optional.of(new PoolUse(0, 4, 6)), 0);
 
         BufferPlan plan = plan(fleet, Optional.of(new PoolUse(WAKE / 2, 7, 6)), WAKE / 2);
@@ -126,7 +125,7 @@
 
     @Test
     public void spreadsWhatItWakesOverRacks() {
-        FakeFleet fleet = fleet(0, 8);
+        FakeFleetView fleet = fleet(0, 8);
         fleet.target("claims", 3);
 
         Set<RackId> racks = new HashSet<>();
@@ -137,10 +136,9 @@
     }
 
     @Test
-    public void movesAVmOnlyForAReasonThatLasts() {
-        // Two operators or a short peak ask back and forth; each move costs a drain and a start. A
-        // VM moves only after its pool was short, and the other one spare, for the whole cooldown.
-        FakeFleet fleet = new FakeFleet().pool("claims", 1, 6, 0).pool("quotes", 1, 1, 0);
+    public void movesAVmOnlyAfterASustainedShortage() {
+        // Guards against VMs that move back and forth between pools on short peaks.
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 1, 6, 0).pool("quotes", 1, 1, 0);
         fleet.vms("claims", "a", 4, 4, VmPhase.SERVING);
         fleet.vms("quotes", "a", 4, 2, VmPhase.SERVING);
         fleet.vms("quotes", "b", 4, 6, VmPhase.OFF);
@@ -150,15 +148,15 @@
         assertTrue(plan(fleet, Optional.empty(), cooldown - 1).moves().isEmpty());
         BufferPlan lasting = plan(fleet, Optional.empty(), cooldown);
 
-        // Six are declared and four are there; reserves are no reason to move VMs.
+        // Six VMs are declared and four are available; reserves don't cause moves.
         assertEquals(lasting.moves().size(), 2);
         assertEquals(lasting.moves().get(0).to(), POOL);
         assertTrue(plan(fleet, Optional.empty(), cooldown + 1).moves().isEmpty(), "moved lately");
     }
 
     @Test
-    public void theWeightWakesIdleVmsForAWave() {
-        FakeFleet fleet = fleet(8, 8);
+    public void rolloutWeightWakesIdleVmsForAWave() {
+        FakeFleetView fleet = fleet(8, 8);
         fleet.wave("w", "a");
 
         int cheap = wanted(fleet, 0);
@@ -168,7 +166,7 @@
         assertTrue(cheap < fast, cheap + " against " + fast);
     }
 
-    private static int wanted(FakeFleet fleet, double weight) {
+    private static int wanted(FakeFleetView fleet, double weight) {
         return BufferPlanner.byDemand(settings(weight))
                 .plan(fleet, Observation.none(), BufferHistory.none(), 0)
                 .wants()
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/placement/FakeWorkers.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/placement/FakeWorkers.java
@@ -26,7 +26,7 @@
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.TaskState;
 
-/** Workers that answer a placer at once, but for those told to fail or to be silent. */
+/** Simulates workers that answer a placer immediately, except failing and silent ones. */
 final class FakeWorkers {
 
     static final long GIB = 1L << 30;
@@ -80,7 +80,7 @@
         placer.job(new JobState(id, j.spec(), true, Map.of(), 2), now);
     }
 
-    /** One decision, carried out as far as the workers answer. */
+    /** Executes one decision of the placer. */
     PlacementDecision round() {
         PlacementDecision decision = placer.decide(now);
         for (PlacementAction action : decision.actions()) {
@@ -104,8 +104,8 @@
     }
 
     private void answer(PlacementAction action) {
-        boolean mute = silent.contains(action.worker()) || ignored.contains(action.action());
-        if (mute) {
+        boolean unanswered = silent.contains(action.worker()) || ignored.contains(action.action());
+        if (unanswered) {
             return;
         }
         switch (action.action()) {
@@ -146,7 +146,7 @@
         return asked.stream().filter(a -> a.action() == action).count();
     }
 
-    /** Workers hear of all running tasks, so that no lease lapses. */
+    /** Renews the leases of all running tasks on workers that are not silent. */
     void renewAll() {
         tasks.forEach(
                 (id, t) -> {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/placement/IndexedPlacerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/placement/IndexedPlacerTest.java
@@ -23,7 +23,7 @@
 import org.foxtailplank.state.TaskState;
 import org.testng.annotations.Test;
 
-/** Tasks land where they can run, whatever workers, sizes and leases do. */
+/** Tests placement under failing workers, wrong declared sizes and expired leases. */
 public class IndexedPlacerTest {
 
     private static FakeWorkers fleet(int workers) {
@@ -66,8 +66,7 @@
 
     @Test
     public void checkpointsBatchWhereMemoryIsMissingAndStopsItLast() {
-        // Batch fills all memory and its checkpoints hang. Urgent work gets its place first by a
-        // checkpoint, and only when that takes longer than it can wait, by a stop.
+        // Guards against urgent work that waits for a hanging checkpoint of batch work.
         FakeWorkers fleet = fleet(2);
         fleet.job("batch", "a", RequestClass.BATCH, 16, 2);
         fleet.round();
@@ -116,7 +115,7 @@
     }
 
     @Test
-    public void saysAtOnceThatAJobCanNeverRunAndForgetsItNot() {
+    public void reportsAnInfeasibleJobOnceAndRunsItOnceAWorkerFits() {
         FakeWorkers fleet = fleet(2);
         JobId large = fleet.job("large", "a", RequestClass.URGENT, 64, 1);
 
@@ -134,8 +133,7 @@
 
     @Test
     public void quarantinesAWorkerThatFailsEverythingAfterFewStarts() {
-        // One worker is broken and fails each start at once, so it is always the emptiest. Without
-        // a guard it would draw and fail task after task, and jobs would be given up for its fault.
+        // Guards against a faulty worker that attracts task after task because it is always free.
         FakeWorkers fleet = fleet(4);
         fleet.failing.add(VmId.of("p1"));
         for (int i = 0; i < 12; i++) {
@@ -151,7 +149,7 @@
     }
 
     @Test
-    public void letsAQuarantinedWorkerBackInByATrial() {
+    public void endsAQuarantineAfterASuccessfulTrial() {
         FakeWorkers fleet = fleet(1);
         VmId only = VmId.of("p0");
         fleet.failing.add(only);
@@ -181,7 +179,7 @@
     }
 
     @Test
-    public void givesUpAJobThatFailsOnSeveralSoundWorkers() {
+    public void refusesAJobThatFailsOnSeveralHealthyWorkers() {
         FakeWorkers fleet = fleet(8);
         JobId good = fleet.job("good", "a", RequestClass.BATCH, 2, 8);
         fleet.round();
@@ -211,7 +209,7 @@
     }
 
     @Test
-    public void asksAgainForTheSameAttemptWhenTheAnswerIsLost() {
+    public void repeatsTheSameAttemptWhenTheAnswerIsLost() {
         FakeWorkers fleet = fleet(1);
         fleet.silent.add(VmId.of("p0"));
         fleet.job("j", "a", RequestClass.INTERACTIVE, 4, 1);
@@ -227,8 +225,8 @@
 
     @Test
     public void fencesTheHolderOfALapsedLease() {
-        // A worker is paused past its lease and goes on. Its task was started anew elsewhere. Both
-        // report it; only the higher attempt may go on.
+        // Guards against a worker that resumes a task after its lease expired and the task
+        // restarted.
         FakeWorkers fleet = fleet(2);
         JobId job = fleet.job("j", "a", RequestClass.BATCH, 4, 1);
         fleet.round();
@@ -255,7 +253,7 @@
     }
 
     @Test
-    public void neverRunsTwoAttemptsOfATaskWhileALeaseStands() {
+    public void neverRunsTwoAttemptsOfATaskWhileALeaseIsValid() {
         FakeWorkers fleet = fleet(3);
         fleet.job("j", "a", RequestClass.BATCH, 4, 6);
         fleet.round();
@@ -267,7 +265,7 @@
     }
 
     @Test
-    public void cancelsInProportionToWhatIsCancelled() {
+    public void stopsOnlyTheRunningTasksOfACancelledJob() {
         FakeWorkers fleet = fleet(8);
         JobId gone = fleet.job("gone", "a", RequestClass.BATCH, 2, 5_000);
         JobId stays = fleet.job("stays", "b", RequestClass.BATCH, 2, 10);
@@ -311,7 +309,7 @@
     }
 
     @Test
-    public void relievesAWorkerWhoseTasksTakeMoreMemoryThanDeclared() {
+    public void checkpointsATaskWhenItsWorkerRunsOutOfMemory() {
         FakeWorkers fleet = fleet(1);
         JobId job = fleet.job("j", "a", RequestClass.BATCH, 4, 4);
         fleet.rounds(2, 10);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
-import org.foxtailplank.fleet.FakeFleet;
+import org.foxtailplank.fleet.FakeFleetView;
 import org.foxtailplank.fleet.LimitKind;
 import org.foxtailplank.fleet.Observation;
 import org.foxtailplank.fleet.WaveDecision;
@@ -27,14 +27,14 @@
 import org.foxtailplank.state.WaveState;
 import org.testng.annotations.Test;
 
-/** Waves keep every budget, whatever fails meanwhile. */
+/** Tests that waves keep every budget under failures. */
 public class RackWavePlannerTest {
 
     private final WavePlanner mPlanner = WavePlanner.byRack();
 
     @Test
     public void stopsAsManyAsTheBudgetAndTheLossOfOneMoreRackAllow() {
-        FakeFleet fleet = new FakeFleet().pool("claims", 4, 9, 0);
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 4, 9, 0);
         fleet.vms("claims", "a", 3, 9, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
 
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void saysThatABudgetCanNeverBeMet() {
-        FakeFleet fleet = new FakeFleet().pool("claims", 6, 6, 0);
+    public void reportsABudgetThatCanNeverBeMet() {
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 6, 6, 0);
         fleet.vms("claims", "a", 3, 6, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
 
@@ -62,11 +62,9 @@
     }
 
     @Test
-    public void countsAStopThatSomebodyElseIntended() {
-        // A controller wrote its intent to put a VM to sleep and was paused. Another one plans a
-        // wave meanwhile. If it counted the VM as serving, both stops would come, and the service
-        // would fall below its budget.
-        FakeFleet fleet = new FakeFleet().pool("claims", 5, 8, 0);
+    public void countsAPendingStopOfAnotherWriter() {
+        // Guards against a wave that counts a VM with a pending stop of another writer as serving.
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 5, 8, 0);
         fleet.vms("claims", "a", 8, 8, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
         int before = go(fleet, wave, Observation.none()).step().width();
@@ -78,9 +76,8 @@
 
     @Test
     public void pausesWhenTheVmsThatItRebootedFail() {
-        // The image of this wave is bad. The first rack does not come back. Going on would take
-        // rack after rack, each within the budget, until the budget is used up by dead VMs.
-        FakeFleet fleet = new FakeFleet().pool("claims", 2, 40, 0);
+        // Guards against a bad image that breaks rack after rack, each within the budget.
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 2, 40, 0);
         fleet.vms("claims", "a", 10, 40, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
         List<VmId> first = go(fleet, wave, Observation.none()).step().vms();
@@ -96,8 +93,8 @@
     }
 
     @Test
-    public void goesOnAfterAnOperatorHasSeenTheFailuresAndResumedIt() {
-        FakeFleet fleet = new FakeFleet().pool("claims", 2, 40, 0);
+    public void continuesAfterAnOperatorResumedTheWave() {
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 2, 40, 0);
         fleet.vms("claims", "a", 10, 40, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
         List<VmId> first = go(fleet, wave, Observation.none()).step().vms();
@@ -110,10 +107,9 @@
     }
 
     @Test
-    public void waitsWhereAReportCallsManyVmsSilent() {
-        // A cut-off zone's report says that nothing serves. The wave must neither stop anything on
-        // that word nor call itself finished.
-        FakeFleet fleet = new FakeFleet().pool("claims", 2, 8, 0);
+    public void waitsIfAReportListsManyVmsAsSilent() {
+        // Guards against a report from a cut-off zone, by which the wave would count as finished.
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 2, 8, 0);
         fleet.vms("claims", "a", 4, 8, VmPhase.SERVING);
         WaveState wave = fleet.wave("w", "a");
         Set<VmId> all = new HashSet<>();
@@ -127,12 +123,11 @@
 
     @Test
     public void keepsEveryBudgetAndReachesTheEndUnderSeededFailures() {
-        // Waves in two zones run with reboots that end in any order, VMs that fail by themselves
-        // and a rack that is lost in the middle. Seen from outside at every moment: no planned stop
-        // leaves a service below its budget if one more rack went.
+        // Reboots end in random order, VMs fail, and a rack is lost meanwhile. Every stop has to
+        // keep the budget, including the loss of one more rack.
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            FakeFleet fleet = randomFleet(random);
+            FakeFleetView fleet = randomFleet(random);
             WaveState wave = fleet.wave("w", "a", "b");
             assertTrue(runWave(fleet, wave, random), "seed " + seed + " did not end");
         }
@@ -140,7 +135,7 @@
 
     @Test
     public void plansAllStepsOfAWave() {
-        FakeFleet fleet = new FakeFleet().pool("claims", 4, 12, 0).pool("quotes", 4, 12, 0);
+        FakeFleetView fleet = new FakeFleetView().pool("claims", 4, 12, 0).pool("quotes", 4, 12, 0);
         fleet.vms("claims", "a", 6, 12, VmPhase.SERVING);
         fleet.vms("quotes", "b", 6, 12, VmPhase.SERVING);
 
@@ -151,8 +146,8 @@
         assertTrue(plan.steps().size() < 24);
     }
 
-    private static FakeFleet randomFleet(Random random) {
-        FakeFleet fleet = new FakeFleet();
+    private static FakeFleetView randomFleet(Random random) {
+        FakeFleetView fleet = new FakeFleetView();
         for (int i = 0; i < 4; i++) {
             String pool = "p" + i;
             int size = 8 + random.nextInt(8);
@@ -163,7 +158,7 @@
         return fleet;
     }
 
-    private boolean runWave(FakeFleet fleet, WaveState first, Random random) {
+    private boolean runWave(FakeFleetView fleet, WaveState first, Random random) {
         WaveState wave = first;
         Set<VmId> dead = new HashSet<>();
         Set<ZoneId> finished = new HashSet<>();
@@ -192,12 +187,12 @@
         return finished.size() == 2;
     }
 
-    private static void intend(FakeFleet fleet, VmId vm, WaveState wave, Observation seen) {
+    private static void intend(FakeFleetView fleet, VmId vm, WaveState wave, Observation seen) {
         fleet.intend(vm, VmAction.REBOOT, Optional.of(wave.id()));
         assertKeepsBudget(fleet, fleet.vm(vm).orElseThrow(), seen);
     }
 
-    private static void finishSome(FakeFleet fleet, Random random) {
+    private static void finishSome(FakeFleetView fleet, Random random) {
         List<VmState> pending = new ArrayList<>(fleet.vms());
         pending.removeIf(v -> v.pending().isEmpty());
         for (VmState vm : pending) {
@@ -210,8 +205,8 @@
         }
     }
 
-    /** The budget counted anew, without the code under test. */
-    private static void assertKeepsBudget(FakeFleet fleet, VmState stopped, Observation seen) {
+    /** Asserts the budget independently of the code under test. */
+    private static void assertKeepsBudget(FakeFleetView fleet, VmState stopped, Observation seen) {
         Map<RackId, Integer> byRack = new HashMap<>();
         int serving = 0;
         for (VmState vm : fleet.vmsOf(stopped.pool())) {
@@ -226,11 +221,11 @@
         assertFalse(serving - largest < needed, stopped + " breaks the budget");
     }
 
-    private WaveDecision.Go go(FakeFleet fleet, WaveState wave, Observation seen) {
+    private WaveDecision.Go go(FakeFleetView fleet, WaveState wave, Observation seen) {
         return (WaveDecision.Go) mPlanner.next(fleet, wave, ZoneId.of("a"), seen);
     }
 
-    private int widthNow(FakeFleet fleet, WaveState wave, Observation seen) {
+    private int widthNow(FakeFleetView fleet, WaveState wave, Observation seen) {
         WaveDecision next = mPlanner.next(fleet, wave, ZoneId.of("a"), seen);
         return next instanceof WaveDecision.Go go ? go.step().width() : 0;
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/wave/WaveOnTheFoldTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/wave/WaveOnTheFoldTest.java
@@ -39,7 +39,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The planner and the real fold agree on what may stop and on what has failed. */
+/** Tests the wave planner on {@link FleetState}: both agree on allowed stops and on failures. */
 public class WaveOnTheFoldTest {
 
     private static final Author AUTHOR = new Author("test", "test");
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void theFoldTakesEveryStepThatIsPlannedUntilTheWaveEnds() {
+    public void foldAppliesEveryPlannedStepUntilTheWaveEnds() {
         int steps = 0;
         while (!(next() instanceof WaveDecision.Finished)) {
             intendStep().forEach(vm -> confirm(vm, ActionOutcome.DONE));
@@ -113,16 +113,14 @@
 
     @Test
     public void rebootsThatTheLogCallsFailedPauseTheWave() {
-        // A bad image: both VMs of the first rack fail their reboot. The failures are confirmed in
-        // the log, and a controller that starts anew has to see from the log alone that this wave
-        // broke them.
+        // Guards against a restarted controller that misses failures which only the log shows.
         intendStep().forEach(vm -> confirm(vm, ActionOutcome.FAILED));
 
         assertTrue(next() instanceof WaveDecision.Pause, next().toString());
     }
 
     @Test
-    public void vmsThatFailByThemselvesBesideTheWaveDoNotPauseIt() {
+    public void unrelatedFailuresDoNotPauseTheWave() {
         apply(new VmObserved(VmId.of("vm1"), 0, VmHealth.DOWN, AUTHOR), Map.of());
         apply(new VmObserved(VmId.of("vm11"), 0, VmHealth.DOWN, AUTHOR), Map.of());
 
