--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/BackendReport.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/BackendReport.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.internal.control;
 
 /**
- * What a backend server itself says on its health answer.
+ * A backend server's own health report.
  *
- * @param leaving whether it says that it is leaving
- * @param inFlight requests that it is running
+ * @param leaving whether it is leaving
+ * @param inFlight number of requests in flight
  */
 public record BackendReport(boolean leaving, int inFlight) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/EpochDecision.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/EpochDecision.java
@@ -1,18 +1,18 @@
 package org.foxtailplank.internal.control;
 
-/** Whether a controller tries for the epoch of a shard. */
+/** Decision whether a controller tries to take the epoch of a shard. */
 public sealed interface EpochDecision {
-    /** It holds the epoch and may act under it. */
+    /** The controller holds the epoch and may act under it. */
     record Held() implements EpochDecision {}
 
     /** Another node holds the epoch, or should take it first. */
-    record Leave() implements EpochDecision {}
+    record StandBy() implements EpochDecision {}
 
     /**
-     * It tries to take the epoch.
+     * The controller tries to take the epoch.
      *
      * @param replaces epoch number that is replaced
-     * @param why reason for the log
+     * @param why reason, for log output
      */
     record Take(long replaces, String why) implements EpochDecision {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/EpochPolicy.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/EpochPolicy.java
@@ -9,10 +9,10 @@
 import org.foxtailplank.state.EpochState;
 
 /**
- * Decides when a controller tries for the epoch of a shard.
+ * Decides when a controller tries to take the epoch of a shard.
  *
- * <p>Clocks decide only when to try. Two nodes that try at once both append, and the log lets one
- * of them win, so a wrong guess here costs an append and never safety.
+ * <p>Clocks only decide when to try. If two nodes try at once, both append a record and the log
+ * order decides, so a wrong decision costs an append but not safety.
  */
 public final class EpochPolicy {
     private final NodeId mSelf;
@@ -21,12 +21,12 @@
     private final Duration mStagger;
 
     /**
-     * A policy for one node.
+     * Creates the policy of one node.
      *
      * @param self this node
-     * @param nodes zone of each node that may act
-     * @param silence silence after which a holder counts as away
-     * @param stagger additional wait for each node that should try first
+     * @param nodes zone of each controller node
+     * @param silence silence after which a holder is presumed down
+     * @param stagger additional delay for each node with a higher priority
      */
     public EpochPolicy(NodeId self, Map<NodeId, ZoneId> nodes, Duration silence, Duration stagger) {
         mSelf = self;
@@ -38,8 +38,8 @@
     /**
      * Decides for one shard.
      *
-     * @param epoch who holds the epoch
-     * @param held number of the epoch that this process took itself; empty for none
+     * @param epoch current epoch and its holder
+     * @param held number of the epoch that this process took; empty for none
      * @param waited time for which this process has followed the log
      * @param liveness how long other nodes have been silent
      */
@@ -48,7 +48,7 @@
         if (held.isPresent() && held.getAsLong() == epoch.number()) {
             return new EpochDecision.Held();
         }
-        Duration turn = mStagger.multipliedBy(nodesBefore(epoch.shard(), liveness));
+        Duration turn = mStagger.multipliedBy(countPrecedingNodes(epoch.shard(), liveness));
         if (epoch.holder().isEmpty()) {
             return takeAfter(waited, turn, epoch, "nobody holds it");
         }
@@ -62,18 +62,18 @@
         if (isLocal(mSelf, epoch.shard()) && !isLocal(holder, epoch.shard())) {
             return takeAfter(waited, mSilence.plus(turn), epoch, holder + " is in another zone");
         }
-        return new EpochDecision.Leave();
+        return new EpochDecision.StandBy();
     }
 
     private static EpochDecision takeAfter(
             Duration waited, Duration wait, EpochState epoch, String why) {
         return waited.compareTo(wait) >= 0
                 ? new EpochDecision.Take(epoch.number(), why)
-                : new EpochDecision.Leave();
+                : new EpochDecision.StandBy();
     }
 
-    /** Nodes that are heard and come before this one: those of the zone first, then by name. */
-    private long nodesBefore(ZoneId shard, Liveness liveness) {
+    /** Counts live nodes with a higher priority: nodes in the shard's zone first, then by name. */
+    private long countPrecedingNodes(ZoneId shard, Liveness liveness) {
         Comparator<NodeId> order =
                 Comparator.comparing((NodeId n) -> !isLocal(n, shard)).thenComparing(NodeId::value);
         return mNodes.keySet().stream()
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/Liveness.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/Liveness.java
@@ -3,9 +3,13 @@
 import java.time.Duration;
 import org.foxtailplank.id.NodeId;
 
-/** How long nodes have been silent, as seen from this one; never a proof that they are gone. */
+/**
+ * Reports how long other nodes have been silent; silence does not prove that a node has stopped.
+ */
 @FunctionalInterface
 public interface Liveness {
-    /** Time since a node was last heard; zero for a node that is heard now. */
+    /**
+     * Returns the time since the last message from a node; zero for a node with a live connection.
+     */
     Duration silence(NodeId node);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/PlatformCall.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/PlatformCall.java
@@ -3,15 +3,14 @@
 import org.foxtailplank.state.VmState;
 
 /**
- * A call to the platform on behalf of one intent.
+ * A call to the platform for one intent.
  *
- * <p>Each generation of a VM owns a few generations at the platform: to drain it before the action,
- * for the action itself, to wake it after a reassignment, and to drain it once it is released. They
- * grow with the generation of the VM, so the platform refuses a call that a paused controller makes
- * late.
+ * <p>Each generation of a VM maps to several platform generations: drain before the action, the
+ * action itself, wake after a reassignment, and drain after a release. They increase with the VM's
+ * generation, so that the platform rejects delayed calls of a paused controller.
  *
- * @param id id of the call; the same call again has the same id
- * @param generation generation that the platform compares
+ * @param id id of the call; a repeated call has the same id
+ * @param generation generation at the platform, used as a fencing number
  */
 public record PlatformCall(String id, long generation) {
     private static final int CALLS_PER_GENERATION = 4;
@@ -32,7 +31,7 @@
         return call(vm, 3, "release");
     }
 
-    /** Whether a report's generation is from before the last intended action of a VM. */
+    /** Returns whether a reported generation precedes the last intended action of a VM. */
     public static boolean isBefore(long generation, VmState vm) {
         return vm.generation() > 0 && generation < action(vm).generation();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmAtPlatform.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmAtPlatform.java
@@ -3,26 +3,26 @@
 import java.util.Optional;
 
 /**
- * What the platform says of one VM now.
+ * Status of one VM as reported by the platform.
  *
- * @param power whether it is powered
+ * @param power power state
  * @param leaving whether the platform lists it as leaving
- * @param generation highest generation of an action that the platform has taken
- * @param lastAction the last action that the platform has taken
+ * @param generation highest generation of an action that the platform has accepted
+ * @param lastAction the last action that the platform has accepted
  */
 public record VmAtPlatform(
         Power power, boolean leaving, long generation, Optional<ReportedAction> lastAction) {
-    /** Whether a VM is powered, as far as a stop has to know. */
+    /** Power states of a VM. */
     public enum Power {
-        /** Nothing runs on it. */
+        /** The VM is powered off. */
         DOWN,
-        /** It is on its way up or down. */
+        /** The VM is starting or stopping. */
         CHANGING,
-        /** A backend server may be running on it. */
+        /** The VM is powered on; a backend server may be running. */
         UP
     }
 
-    /** How far the platform is with an action. */
+    /** Progress of an action at the platform. */
     public enum Progress {
         RUNNING,
         DONE,
@@ -30,10 +30,10 @@
     }
 
     /**
-     * An action that the platform has taken.
+     * An action that the platform has accepted.
      *
-     * @param id id under which it was asked for
-     * @param progress how far it is
+     * @param id id of the call that requested it
+     * @param progress progress of the action
      */
     public record ReportedAction(String id, Progress progress) {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmObservation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmObservation.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * What a controller sees of one VM now.
+ * A controller's current observation of one VM.
  *
- * @param report the platform's word
- * @param hasInstance whether the platform says that a backend server runs on it
- * @param willServe whether a backend server is expected on it after the action
- * @param tasks tasks that it may be running
- * @param backend the backend server's own word; empty when it does not answer
- * @param draining time for which this controller has seen it leaving
- * @param ended time for which this controller has seen the action ended at the platform
+ * @param report the platform's report
+ * @param hasInstance whether the platform reports a backend server on the VM
+ * @param willServe whether a backend server is expected on the VM after the action
+ * @param tasks number of tasks that it may be running
+ * @param backend the backend server's own report; empty if it does not answer
+ * @param draining time for which this controller has observed it as leaving
+ * @param ended time for which this controller has observed the action as ended at the platform
  */
 public record VmObservation(
         VmAtPlatform report,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmStep.java
@@ -4,43 +4,43 @@
 import org.foxtailplank.state.ActionOutcome;
 import org.foxtailplank.state.VmAction;
 
-/** What a controller does next for a VM whose intent is pending. */
+/** The next step of a controller for a VM. */
 public sealed interface VmStep {
     /** Nothing is pending. */
     record Nothing() implements VmStep {}
 
     /**
-     * It looks again later.
+     * Check again later.
      *
-     * @param reason what it waits for
+     * @param reason condition that it waits for
      */
     record Wait(String reason) implements VmStep {}
 
-    /** It asks the platform to drain the VM. */
+    /** Request a drain from the platform. */
     record AskDrain(PlatformCall call) implements VmStep {}
 
     /**
-     * It asks the platform for the intended action.
+     * Request the intended action from the platform.
      *
      * @param call id and generation
      * @param action the action
-     * @param note why it is safe now, for the log
+     * @param note why the action is safe now, for log output
      */
     record AskAction(PlatformCall call, VmAction action, String note) implements VmStep {}
 
     /**
-     * It records how the action ended.
+     * Record the outcome of the action.
      *
-     * @param outcome how it ended
-     * @param note how this is known, for the log
+     * @param outcome the outcome
+     * @param note evidence of the outcome, for log output
      */
     record Confirm(ActionOutcome outcome, String note) implements VmStep {}
 
     /**
-     * It records that the drained VM joins its new pool.
+     * Record that the drained VM joins its new pool.
      *
      * @param to the pool
-     * @param note why the VM counts as drained, for the log
+     * @param note why the VM counts as drained, for log output
      */
     record Join(PoolId to, String note) implements VmStep {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmWaits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmWaits.java
@@ -4,23 +4,24 @@
 import org.foxtailplank.settings.FleetSettings;
 
 /**
- * How long the steps of an action may wait.
+ * Timeouts of the steps of an action.
  *
- * @param settle time for which a VM must have been leaving before it counts as drained; entries
- *     send nothing new after it
- * @param drainTimeout longest wait for work in flight
- * @param serveTimeout longest wait for the backend server after the platform is done
+ * @param settleTime time after which entries send no new requests to a leaving VM; until then it
+ *     does not count as drained
+ * @param drainTimeout maximum wait for work in flight
+ * @param serveTimeout maximum wait for the backend server to serve after the platform finished
  */
-public record VmWaits(Duration settle, Duration drainTimeout, Duration serveTimeout) {
-    private static final Duration SETTLE = Duration.ofSeconds(2);
-    private static final int REBOOTS_UNTIL_BROKEN = 3;
+public record VmWaits(Duration settleTime, Duration drainTimeout, Duration serveTimeout) {
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(2);
+    private static final int SERVE_TIMEOUT_FACTOR = 3;
 
-    /** The waits that a deployment's settings state. */
+    /** Returns the timeouts from a deployment's settings. */
     public static VmWaits of(FleetSettings fleet) {
         Duration start =
                 fleet.wakeTime().compareTo(fleet.rebootTime()) > 0
                         ? fleet.wakeTime()
                         : fleet.rebootTime();
-        return new VmWaits(SETTLE, fleet.drainTimeout(), start.multipliedBy(REBOOTS_UNTIL_BROKEN));
+        return new VmWaits(
+                SETTLE_TIME, fleet.drainTimeout(), start.multipliedBy(SERVE_TIMEOUT_FACTOR));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/package-info.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/package-info.java
@@ -1,2 +1,2 @@
-/** When a controller tries for an epoch, and what it does next for an intent that is pending. */
+/** Decisions of a controller: when to take an epoch, and the next step of a pending intent. */
 package org.foxtailplank.internal.control;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/control/EpochPolicyTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/control/EpochPolicyTest.java
@@ -37,20 +37,21 @@
     }
 
     @Test
-    public void leavesTheFirstTryToTheNodeOfTheZoneThatComesFirst() {
+    public void letsTheFirstNodeOfTheZoneTryFirst() {
         EpochState nobody = new EpochState(ZONE, 0, Optional.empty(), 0);
         EpochDecision take = new EpochDecision.Take(0, "nobody holds it");
         assertEquals(decide(FIRST, nobody, Duration.ZERO, ALL_HEARD), take);
-        assertEquals(decide(SECOND, nobody, Duration.ZERO, ALL_HEARD), new EpochDecision.Leave());
+        assertEquals(decide(SECOND, nobody, Duration.ZERO, ALL_HEARD), new EpochDecision.StandBy());
         assertEquals(decide(SECOND, nobody, Duration.ofSeconds(1), ALL_HEARD), take);
         assertEquals(
                 decide(REMOTE, nobody, Duration.ofSeconds(1), ALL_HEARD),
-                new EpochDecision.Leave());
+                new EpochDecision.StandBy());
     }
 
     @Test
-    public void leavesAHolderThatIsHeard() {
-        assertEquals(decide(SECOND, heldBy(FIRST, 3), LONG, ALL_HEARD), new EpochDecision.Leave());
+    public void doesNotReplaceALiveHolder() {
+        assertEquals(
+                decide(SECOND, heldBy(FIRST, 3), LONG, ALL_HEARD), new EpochDecision.StandBy());
     }
 
     @Test
@@ -60,7 +61,7 @@
         EpochDecision take = new EpochDecision.Take(3, "a-1 is silent");
         assertEquals(decide(SECOND, epoch, LONG, silent(FIRST, SILENCE)), take);
         assertEquals(
-                decide(REMOTE, epoch, LONG, silent(FIRST, SILENCE)), new EpochDecision.Leave());
+                decide(REMOTE, epoch, LONG, silent(FIRST, SILENCE)), new EpochDecision.StandBy());
         assertEquals(decide(REMOTE, epoch, LONG, silent(FIRST, turn)), take);
     }
 
@@ -74,7 +75,7 @@
     public void doesNotTakeASilentHoldersEpochRightAfterItsOwnStart() {
         EpochDecision decision =
                 decide(SECOND, heldBy(FIRST, 3), Duration.ZERO, silent(FIRST, LONG));
-        assertEquals(decision, new EpochDecision.Leave());
+        assertEquals(decision, new EpochDecision.StandBy());
     }
 
     private static Liveness silent(NodeId node, Duration silence) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/control/VmProcedureTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/control/VmProcedureTest.java
@@ -35,43 +35,42 @@
     }
 
     /**
-     * A surveyor's request is on its way from an entry that has not seen the VM leave. The backend
-     * server says 0 in flight, the request arrives, and the reboot cuts it off. The settle time is
-     * there against it.
+     * Guards against a reboot that aborts a request from an entry that does not know yet that the
+     * VM is leaving.
      */
     @Test
-    public void doesNotTrustZeroInFlightBeforeEntriesHaveLearned() {
+    public void waitsForTheSettleTimeBeforeItTrustsZeroInFlight() {
         Duration early = SETTLE.minusMillis(1);
         assertEquals(
                 next(rebooting(), up(true, 16, "vm-4-drain"), IDLE, early),
-                new VmStep.Wait("entries to learn that it leaves"));
+                new VmStep.Wait("entries to learn that it is leaving"));
     }
 
     @Test
-    public void waitsForWorkInFlightAndForTheBackendServersOwnWord() {
+    public void waitsForWorkInFlightAndForTheBackendServersReport() {
         VmAtPlatform draining = up(true, 16, "vm-4-drain");
         assertEquals(
                 next(rebooting(), draining, BUSY, SETTLE), new VmStep.Wait("1 requests in flight"));
         assertEquals(
                 next(rebooting(), draining, SERVING, SETTLE),
-                new VmStep.Wait("its backend server to say that it leaves"));
+                new VmStep.Wait("its backend server to report that it is leaving"));
         assertEquals(
                 next(rebooting(), draining, Optional.empty(), SETTLE),
-                new VmStep.Wait("its health answer"));
+                new VmStep.Wait("an answer to the health check"));
     }
 
     @Test
-    public void rebootsOnceNothingIsInFlightByItsOwnWord() {
+    public void rebootsOnceTheBackendServerReportsNothingInFlight() {
         assertEquals(
                 next(rebooting(), up(true, 16, "vm-4-drain"), IDLE, SETTLE),
                 new VmStep.AskAction(
                         new PlatformCall("vm-4-action", 17),
                         VmAction.REBOOT,
-                        "nothing in flight by its own word"));
+                        "nothing in flight, reported by its backend server"));
     }
 
     @Test
-    public void givesUpWaitingAfterTheTimeoutAndSaysWhatWasLeft() {
+    public void proceedsAfterTheDrainTimeoutAndReportsWhatWasLeft() {
         VmAtPlatform draining = up(true, 16, "vm-4-drain");
         PlatformCall call = new PlatformCall("vm-4-action", 17);
         assertEquals(
@@ -89,7 +88,7 @@
     }
 
     @Test
-    public void asksAtOnceWhereNothingRuns() {
+    public void requestsTheActionAtOnceWhenNothingRuns() {
         VmAtPlatform off = new VmAtPlatform(Power.DOWN, false, 0, Optional.empty());
         assertEquals(
                 next(rebooting(), off, Optional.empty(), Duration.ZERO),
@@ -104,8 +103,8 @@
     }
 
     /**
-     * A VM was rebooted, and its backend server still starts. Confirmed now, the wave would stop
-     * the next VM of the service, and for a while two of them would serve nobody.
+     * Guards against a confirmation before the backend server serves, after which the wave would
+     * stop the next VM too early.
      */
     @Test
     public void confirmsAnActionOnlyOnceTheBackendServerServes() {
@@ -131,21 +130,23 @@
                         TIMEOUT);
         assertEquals(
                 mProcedure.next(rebooting(), seen),
-                new VmStep.Confirm(ActionOutcome.FAILED, "no service 60000 ms after it"));
+                new VmStep.Confirm(
+                        ActionOutcome.FAILED, "its backend server did not serve within 60000 ms"));
     }
 
     @Test
     public void confirmsAFailureThatThePlatformReports() {
         assertEquals(
                 next(rebooting(), ended(Progress.FAILED), Optional.empty(), Duration.ZERO),
-                new VmStep.Confirm(ActionOutcome.FAILED, "the platform says so"));
+                new VmStep.Confirm(ActionOutcome.FAILED, "reported by the platform"));
     }
 
     @Test
     public void withdrawsAnActionThatThePlatformCanNoLongerTake() {
         assertEquals(
                 next(rebooting(), up(false, 17, "by-hand"), SERVING, Duration.ZERO),
-                new VmStep.Confirm(ActionOutcome.WITHDRAWN, "another hand acted on it"));
+                new VmStep.Confirm(
+                        ActionOutcome.WITHDRAWN, "superseded by an action from outside"));
     }
 
     @Test
@@ -159,7 +160,7 @@
                 new VmStep.Wait("1 requests in flight"));
         assertEquals(
                 next(vm, up(true, 19, "vm-4-release"), IDLE, SETTLE),
-                new VmStep.Join(QUOTES, "nothing in flight by its own word"));
+                new VmStep.Join(QUOTES, "nothing in flight, reported by its backend server"));
     }
 
     @Test
