--- a/foxtail-http/src/main/java/org/foxtailplank/http/AdaptiveTimeout.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/AdaptiveTimeout.java
@@ -1,57 +1,55 @@
 package org.foxtailplank.http;
 
 /**
- * How long to wait for an answer, learned from the answers before, as TCP does for its segments.
+ * Response timeout computed from observed response times, like TCP's retransmission timeout.
  *
- * <p>Answers two opposite troubles of a server that usually answers within milliseconds. Where it
- * loses answers, a fixed timeout that suits slow times makes each loss cost that whole time. Where
- * it is slow, a fixed timeout that suits fast times gives calls up that would have been answered,
- * and their repetitions make it slower still.
+ * <p>A short fixed timeout would abandon and repeat calls to a slow server, which loads it further;
+ * a long one would delay the retry of each lost response.
  */
 public final class AdaptiveTimeout {
-    /** Weight of the newest answer in the mean time, as in RFC 6298. */
+    /** Weight of the latest response time in the mean (RFC 6298). */
     private static final double MEAN_WEIGHT = 1.0 / 8;
 
-    /** Weight of the newest answer in the mean deviation, as in RFC 6298. */
+    /** Weight of the latest response time in the mean deviation (RFC 6298). */
     private static final double DEVIATION_WEIGHT = 1.0 / 4;
 
-    /** Deviations that are waited beyond the mean, as in RFC 6298. */
-    private static final int DEVIATIONS = 4;
+    /** Number of mean deviations added to the mean (RFC 6298). */
+    private static final int DEVIATION_FACTOR = 4;
 
-    private final long mLeastMs;
-    private final long mMostMs;
+    private final long mMinMs;
+    private final long mMaxMs;
     private double mMeanMs;
     private double mDeviationMs;
     private long mTimeoutMs;
 
     /**
-     * A timeout that stays within bounds.
+     * Creates a timeout that stays within bounds.
      *
-     * @param firstMs timeout before anything is known, in milliseconds
-     * @param leastMs shortest timeout, in milliseconds
-     * @param mostMs longest timeout, in milliseconds
+     * @param initialMs timeout before the first response, in milliseconds
+     * @param minMs shortest timeout, in milliseconds
+     * @param maxMs longest timeout, in milliseconds
      */
-    public AdaptiveTimeout(long firstMs, long leastMs, long mostMs) {
-        mTimeoutMs = firstMs;
-        mLeastMs = leastMs;
-        mMostMs = mostMs;
+    public AdaptiveTimeout(long initialMs, long minMs, long maxMs) {
+        mTimeoutMs = initialMs;
+        mMinMs = minMs;
+        mMaxMs = maxMs;
     }
 
-    /** How long to wait for the next answer, in milliseconds. */
+    /** Returns the timeout of the next call, in milliseconds. */
     public long timeoutMs() {
         return mTimeoutMs;
     }
 
-    /** An answer came after so many milliseconds. */
-    public void answered(long tookMs) {
-        mDeviationMs += DEVIATION_WEIGHT * (Math.abs(tookMs - mMeanMs) - mDeviationMs);
-        mMeanMs += MEAN_WEIGHT * (tookMs - mMeanMs);
-        long learned = (long) (mMeanMs + DEVIATIONS * mDeviationMs);
-        mTimeoutMs = Math.min(mMostMs, Math.max(mLeastMs, learned));
+    /** Records the response time of a successful call. */
+    public void answered(long elapsedMs) {
+        mDeviationMs += DEVIATION_WEIGHT * (Math.abs(elapsedMs - mMeanMs) - mDeviationMs);
+        mMeanMs += MEAN_WEIGHT * (elapsedMs - mMeanMs);
+        long estimateMs = (long) (mMeanMs + DEVIATION_FACTOR * mDeviationMs);
+        mTimeoutMs = Math.min(mMaxMs, Math.max(mMinMs, estimateMs));
     }
 
-    /** No answer came in time; the next call is given twice as long. */
+    /** Records a timeout and doubles the timeout of the next call. */
     public void timedOut() {
-        mTimeoutMs = Math.min(mMostMs, 2 * mTimeoutMs);
+        mTimeoutMs = Math.min(mMaxMs, 2 * mTimeoutMs);
     }
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/ClientConnection.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/ClientConnection.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** One connection to a server, with one call at a time. */
+/** Client side of a connection; carries one call at a time. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final TargetPool mPool;
     private ChannelHandlerContext mContext;
@@ -57,7 +57,7 @@
         byte[] body = ByteBufUtil.getBytes(response.content());
         boolean keep = HttpUtil.isKeepAlive(response);
         if (keep) {
-            mPool.idle(this);
+            mPool.release(this);
         } else {
             context.close();
         }
@@ -72,18 +72,18 @@
             return;
         }
         mClosed = true;
-        mPool.closed(this);
-        end("connection closed");
+        mPool.onClosed(this);
+        failCurrent("connection closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        Broken.report(cause);
-        end(String.valueOf(cause));
+        UncaughtErrors.report(cause);
+        failCurrent(String.valueOf(cause));
         context.close();
     }
 
-    private void end(String reason) {
+    private void failCurrent(String reason) {
         PendingCall call = mCurrent;
         mCurrent = null;
         if (call != null) {
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpCall.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpCall.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * A request that a client sends.
+ * A request sent by a client.
  *
- * @param method its method
+ * @param method HTTP method
  * @param path path and query
- * @param headers headers besides those of the body and the connection
- * @param body the body; empty for none
- * @param contentType type of the body
+ * @param headers additional headers, without those for the body and the connection
+ * @param body request body; empty if there is none
+ * @param contentType media type of the body; empty if there is none
  */
 public record HttpCall(
         String method, String path, Map<String, String> headers, byte[] body, String contentType) {
@@ -19,22 +19,22 @@
         headers = Map.copyOf(headers);
     }
 
-    /** A request without a body. */
+    /** Creates a GET request. */
     public static HttpCall get(String path) {
         return new HttpCall("GET", path, Map.of(), NO_BODY, "");
     }
 
-    /** A request with a JSON body. */
+    /** Creates a POST request with a JSON body. */
     public static HttpCall postJson(String path, byte[] body) {
         return new HttpCall("POST", path, Map.of(), body, "application/json");
     }
 
-    /** A request with a binary body. */
+    /** Creates a POST request with a binary body. */
     public static HttpCall postBytes(String path, byte[] body) {
         return new HttpCall("POST", path, Map.of(), body, "application/octet-stream");
     }
 
-    /** The same request with further headers. */
+    /** Returns a copy with these headers in place of the current ones. */
     public HttpCall with(Map<String, String> more) {
         return new HttpCall(method, path, more, body, contentType);
     }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpClient.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpClient.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Sends requests over connections that are kept open, one request at a time on each. */
+/** HTTP client with persistent connections that each carry one request at a time. */
 public final class HttpClient {
     private final Bootstrap mBootstrap;
     private final EventLoop mLoop;
@@ -18,11 +18,11 @@
     private final Map<InetSocketAddress, TargetPool> mPools = new HashMap<>();
 
     /**
-     * A client.
+     * Creates a client that closes its connections in the usual way.
      *
-     * @param loop the event loop on whose thread all happens
-     * @param connectTimeoutMs how long a connection may take to open, in milliseconds
-     * @param maxPerTarget most connections to one address; further calls wait for one
+     * @param loop event loop that serves all connections and callbacks
+     * @param connectTimeoutMs connect timeout in milliseconds
+     * @param maxPerTarget maximum number of connections to one address; further calls are queued
      */
     public HttpClient(EventLoop loop, int connectTimeoutMs, int maxPerTarget) {
         mLoop = loop;
@@ -36,9 +36,8 @@
     }
 
     /**
-     * A client that resets connections instead of closing them. What waits in a connection to a
-     * target that can't be reached is dropped by a reset, while after a close it arrives as soon as
-     * the path is back.
+     * Creates a client that resets connections instead of closing them, so that requests buffered
+     * for an unreachable target are dropped and not delivered once it is reachable again.
      */
     public static HttpClient resetting(EventLoop loop, int connectTimeoutMs, int maxPerTarget) {
         HttpClient client = new HttpClient(loop, connectTimeoutMs, maxPerTarget);
@@ -46,29 +45,32 @@
         return client;
     }
 
-    /** Sends a request and hands on what came of it, after this many milliseconds at most. */
+    /** Sends a request and reports its outcome within the timeout. */
     public void call(
-            InetSocketAddress target, HttpCall call, long timeoutMs, Consumer<HttpResult> then) {
-        call(target, call, timeoutMs, () -> true, then);
+            InetSocketAddress target,
+            HttpCall call,
+            long timeoutMs,
+            Consumer<HttpResult> callback) {
+        call(target, call, timeoutMs, () -> true, callback);
     }
 
     /**
-     * The same for a request that may only be sent while a condition holds. It is asked just before
-     * the first byte is written: this process may have been paused since the call was made.
+     * Sends a request only if a condition holds. The condition is evaluated right before the
+     * request is written, since the process may have been paused after the call was made.
      */
     public void call(
             InetSocketAddress target,
             HttpCall call,
             long timeoutMs,
             BooleanSupplier maySend,
-            Consumer<HttpResult> then) {
+            Consumer<HttpResult> callback) {
         TargetPool pool =
                 mPools.computeIfAbsent(
                         target, t -> new TargetPool(mBootstrap, mLoop, t, mMaxPerTarget));
-        pool.call(new PendingCall(call, maySend, then), timeoutMs);
+        pool.call(new PendingCall(call, maySend, callback), timeoutMs);
     }
 
-    /** Closes the connections to an address that is not needed any more. */
+    /** Closes the idle connections to an address and removes its pool. */
     public void forget(InetSocketAddress target) {
         TargetPool pool = mPools.remove(target);
         if (pool != null) {
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpHandler.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpHandler.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Answers requests. */
+/** Handles the requests of an {@link HttpServer}. */
 @FunctionalInterface
 public interface HttpHandler {
 
-    /** Answers a request, now or later, once. */
+    /** Handles a request and passes exactly one reply to the callback, now or later. */
     void handle(HttpRequest request, Consumer<HttpReply> reply);
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpReply.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpReply.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * An answer that a server gives.
+ * A response sent by a server.
  *
- * @param status its status
- * @param headers headers besides those of the body and the connection
- * @param contentType type of the body
- * @param body the body
+ * @param status HTTP status
+ * @param headers additional headers, without those for the body and the connection
+ * @param contentType media type of the body; empty if there is none
+ * @param body response body
  */
 public record HttpReply(int status, Map<String, String> headers, String contentType, byte[] body) {
     private static final byte[] NO_BODY = {};
@@ -31,7 +31,7 @@
         return new HttpReply(status, Map.of(), "text/plain", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The same answer with further headers. */
+    /** Returns a copy with these headers in place of the current ones. */
     public HttpReply with(Map<String, String> more) {
         return new HttpReply(status, more, contentType, body);
     }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpRequest.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpRequest.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * A request that a server has read.
+ * A request received by a server.
  *
- * @param method its method
+ * @param method HTTP method
  * @param path path without the query
- * @param query the query, without its question mark; empty for none
- * @param host host that it names, without a port
- * @param headers its headers
- * @param body its body
+ * @param query query without the question mark; empty if there is none
+ * @param host value of the Host header without the port
+ * @param headers request headers
+ * @param body request body
  */
 public record HttpRequest(
         String method, String path, String query, String host, HeaderLookup headers, byte[] body) {
 
-    /** Finds a header by its name. */
+    /** Looks up a header by name. */
     public interface HeaderLookup {
         Optional<String> get(String name);
     }
 
-    /** A header with a whole number; empty if it is missing or none. */
+    /** Returns the value of an integer header, or empty if it is missing or malformed. */
     public Optional<Long> number(String header) {
         try {
             return headers.get(header).map(v -> Long.parseLong(v.trim()));
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpResult.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpResult.java
@@ -1,14 +1,14 @@
 package org.foxtailplank.http;
 
-/** What came of a call. */
+/** Outcome of a call. */
 public sealed interface HttpResult {
 
-    /** A whole answer. */
+    /** A complete response was received. */
     record Answered(int status, byte[] body) implements HttpResult {}
 
-    /** There was no connection, so that nothing was sent. */
+    /** Nothing was sent, so the call had no effect. */
     record NotSent(String reason) implements HttpResult {}
 
-    /** Something was sent and no whole answer came; it may be carried out. */
+    /** The request was sent without a complete response; it may still be executed. */
     record Unanswered(String reason) implements HttpResult {}
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpServer.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpServer.java
@@ -13,9 +13,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A listening HTTP server. */
+/** HTTP server bound to one address. */
 public final class HttpServer {
-    /** Connections that may wait to be taken: a burst of all callers at once. */
+    /** Pending connections, enough for all callers connecting at once. */
     private static final int BACKLOG = 512;
 
     private final EventLoop mLoop;
@@ -31,7 +31,7 @@
         mHandler = handler;
     }
 
-    /** Listens on an address; larger bodies are refused with 413. */
+    /** Binds an address; requests with larger bodies are rejected with status 413. */
     public static HttpServer bind(
             EventLoop loop, InetSocketAddress address, int maxBodyBytes, HttpHandler handler)
             throws IOException {
@@ -72,22 +72,22 @@
                 .addLast(connection);
     }
 
-    /** The address, with the port that the system chose. */
+    /** Returns the bound address, with the actual port. */
     public InetSocketAddress address() {
         return (InetSocketAddress) mListener.localAddress();
     }
 
-    /** From now on each answer is the last one on its connection. */
+    /** Disables keep-alive: closes each connection after its pending responses. */
     public void stopKeepingOpen() {
         mStopping = true;
     }
 
-    /** Takes no new connections any more. */
+    /** Stops accepting new connections. */
     public void stopListening() {
         mListener.close();
     }
 
-    /** Requests that have been read and not yet answered. */
+    /** Returns the number of requests that have not been answered yet. */
     public int inFlight() {
         int count = 0;
         for (ServerConnection c : mConnections) {
@@ -100,7 +100,7 @@
         return mStopping;
     }
 
-    void closed(ServerConnection connection) {
+    void onClosed(ServerConnection connection) {
         mConnections.remove(connection);
     }
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/IpPort.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/IpPort.java
@@ -6,15 +6,15 @@
 import java.net.UnknownHostException;
 import java.util.Optional;
 
-/** Reads addresses of the form {@code ip:port} that others have written. */
+/** Parses untrusted addresses of the form {@code ip:port}. */
 public final class IpPort {
     private static final int MAX_PORT = 0xffff;
 
     private IpPort() {}
 
     /**
-     * The address in a text; empty if it is none. Names of hosts are none: to look one up would
-     * hold the event loop up for seconds.
+     * Returns the parsed address, or empty if the text is invalid. Host names are rejected, since
+     * resolving them would block the event loop.
      */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -29,11 +29,12 @@
         try {
             return Optional.of(new InetSocketAddress(InetAddress.getByAddress(ip), port));
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("an IP address of " + ip.length + " bytes", e);
+            throw new IllegalStateException(
+                    "invalid IP address length: " + ip.length + " bytes", e);
         }
     }
 
-    /** The port in a text; 0 if it is none that can be connected to. */
+    /** Returns the parsed port, or 0 if it is not a valid port to connect to. */
     private static int port(String text) {
         try {
             int port = Integer.parseInt(text);
--- a/foxtail-http/src/main/java/org/foxtailplank/http/PendingCall.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/PendingCall.java
@@ -4,20 +4,20 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** A call on its way. */
+/** A call that waits for a connection or for its response. */
 final class PendingCall {
     final HttpCall mCall;
     Future<?> mTimer;
     ClientConnection mConnection;
 
     private final BooleanSupplier mMaySend;
-    private final Consumer<HttpResult> mThen;
+    private final Consumer<HttpResult> mCallback;
     private boolean mFinished;
 
-    PendingCall(HttpCall call, BooleanSupplier maySend, Consumer<HttpResult> then) {
+    PendingCall(HttpCall call, BooleanSupplier maySend, Consumer<HttpResult> callback) {
         mCall = call;
         mMaySend = maySend;
-        mThen = then;
+        mCallback = callback;
     }
 
     boolean maySend() {
@@ -34,6 +34,6 @@
         }
         mFinished = true;
         mTimer.cancel(false);
-        mThen.accept(result);
+        mCallback.accept(result);
     }
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/ServerConnection.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/ServerConnection.java
@@ -18,7 +18,7 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** One connection of a caller; requests on it are answered in their order. */
+/** Server side of a connection; pipelined requests are answered in order. */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final HttpServer mServer;
     private final HttpHandler mHandler;
@@ -37,40 +37,40 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest read) {
-        ReadRequest request = new ReadRequest(decode(read), HttpUtil.isKeepAlive(read));
-        mWaiting.add(request);
+    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+        ReadRequest decoded = new ReadRequest(decode(request), HttpUtil.isKeepAlive(request));
+        mWaiting.add(decoded);
         if (!mBusy) {
-            next(context);
+            handleNext(context);
         }
     }
 
-    private static HttpRequest decode(FullHttpRequest read) {
-        String uri = read.uri();
+    private static HttpRequest decode(FullHttpRequest request) {
+        String uri = request.uri();
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
-        HttpHeaders headers = read.headers();
+        HttpHeaders headers = request.headers();
         String host = Optional.ofNullable(headers.get(HttpHeaderNames.HOST)).orElse("");
         int port = host.lastIndexOf(':');
         return new HttpRequest(
-                read.method().name(),
+                request.method().name(),
                 path,
                 query < 0 ? "" : uri.substring(query + 1),
                 port < 0 ? host : host.substring(0, port),
                 name -> Optional.ofNullable(headers.get(name)),
-                ByteBufUtil.getBytes(read.content()));
+                ByteBufUtil.getBytes(request.content()));
     }
 
-    private void next(ChannelHandlerContext context) {
+    private void handleNext(ChannelHandlerContext context) {
         ReadRequest request = mWaiting.poll();
         if (request == null) {
             return;
         }
         mBusy = true;
-        mHandler.handle(request.request(), reply -> answer(context, reply, request.keepAlive()));
+        mHandler.handle(request.request(), reply -> respond(context, reply, request.keepAlive()));
     }
 
-    private void answer(ChannelHandlerContext context, HttpReply reply, boolean keepAlive) {
+    private void respond(ChannelHandlerContext context, HttpReply reply, boolean keepAlive) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -88,7 +88,7 @@
         var written = context.writeAndFlush(response);
         mBusy = false;
         if (keep) {
-            next(context);
+            handleNext(context);
         } else {
             written.addListener(ChannelFutureListener.CLOSE);
         }
@@ -96,12 +96,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        mServer.closed(this);
+        mServer.onClosed(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        Broken.report(cause);
+        UncaughtErrors.report(cause);
         context.close();
     }
 }
--- a/foxtail-http/src/main/java/org/foxtailplank/http/TargetPool.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/TargetPool.java
@@ -13,28 +13,28 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** The connections to one address. */
+/** Connection pool of one target address. */
 final class TargetPool {
-    /** Largest answer that is read, in bytes: pages of the shared log are the largest. */
-    private static final int MAX_ANSWER_BYTES = 16 << 20;
+    /** Maximum response size in bytes; pages of the shared log are the largest responses. */
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
     private final Bootstrap mBootstrap;
     private final EventLoop mLoop;
     private final InetSocketAddress mTarget;
-    private final int mMax;
+    private final int mMaxConnections;
     private final Deque<ClientConnection> mIdle = new ArrayDeque<>();
     private final Deque<PendingCall> mWaiting = new ArrayDeque<>();
-    private int mOpen;
+    private int mOpenConnections;
 
-    TargetPool(Bootstrap bootstrap, EventLoop loop, InetSocketAddress target, int max) {
+    TargetPool(Bootstrap bootstrap, EventLoop loop, InetSocketAddress target, int maxConnections) {
         mBootstrap = bootstrap;
         mLoop = loop;
         mTarget = target;
-        mMax = max;
+        mMaxConnections = maxConnections;
     }
 
     void call(PendingCall pending, long timeoutMs) {
-        pending.mTimer = mLoop.schedule(() -> timedOut(pending), timeoutMs, TimeUnit.MILLISECONDS);
+        pending.mTimer = mLoop.schedule(() -> onTimeout(pending), timeoutMs, TimeUnit.MILLISECONDS);
         mWaiting.add(pending);
         dispatch();
     }
@@ -48,7 +48,7 @@
             ClientConnection idle = mIdle.pollLast();
             if (idle != null) {
                 send(idle, mWaiting.poll());
-            } else if (mOpen < mMax) {
+            } else if (mOpenConnections < mMaxConnections) {
                 open(mWaiting.poll());
             } else {
                 return;
@@ -57,9 +57,9 @@
     }
 
     private void open(PendingCall call) {
-        mOpen++;
+        mOpenConnections++;
         ClientConnection connection = new ClientConnection(this);
-        ChannelFuture opened =
+        ChannelFuture connected =
                 mBootstrap
                         .clone()
                         .handler(
@@ -68,19 +68,21 @@
                                     protected void initChannel(Channel channel) {
                                         channel.pipeline()
                                                 .addLast(new HttpClientCodec())
-                                                .addLast(new HttpObjectAggregator(MAX_ANSWER_BYTES))
+                                                .addLast(
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES))
                                                 .addLast(connection);
                                     }
                                 })
                         .connect(mTarget);
-        opened.addListener(
+        connected.addListener(
                 f -> {
                     if (!f.isSuccess()) {
-                        mOpen--;
+                        mOpenConnections--;
                         call.finish(new HttpResult.NotSent(String.valueOf(f.cause())));
                         dispatch();
                     } else if (call.isFinished()) {
-                        idle(connection);
+                        release(connection);
                     } else {
                         send(connection, call);
                     }
@@ -91,22 +93,22 @@
         if (call.maySend()) {
             connection.send(call);
         } else {
-            call.finish(new HttpResult.NotSent("not allowed any more"));
-            idle(connection);
+            call.finish(new HttpResult.NotSent("the call may no longer be sent"));
+            release(connection);
         }
     }
 
     /**
-     * A call took too long. Its connection may have gone silent without a reset, and so may those
-     * that are idle: they are closed too, or each would cost another call its timeout.
+     * Fails a call that timed out. Idle connections are closed too: they may be broken in the same
+     * way without a reset, and each would cost another call its timeout.
      */
-    private void timedOut(PendingCall call) {
+    private void onTimeout(PendingCall call) {
         if (call.isFinished()) {
             return;
         }
         mWaiting.remove(call);
         if (call.mConnection == null) {
-            call.finish(new HttpResult.NotSent("no connection in time"));
+            call.finish(new HttpResult.NotSent("timeout before a connection was available"));
             return;
         }
         ClientConnection connection = call.mConnection;
@@ -115,13 +117,13 @@
         close();
     }
 
-    void idle(ClientConnection connection) {
+    void release(ClientConnection connection) {
         mIdle.addLast(connection);
         dispatch();
     }
 
-    void closed(ClientConnection connection) {
-        mOpen--;
+    void onClosed(ClientConnection connection) {
+        mOpenConnections--;
         mIdle.remove(connection);
         dispatch();
     }
--- a/foxtail-http/src/test/java/org/foxtailplank/http/AdaptiveTimeoutTest.java
+++ b/foxtail-http/src/test/java/org/foxtailplank/http/AdaptiveTimeoutTest.java
@@ -5,29 +5,27 @@
 
 import org.testng.annotations.Test;
 
-/** How long answers are waited for. */
+/** Tests how {@link AdaptiveTimeout} follows observed response times. */
 public class AdaptiveTimeoutTest {
-    private static final long FIRST_MS = 700;
-    private static final long LEAST_MS = 300;
-    private static final long MOST_MS = 2500;
+    private static final long INITIAL_MS = 700;
+    private static final long MIN_MS = 300;
+    private static final long MAX_MS = 2500;
 
-    private final AdaptiveTimeout mTimeout = new AdaptiveTimeout(FIRST_MS, LEAST_MS, MOST_MS);
+    private final AdaptiveTimeout mTimeout = new AdaptiveTimeout(INITIAL_MS, MIN_MS, MAX_MS);
 
     @Test
-    public void aServerThatAnswersFastIsNotWaitedForLong() {
-        // A store loses a third of its answers: each loss cost the fixed timeout of 700 ms, and
-        // jobs stood still meanwhile.
+    public void timeoutShrinksToMinimumForAFastServer() {
+        // Otherwise each lost response costs the initial timeout.
         for (int i = 0; i < 30; i++) {
             mTimeout.answered(10);
         }
-        assertEquals(mTimeout.timeoutMs(), LEAST_MS);
+        assertEquals(mTimeout.timeoutMs(), MIN_MS);
     }
 
     @Test
-    public void aSlowServerIsGivenTheTimeThatItTakes() {
-        // A store takes a second for an answer: calls given up after 700 ms are repeated, and the
-        // repetitions make it slower still, so that none of them is ever answered in time.
-        AdaptiveTimeout timeout = new AdaptiveTimeout(FIRST_MS, LEAST_MS, MOST_MS);
+    public void timeoutGrowsToTheResponseTimeOfASlowServer() {
+        // Otherwise every call times out, and the retries slow the server down further.
+        AdaptiveTimeout timeout = new AdaptiveTimeout(INITIAL_MS, MIN_MS, MAX_MS);
         int answered = 0;
         for (int i = 0; i < 10; i++) {
             if (timeout.timeoutMs() >= 1000) {
@@ -37,19 +35,19 @@
                 timeout.timedOut();
             }
         }
-        assertEquals(answered, 9, "only the first one was given up");
+        assertEquals(answered, 9, "only the first call may time out");
     }
 
     @Test
-    public void aServerThatIsGoneIsNotWaitedForWithoutEnd() {
-        AdaptiveTimeout timeout = new AdaptiveTimeout(FIRST_MS, LEAST_MS, MOST_MS);
+    public void timeoutIsCappedForAnUnresponsiveServerAndRecovers() {
+        AdaptiveTimeout timeout = new AdaptiveTimeout(INITIAL_MS, MIN_MS, MAX_MS);
         for (int i = 0; i < 20; i++) {
             timeout.timedOut();
         }
-        assertEquals(timeout.timeoutMs(), MOST_MS);
+        assertEquals(timeout.timeoutMs(), MAX_MS);
         for (int i = 0; i < 40; i++) {
             timeout.answered(10);
         }
-        assertTrue(timeout.timeoutMs() < FIRST_MS, "it is back");
+        assertTrue(timeout.timeoutMs() < INITIAL_MS, "the timeout must shrink again");
     }
 }
--- a/foxtail-http/src/test/java/org/foxtailplank/http/HttpClientTest.java
+++ b/foxtail-http/src/test/java/org/foxtailplank/http/HttpClientTest.java
@@ -20,9 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/**
- * Calls that must not arrive late, against a server on the loopback interface that never answers.
- */
+/** Tests that expired calls never reach a server, which here accepts connections but is silent. */
 public class HttpClientTest {
     private static final int CONNECT_MS = 10_000;
     private static final long SHORT_MS = 50;
@@ -56,27 +54,26 @@
     }
 
     @Test
-    public void aCallThatIsGivenUpResetsItsConnection() throws Exception {
-        // A call waits behind a cut when its owner's time ends. Closed in the ordinary way, the
-        // connection would deliver it when the path is back, long after another owner has begun.
+    public void aCallThatTimesOutResetsItsConnection() throws Exception {
+        // An orderly close could still deliver the request after a network partition has healed.
         CompletableFuture<HttpResult> result = call(SHORT_MS, () -> true);
         try (Socket accepted = mServer.accept()) {
-            HttpResult given = result.get();
+            HttpResult outcome = result.get();
             InputStream in = accepted.getInputStream();
 
-            assertTrue(given instanceof HttpResult.Unanswered, given.toString());
+            assertTrue(outcome instanceof HttpResult.Unanswered, outcome.toString());
             assertThrows(SocketException.class, in::readAllBytes);
         }
     }
 
     @Test
-    public void aCallIsNotSentOnceItMayNot() throws Exception {
-        // The process was paused between the decision to call and the connection's opening.
+    public void aCallIsNotSentAfterItsConditionBecomesFalse() throws Exception {
+        // The condition can change while the connection is being opened.
         CompletableFuture<HttpResult> result = call(LONG_MS, () -> false);
         try (Socket accepted = mServer.accept()) {
-            HttpResult given = result.get();
+            HttpResult outcome = result.get();
 
-            assertTrue(given instanceof HttpResult.NotSent, given.toString());
+            assertTrue(outcome instanceof HttpResult.NotSent, outcome.toString());
             assertEquals(accepted.getInputStream().available(), 0);
         }
     }
--- a/foxtail-http/src/test/java/org/foxtailplank/http/IpPortTest.java
+++ b/foxtail-http/src/test/java/org/foxtailplank/http/IpPortTest.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Addresses that others have written. */
+/** Tests parsing of {@code ip:port} addresses. */
 public class IpPortTest {
     @Test
-    public void anAddressIsReadWithoutLookingAHostUp() {
+    public void parsesIpAddressesWithPort() {
         assertEquals(
                 IpPort.parse("10.0.0.1:80"), Optional.of(new InetSocketAddress("10.0.0.1", 80)));
         assertEquals(IpPort.parse("[::1]:65535"), Optional.of(new InetSocketAddress("::1", 65535)));
     }
 
     @Test
-    public void whatIsNoAddressIsNone() {
+    public void rejectsInvalidAddresses() {
         List<String> texts =
                 List.of(
                         "",
