--- a/foxtail-process/src/main/java/org/foxtailplank/process/ExitCode.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/ExitCode.java
@@ -1,12 +1,12 @@
 package org.foxtailplank.process;
 
-/** How a program ends, as its exit status says it. */
+/** Exit status of a program. */
 public enum ExitCode {
-    /** It did what it was asked to. */
+    /** The program succeeded. */
     DONE(0),
-    /** It could not do it, or a promise did not hold. */
+    /** The program failed, or a check did not hold. */
     FAILED(1),
-    /** The command line or the settings are wrong; nothing was done. */
+    /** The command line or the settings are invalid; nothing was done. */
     USAGE(2);
 
     private final int mStatus;
@@ -15,7 +15,7 @@
         mStatus = status;
     }
 
-    /** The exit status of the process. */
+    /** Returns the exit status of the process. */
     public int status() {
         return mStatus;
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Health.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Health.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * How a process is, as its health answer says it.
+ * Body of the health endpoint.
  *
  * @param state {@code serving}, {@code starting} or {@code leaving}
- * @param details what else an operator wants to see, by name
+ * @param details further values for operators, by name
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record Health(String state, Map<String, Object> details) {
-    /** State of a process that takes work. */
+    /** State of a process that accepts work. */
     public static final String SERVING = "serving";
 
     public Health {
-        // A process without details leaves them out of its answer.
+        // Empty details are omitted from the JSON.
         details = details == null ? Map.of() : Map.copyOf(details);
     }
 
-    /** Whether the process takes work. */
+    /** Returns whether the process accepts work. */
     boolean isServing() {
         return SERVING.equals(state);
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/HealthRoutes.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/HealthRoutes.java
@@ -7,11 +7,11 @@
 import org.apache.pekko.http.javadsl.server.Directives;
 import org.apache.pekko.http.javadsl.server.Route;
 
-/** The routes {@code /health} and {@code /metrics} that each binary serves. */
+/** Routes {@code /health} and {@code /metrics} of every program. */
 public final class HealthRoutes {
     private HealthRoutes() {}
 
-    /** Routes that answer with what is so at the time of each call. */
+    /** Creates routes that evaluate health and metrics at each request. */
     public static Route of(Supplier<Health> health, MetricRegistry metrics) {
         return Directives.concat(
                 Directives.path(
@@ -22,7 +22,7 @@
                         () -> Directives.get(() -> Directives.complete(metrics(metrics)))));
     }
 
-    /** The health answer; its status tells a balancer whether to send work. */
+    /** Returns the health response; its status tells load balancers whether to send requests. */
     public static HttpResponse health(Health health) {
         int status =
                 health.isServing()
@@ -31,7 +31,7 @@
         return JsonRoutes.answer(status, health);
     }
 
-    /** The metrics answer. */
+    /** Returns the metrics response. */
     public static HttpResponse metrics(MetricRegistry metrics) {
         return JsonRoutes.answer(StatusCodes.OK.intValue(), MetricsJson.of(metrics));
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/HttpAnswer.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/HttpAnswer.java
@@ -6,21 +6,21 @@
 import java.net.URI;
 
 /**
- * A whole answer to an HTTP call.
+ * Complete response to an HTTP call.
  *
- * @param from address that was called
+ * @param from called address
  * @param status HTTP status
- * @param body text of the body
+ * @param body body as text
  */
 public record HttpAnswer(URI from, int status, String body) {
-    private static final int FIRST_ERROR = 300;
+    private static final int FIRST_NON_SUCCESS_STATUS = 300;
 
-    /** Whether the status says that the call worked. */
+    /** Returns whether the status is below 300. */
     public boolean isOk() {
-        return status < FIRST_ERROR;
+        return status < FIRST_NON_SUCCESS_STATUS;
     }
 
-    /** The body as a value of a type. */
+    /** Parses the body as a value of a type. */
     public <T> T as(Class<T> type) throws HttpCallException {
         try {
             return Json.read(body, type);
@@ -29,12 +29,12 @@
         }
     }
 
-    /** The body as a tree; null when it is empty. */
+    /** Parses the body as a tree; a null node if it is empty. */
     public JsonNode tree() throws HttpCallException {
         return body.isEmpty() ? NullNode.getInstance() : as(JsonNode.class);
     }
 
-    /** What the answer says went wrong, in its own words. */
+    /** Returns the error message of the body, or the status if there is none. */
     public String error() {
         try {
             String error = Json.parse(body).path("error").asText("");
--- a/foxtail-process/src/main/java/org/foxtailplank/process/HttpCallException.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/HttpCallException.java
@@ -1,38 +1,40 @@
 package org.foxtailplank.process;
 
-/** An HTTP call that brought no usable answer. */
+/** Thrown when an HTTP call brings no usable response. */
 public final class HttpCallException extends Exception {
     private final Kind mKind;
 
-    /** What went wrong, by what it means for the callee. */
+    /** Kind of failure, by its possible effect on the server. */
     public enum Kind {
-        /** No connection was made, so the call certainly had no effect. */
+        /** No connection was established, so the call had no effect. */
         UNREACHABLE("does not answer"),
-        /** No whole answer came in time; the call may have had its effect. */
+        /** No complete response arrived in time; the call may have taken effect. */
         TIMEOUT("did not answer in time"),
-        /** The connection broke; the call may have had its effect. */
-        BROKEN("broke the connection off"),
-        /** The answer is larger than allowed, or not in the form expected. */
-        MALFORMED("gave an answer that can't be used");
+        /** The connection was lost; the call may have taken effect. */
+        BROKEN("did not complete its response"),
+        /** The response is too large or malformed. */
+        MALFORMED("sent a response that is too large or malformed");
 
-        private final String mWords;
+        private final String mDescription;
 
-        Kind(String words) {
-            mWords = words;
+        Kind(String description) {
+            mDescription = description;
         }
 
-        /** Whether the call may have had its effect. */
+        /** Returns whether the call may have taken effect. */
         public boolean mayHaveHappened() {
             return this != UNREACHABLE;
         }
     }
 
     HttpCallException(Kind kind, Object callee, Throwable cause) {
-        super(callee + " " + kind.mWords + (cause == null ? "" : ": " + cause.getMessage()), cause);
+        super(
+                callee + " " + kind.mDescription + (cause == null ? "" : ": " + cause.getMessage()),
+                cause);
         mKind = kind;
     }
 
-    /** What went wrong. */
+    /** Returns the kind of failure. */
     public Kind kind() {
         return mKind;
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/HttpListener.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/HttpListener.java
@@ -9,7 +9,7 @@
 import org.apache.pekko.http.javadsl.ServerBinding;
 import org.apache.pekko.http.javadsl.server.Route;
 
-/** An HTTP server that listens. */
+/** Pekko HTTP server bound to one address. */
 public final class HttpListener {
     private final ServerBinding mBinding;
 
@@ -17,7 +17,7 @@
         mBinding = binding;
     }
 
-    /** Listens on an address; port 0 lets the system choose. */
+    /** Binds an address; port 0 selects a free port. */
     public static HttpListener bind(PekkoRuntime runtime, InetSocketAddress address, Route route)
             throws ProcessException {
         String host = address.getAddress().getHostAddress();
@@ -36,17 +36,17 @@
         }
     }
 
-    /** The address, with the port that the system chose. */
+    /** Returns the bound address, with the actual port. */
     public InetSocketAddress address() {
         return mBinding.localAddress();
     }
 
-    /** Takes no more connections; those that are open go on. */
+    /** Stops accepting connections; open connections stay open. */
     public CompletionStage<Done> unbind() {
         return mBinding.unbind();
     }
 
-    /** Takes no more connections, lets what is in flight finish, then closes them. */
+    /** Stops accepting connections, completes requests in flight and closes all connections. */
     public CompletionStage<Done> drain(Duration limit) {
         return mBinding.terminate(limit).thenApply(t -> Done.getInstance());
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Json.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
 
-/** JSON as all HTTP interfaces of the system write and read it. */
+/** JSON serialization shared by all HTTP interfaces. */
 public final class Json {
     private static final ObjectMapper MAPPER =
             JsonMapper.builder()
@@ -19,36 +19,36 @@
 
     private Json() {}
 
-    /** An empty object. */
+    /** Returns an empty object. */
     public static ObjectNode object() {
         return MAPPER.createObjectNode();
     }
 
-    /** A value as text. */
+    /** Serializes a value to text. */
     public static String write(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON form: " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot serialize to JSON: " + value.getClass(), e);
         }
     }
 
-    /** A value as a tree. */
+    /** Converts a value to a tree. */
     public static JsonNode tree(Object value) {
         return MAPPER.valueToTree(value);
     }
 
-    /** Reads text as a tree. */
+    /** Parses text as a tree. */
     public static JsonNode parse(String text) throws JsonProcessingException {
         return MAPPER.readTree(text);
     }
 
-    /** Reads text as a value of a type; unknown keys are passed over. */
+    /** Parses text as a value of a type; unknown keys are ignored. */
     public static <T> T read(String text, Class<T> type) throws JsonProcessingException {
         return MAPPER.readValue(text, type);
     }
 
-    /** Reads a tree as a value of a type. */
+    /** Converts a tree to a value of a type. */
     public static <T> T read(JsonNode tree, Class<T> type) throws JsonProcessingException {
         return MAPPER.treeToValue(tree, type);
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/JsonHttpClient.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/JsonHttpClient.java
@@ -24,20 +24,20 @@
 import org.apache.pekko.http.scaladsl.model.EntityStreamSizeException;
 import org.apache.pekko.stream.StreamTcpException;
 
-/** Calls HTTP interfaces that speak JSON; every call ends within its timeout. */
+/** HTTP client for JSON interfaces; every call completes within its timeout. */
 public final class JsonHttpClient {
-    /** A body larger than this is refused, so that no callee can fill the memory. */
+    /** Default maximum size of a response body, which bounds memory use. */
     public static final long DEFAULT_MAX_BODY = 16L << 20;
 
     private static final Duration MAX_CONNECTION_BACKOFF = Duration.ofMillis(500);
 
     private static final int MAX_CONNECTIONS = 16;
 
-    /** A power of two, as the pool wants it. */
+    /** Must be a power of two. */
     private static final int MAX_OPEN_REQUESTS = 256;
 
     private final ActorSystem<Void> mSystem;
-    private final ConnectionPoolSettings mPool;
+    private final ConnectionPoolSettings mPoolSettings;
     private final Duration mTimeout;
     private final long mMaxBody;
     private final List<HttpHeader> mHeaders;
@@ -49,24 +49,23 @@
             long maxBody,
             List<HttpHeader> headers) {
         mSystem = system;
-        mPool = pool;
+        mPoolSettings = pool;
         mTimeout = timeout;
         mMaxBody = maxBody;
         mHeaders = List.copyOf(headers);
     }
 
-    /** A client whose calls end after this time, answered or not. */
+    /** Creates a client whose calls complete within the timeout. */
     public static JsonHttpClient withTimeout(PekkoRuntime runtime, Duration timeout) {
         ActorSystem<Void> system = runtime.system();
         ClientConnectionSettings connection =
                 ClientConnectionSettings.create(system.classicSystem())
                         .withConnectingTimeout(timeout)
                         .withIdleTimeout(timeout.multipliedBy(2));
-        // A call is never retried here: whether it may be repeated is for whoever calls to decide.
+        // Only the caller knows whether a call may be retried, so the pool never does.
         ConnectionPoolSettings pool =
                 ConnectionPoolSettings.create(system.classicSystem())
-                        // Two minutes by default: a server that was away for a moment would stay
-                        // unreachable for as long.
+                        // The default of two minutes would keep a restarted server unreachable.
                         .withMaxConnectionBackoff(MAX_CONNECTION_BACKOFF)
                         .withMaxRetries(0)
                         .withMaxConnections(MAX_CONNECTIONS)
@@ -75,44 +74,44 @@
         return new JsonHttpClient(system, pool, timeout, DEFAULT_MAX_BODY, List.of());
     }
 
-    /** The same client, with a header on each call. */
+    /** Returns a client that also sends this header with each call. */
     public JsonHttpClient withHeader(String name, String value) {
         List<HttpHeader> headers = new ArrayList<>(mHeaders);
         headers.add(RawHeader.create(name, value));
-        return new JsonHttpClient(mSystem, mPool, mTimeout, mMaxBody, headers);
+        return new JsonHttpClient(mSystem, mPoolSettings, mTimeout, mMaxBody, headers);
     }
 
-    /** The same client, with another bound on the bodies of answers. */
+    /** Returns a client with another maximum size of response bodies. */
     public JsonHttpClient withMaxBody(long bytes) {
-        return new JsonHttpClient(mSystem, mPool, mTimeout, bytes, mHeaders);
+        return new JsonHttpClient(mSystem, mPoolSettings, mTimeout, bytes, mHeaders);
     }
 
-    /** Calls GET. */
+    /** Sends a GET request. */
     public CompletionStage<HttpAnswer> get(URI uri) {
         return call(HttpMethods.GET, uri, "");
     }
 
-    /** Calls POST with a value as its JSON body. */
+    /** Sends a POST request with a value as its JSON body. */
     public CompletionStage<HttpAnswer> post(URI uri, Object body) {
         return call(HttpMethods.POST, uri, Json.write(body));
     }
 
-    /** Calls PUT with a value as its JSON body. */
+    /** Sends a PUT request with a value as its JSON body. */
     public CompletionStage<HttpAnswer> put(URI uri, Object body) {
         return call(HttpMethods.PUT, uri, Json.write(body));
     }
 
-    /** Calls PATCH with a value as its JSON body. */
+    /** Sends a PATCH request with a value as its JSON body. */
     public CompletionStage<HttpAnswer> patch(URI uri, Object body) {
         return call(HttpMethods.PATCH, uri, Json.write(body));
     }
 
-    /** Calls DELETE. */
+    /** Sends a DELETE request. */
     public CompletionStage<HttpAnswer> delete(URI uri) {
         return call(HttpMethods.DELETE, uri, "");
     }
 
-    /** Waits for a call's answer. */
+    /** Blocks until a call completes. */
     public static HttpAnswer await(CompletionStage<HttpAnswer> call)
             throws HttpCallException, InterruptedException {
         try {
@@ -121,11 +120,11 @@
             if (e.getCause() instanceof HttpCallException failure) {
                 throw failure;
             }
-            throw new IllegalStateException("a call failed in an unknown way", e);
+            throw new IllegalStateException("unexpected failure of an HTTP call", e);
         }
     }
 
-    /** The answer, or an {@link HttpCallException} as the stage's error. */
+    /** Sends a request; the stage fails with an {@link HttpCallException}. */
     private CompletionStage<HttpAnswer> call(HttpMethod method, URI uri, String body) {
         HttpRequest request =
                 HttpRequest.create(uri.toString()).withMethod(method).addHeaders(mHeaders);
@@ -137,16 +136,17 @@
                         .singleRequest(
                                 request,
                                 Http.get(mSystem).defaultClientHttpsContext(),
-                                mPool,
+                                mPoolSettings,
                                 mSystem.classicSystem().log())
-                        .thenCompose(response -> whole(uri, response))
+                        .thenCompose(response -> readBody(uri, response))
                         .toCompletableFuture();
-        CompletableFuture<HttpAnswer> inTime =
+        CompletableFuture<HttpAnswer> bounded =
                 answer.copy().orTimeout(mTimeout.toMillis(), TimeUnit.MILLISECONDS);
-        return inTime.exceptionallyCompose(e -> CompletableFuture.failedFuture(failure(uri, e)));
+        return bounded.exceptionallyCompose(
+                e -> CompletableFuture.failedFuture(toException(uri, e)));
     }
 
-    private CompletionStage<HttpAnswer> whole(URI uri, HttpResponse response) {
+    private CompletionStage<HttpAnswer> readBody(URI uri, HttpResponse response) {
         return response.entity()
                 .withSizeLimit(mMaxBody)
                 .toStrict(mTimeout.toMillis(), mSystem)
@@ -158,12 +158,12 @@
                                         e.getData().utf8String()));
     }
 
-    private static HttpCallException failure(URI uri, Throwable error) {
+    private static HttpCallException toException(URI uri, Throwable error) {
         Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-        return new HttpCallException(kind(cause), uri, cause);
+        return new HttpCallException(kindOf(cause), uri, cause);
     }
 
-    private static HttpCallException.Kind kind(Throwable cause) {
+    private static HttpCallException.Kind kindOf(Throwable cause) {
         if (cause instanceof TimeoutException) {
             return HttpCallException.Kind.TIMEOUT;
         }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/JsonLogFormatter.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/JsonLogFormatter.java
@@ -4,7 +4,7 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** Writes one JSON object a line. */
+/** Formats each log record as one line with a JSON object. */
 final class JsonLogFormatter extends Formatter {
     @Override
     public String format(LogRecord record) {
--- a/foxtail-process/src/main/java/org/foxtailplank/process/JsonRoutes.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/JsonRoutes.java
@@ -10,36 +10,38 @@
 import org.apache.pekko.http.javadsl.server.Directives;
 import org.apache.pekko.http.javadsl.server.Route;
 
-/** Pieces of routes that speak JSON. */
+/** Helpers for routes with JSON bodies. */
 public final class JsonRoutes {
     private static final long MAX_BODY = 16L << 20;
     private static final Duration BODY_TIMEOUT = Duration.ofSeconds(10);
 
     private JsonRoutes() {}
 
-    /** An answer with a value as its JSON body. */
+    /** Creates a response with a value as its JSON body. */
     public static HttpResponse answer(int status, Object value) {
         return HttpResponse.create()
                 .withStatus(StatusCodes.get(status))
                 .withEntity(ContentTypes.APPLICATION_JSON, Json.write(value));
     }
 
-    /** An answer that says what went wrong. */
-    public static HttpResponse error(int status, String what) {
-        return answer(status, Json.object().put("error", what));
+    /** Creates a response with an error message. */
+    public static HttpResponse error(int status, String message) {
+        return answer(status, Json.object().put("error", message));
     }
 
-    /** Completes with a value as JSON. */
+    /** Completes with status 200 and a value as JSON. */
     public static Route ok(Object value) {
         return Directives.complete(answer(StatusCodes.OK.intValue(), value));
     }
 
-    /** Completes with an answer that comes later. */
+    /** Completes with an asynchronous response. */
     public static Route later(CompletionStage<HttpResponse> answer) {
         return Directives.onSuccess(answer, Directives::complete);
     }
 
-    /** Reads the request's body as a value of a type; a body that isn't one is refused. */
+    /**
+     * Parses the request body as a value of a type; an invalid body is rejected with status 400.
+     */
     public static <T> Route body(Class<T> type, Function<T, Route> inner) {
         return Directives.withSizeLimit(
                 MAX_BODY,
@@ -60,11 +62,11 @@
             return Directives.complete(
                     error(
                             StatusCodes.BAD_REQUEST.intValue(),
-                            "the body is not what is expected: " + e.getOriginalMessage()));
+                            "invalid request body: " + e.getOriginalMessage()));
         }
         return value == null
                 ? Directives.complete(
-                        error(StatusCodes.BAD_REQUEST.intValue(), "the body is empty"))
+                        error(StatusCodes.BAD_REQUEST.intValue(), "the request body is empty"))
                 : inner.apply(value);
     }
 }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Launcher.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Launcher.java
@@ -6,16 +6,15 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Starts a binary: reads its command line, runs it, and turns its outcome into an exit status. */
+/** Parses the command line, runs a program and maps its outcome to an exit status. */
 public final class Launcher {
-    private static final int WIDTH = 100;
+    private static final int USAGE_WIDTH = 100;
 
     private static final String LOG_MANAGER = "java.util.logging.manager";
 
     static {
-        // Set here and not in a method of the log manager: calling one would start the usual log
-        // manager first, which reads this property only once.
-        System.setProperty(LOG_MANAGER, LastingLogManager.class.getName());
+        // Must be set before the first use of java.util.logging, which reads it only once.
+        System.setProperty(LOG_MANAGER, NonResettingLogManager.class.getName());
     }
 
     private final String mName;
@@ -28,31 +27,31 @@
         mErr = err;
     }
 
-    /** A launcher for a program of this name, on the process's own streams. */
+    /** Creates a launcher that prints to standard output and standard error. */
     public static Launcher named(String name) {
         return new Launcher(name, System.out, System.err);
     }
 
-    /** A launcher that prints to given streams. */
+    /** Creates a launcher that prints to the given streams. */
     public static Launcher named(String name, PrintStream out, PrintStream err) {
         return new Launcher(name, out, err);
     }
 
-    /** Runs a program as the main of its process, which ends with the program. */
+    /** Runs a program as the main method of its process and exits with its status. */
     public <O extends ProgramOptions> void main(String[] args, O options, Program<O> program) {
         StopSignal stop = new StopSignal();
         CountDownLatch ended = new CountDownLatch(1);
         ExitCode[] code = {ExitCode.FAILED};
-        // Without the halt, a JVM that got SIGTERM ends with 143 however well it stopped, and
-        // whoever runs it takes a graceful stop for a crash. The hook waits for the program's own
-        // end, so nothing in flight is cut off.
+        // Waits for the program's graceful stop, then halts with its own status. Without the halt,
+        // a
+        // JVM exits with status 143 after SIGTERM, which looks like a crash.
         Thread hook = new Thread(() -> stopAndHalt(stop, ended, code), "stop");
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             code[0] = run(args, options, program, stop);
         } catch (RuntimeException | Error e) {
-            // A broken invariant stops the process; threads of its own would keep it up otherwise.
-            Log.of("process").fatal("An invariant is broken; the process stops.", e);
+            // Other threads of the program may still run; exit below ends the process regardless.
+            Log.of("process").fatal("Unexpected error; the process exits.", e);
         } finally {
             ended.countDown();
         }
@@ -71,13 +70,15 @@
         Runtime.getRuntime().halt(code[0].status());
     }
 
-    /** Runs a program and says how it ended. */
+    /** Runs a program and returns its exit code. */
     public <O extends ProgramOptions> ExitCode run(
             String[] args, O options, Program<O> program, StopSignal stop) {
         CmdLineParser parser =
                 new CmdLineParser(
                         options,
-                        ParserProperties.defaults().withUsageWidth(WIDTH).withShowDefaults(false));
+                        ParserProperties.defaults()
+                                .withUsageWidth(USAGE_WIDTH)
+                                .withShowDefaults(false));
         try {
             parser.parseArgument(args);
             if (options.help()) {
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Log.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Log.java
@@ -6,9 +6,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Logs of one part of the system, in short sentences with the part's name in front. */
+/** Logger of one component, with {@code {0}} placeholders and named fields. */
 public final class Log {
-    /** Logger names start with this; the part's name follows. */
+    /** Prefix of logger names; the component name follows. */
     static final String ROOT = "foxtail.";
 
     private static final ResourceBundle NO_BUNDLE = null;
@@ -23,54 +23,54 @@
         mFields = fields;
     }
 
-    /** The log of a part, for example {@code route}. */
+    /** Returns the logger of a component, for example {@code route}. */
     public static Log of(String part) {
         return new Log(System.getLogger(ROOT + part), LogFields.NONE);
     }
 
-    /** A log that adds a named value to each line, for example the id of a request. */
+    /** Returns a logger that adds a named field to each record, for example a request id. */
     public Log with(String name, Object value) {
         return new Log(mLogger, mFields.with(name, value));
     }
 
-    /** Logs what a developer may want to know; {@code {0}} stands for the first argument. */
-    public void debug(String sentence, Object... arguments) {
-        log(System.Logger.Level.DEBUG, sentence, arguments);
+    /** Logs at level DEBUG; {@code {0}} is replaced by the first argument. */
+    public void debug(String message, Object... arguments) {
+        log(System.Logger.Level.DEBUG, message, arguments);
     }
 
-    /** Logs what an operator may want to know. */
-    public void info(String sentence, Object... arguments) {
-        log(System.Logger.Level.INFO, sentence, arguments);
+    /** Logs at level INFO. */
+    public void info(String message, Object... arguments) {
+        log(System.Logger.Level.INFO, message, arguments);
     }
 
-    /** Logs what an operator should look at. */
-    public void warn(String sentence, Object... arguments) {
-        log(System.Logger.Level.WARNING, sentence, arguments);
+    /** Logs at level WARNING. */
+    public void warn(String message, Object... arguments) {
+        log(System.Logger.Level.WARNING, message, arguments);
     }
 
-    /** Logs what an operator must look at. */
-    public void error(String sentence, Object... arguments) {
-        log(System.Logger.Level.ERROR, sentence, arguments);
+    /** Logs at level ERROR. */
+    public void error(String message, Object... arguments) {
+        log(System.Logger.Level.ERROR, message, arguments);
     }
 
-    /** Logs an error that ends the process, with its stack. */
-    void fatal(String sentence, Throwable cause) {
+    /** Logs an error that ends the process, with its stack trace. */
+    void fatal(String message, Throwable cause) {
         StringWriter stack = new StringWriter();
         cause.printStackTrace(new PrintWriter(stack));
-        with("stack", stack).error(sentence);
+        with("stack", stack).error(message);
     }
 
-    private void log(System.Logger.Level level, String sentence, Object... arguments) {
+    private void log(System.Logger.Level level, String message, Object... arguments) {
         if (!mLogger.isLoggable(level)) {
             return;
         }
-        mLogger.log(level, NO_BUNDLE, fill(sentence, arguments), mFields);
+        mLogger.log(level, NO_BUNDLE, format(message, arguments), mFields);
     }
 
-    /** Fills the arguments in; a message format would read patterns inside their values. */
-    private static String fill(String sentence, Object... arguments) {
+    /** Replaces placeholders in a single pass, so that arguments cannot contain placeholders. */
+    private static String format(String message, Object... arguments) {
         StringBuilder text = new StringBuilder();
-        Matcher matcher = ARGUMENT.matcher(sentence);
+        Matcher matcher = ARGUMENT.matcher(message);
         while (matcher.find()) {
             int index = Integer.parseInt(matcher.group(1));
             String value =
--- a/foxtail-process/src/main/java/org/foxtailplank/process/LogFields.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/LogFields.java
@@ -6,7 +6,7 @@
 import java.util.logging.LogRecord;
 
 /**
- * Named values that a log line carries besides its sentence, for example the id of a request.
+ * Named fields of a log record, for example a request id.
  *
  * @param values values by name
  */
@@ -14,12 +14,12 @@
     static final LogFields NONE = new LogFields(Map.of());
 
     LogFields with(String name, Object value) {
-        Map<String, String> all = new LinkedHashMap<>(values);
-        all.put(name, String.valueOf(value));
-        return new LogFields(all);
+        Map<String, String> merged = new LinkedHashMap<>(values);
+        merged.put(name, String.valueOf(value));
+        return new LogFields(merged);
     }
 
-    /** The fields that a line was logged with; empty when it does not come from {@link Log}. */
+    /** Returns the fields of a record, or empty if it was not logged by {@link Log}. */
     static Optional<LogFields> of(LogRecord record) {
         Object[] parameters = record.getParameters();
         return parameters != null && parameters.length == 1 && parameters[0] instanceof LogFields f
--- a/foxtail-process/src/main/java/org/foxtailplank/process/LogFormat.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/LogFormat.java
@@ -2,16 +2,16 @@
 
 import java.util.logging.Formatter;
 
-/** How log lines are written. */
+/** Format of log lines. */
 public enum LogFormat {
-    /** Short lines for people. */
+    /** Plain text. */
     TEXT {
         @Override
         Formatter formatter() {
             return new TextLogFormatter();
         }
     },
-    /** One JSON object a line. */
+    /** One JSON object per line. */
     JSON {
         @Override
         Formatter formatter() {
--- a/foxtail-process/src/main/java/org/foxtailplank/process/LogLevel.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/LogLevel.java
@@ -2,13 +2,13 @@
 
 import java.util.logging.Level;
 
-/** How much is logged. */
+/** Minimum level of the records that are logged. */
 public enum LogLevel {
-    /** What an operator should look at. */
+    /** Conditions that need attention. */
     WARNING(Level.WARNING),
-    /** What an operator may want to know. */
+    /** Normal operation. */
     INFO(Level.INFO),
-    /** Also each step of each request, to follow one by its id. */
+    /** Each step of each request, to trace requests by id. */
     DEBUG(Level.FINE);
 
     private final Level mLevel;
--- a/foxtail-process/src/main/java/org/foxtailplank/process/LogLines.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/LogLines.java
@@ -6,7 +6,7 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 
-/** What both log formats take from a record. */
+/** Conversions of log records shared by both formats. */
 final class LogLines {
     private LogLines() {}
 
@@ -28,7 +28,7 @@
                 : name.substring(name.lastIndexOf('.') + 1);
     }
 
-    /** The sentence; a line of this system's own is filled in already. */
+    /** Returns the message; records logged by {@link Log} are formatted already. */
     static String message(Formatter formatter, LogRecord record) {
         return LogFields.of(record).isPresent()
                 ? record.getMessage()
@@ -43,8 +43,8 @@
         return Optional.ofNullable(record.getThrown()).map(Throwable::toString);
     }
 
-    /** A line break inside a value would let a caller forge a log line. */
-    static String oneLine(String text) {
+    /** Escapes line breaks, which could be used to forge log lines. */
+    static String escapeLineBreaks(String text) {
         return text.replace("\r", "\\r").replace("\n", "\\n");
     }
 }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Logs.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Logs.java
@@ -8,31 +8,31 @@
 import java.util.logging.Logger;
 import java.util.logging.StreamHandler;
 
-/** Sets up where and how logs are written. */
+/** Configures logging of the process. */
 public final class Logs {
-    /** Held here, since the log manager forgets levels of loggers that nobody holds. */
+    /** Strong reference, since the log manager holds loggers weakly and their levels get lost. */
     private static final Logger PEKKO = Logger.getLogger("org.apache.pekko");
 
     private Logs() {}
 
-    /** Writes all logs of the process to one stream. */
+    /** Writes all log records of the process to one stream. */
     public static void configure(LogFormat format, LogLevel level, PrintStream stream) {
-        clear(LogManager.getLogManager());
+        reset(LogManager.getLogManager());
         Logger root = Logger.getLogger("");
         root.setLevel(level.level());
         PEKKO.setLevel(Level.WARNING);
         root.addHandler(new FlushingHandler(stream, format));
     }
 
-    private static void clear(LogManager manager) {
-        if (manager instanceof LastingLogManager lasting) {
-            lasting.clear();
+    private static void reset(LogManager manager) {
+        if (manager instanceof NonResettingLogManager nonResetting) {
+            nonResetting.forceReset();
         } else {
             manager.reset();
         }
     }
 
-    /** Writes each line at once, so that a killed process loses none. */
+    /** Flushes after each record, so that none is lost when the process is killed. */
     private static final class FlushingHandler extends StreamHandler {
         FlushingHandler(OutputStream out, LogFormat format) {
             super(out, format.formatter());
--- a/foxtail-process/src/main/java/org/foxtailplank/process/MetricsJson.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/MetricsJson.java
@@ -8,13 +8,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.concurrent.TimeUnit;
 
-/** Writes a metric registry as JSON; times are in milliseconds, rates a second. */
+/** Converts a metric registry to JSON; times are in milliseconds, rates per second. */
 public final class MetricsJson {
-    private static final double MILLIS = 1.0 / TimeUnit.MILLISECONDS.toNanos(1);
+    private static final double MILLIS_PER_NANO = 1.0 / TimeUnit.MILLISECONDS.toNanos(1);
 
     private MetricsJson() {}
 
-    /** All metrics by kind and name. */
+    /** Returns all metrics by type and name. */
     public static ObjectNode of(MetricRegistry registry) {
         ObjectNode all = Json.object();
         ObjectNode gauges = all.putObject("gauges");
@@ -44,7 +44,7 @@
     private static void timer(ObjectNode node, Timer timer) {
         node.put("count", timer.getCount());
         node.put("rate1m", timer.getOneMinuteRate());
-        snapshot(node, timer.getSnapshot(), MILLIS);
+        snapshot(node, timer.getSnapshot(), MILLIS_PER_NANO);
     }
 
     private static void snapshot(ObjectNode node, Snapshot snapshot, double scale) {
--- a/foxtail-process/src/main/java/org/foxtailplank/process/PekkoRuntime.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/PekkoRuntime.java
@@ -15,10 +15,10 @@
 import org.apache.pekko.http.javadsl.Http;
 import org.slf4j.LoggerFactory;
 
-/** The one actor system of a process, kept small: few threads and quiet logs. */
+/** Actor system of a process, configured for few threads and little logging. */
 public final class PekkoRuntime implements AutoCloseable {
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(5);
-    private static final String CONTROL = "foxtail.control-dispatcher";
+    private static final String CONTROL_DISPATCHER = "foxtail.control-dispatcher";
     private static final String CONFIG =
             """
             pekko.loglevel = WARNING
@@ -50,9 +50,9 @@
         mSystem = system;
     }
 
-    /** Starts an actor system whose default dispatcher has this many threads. */
+    /** Starts an actor system with this number of threads in its default dispatcher. */
     public static PekkoRuntime start(String name, int threads) {
-        // Loggers asked for by several threads while SLF4J sets itself up make it print warnings.
+        // SLF4J prints warnings if several threads request loggers while it initializes.
         LoggerFactory.getILoggerFactory();
         Config config = ConfigFactory.parseString(CONFIG.formatted(threads));
         return new PekkoRuntime(
@@ -60,19 +60,19 @@
                         Behaviors.empty(), name, config.withFallback(ConfigFactory.load())));
     }
 
-    /** The actor system. */
+    /** Returns the actor system. */
     public ActorSystem<Void> system() {
         return mSystem;
     }
 
-    /** A thread of control's own, so that neither a plan nor a fold delays a request. */
+    /** Returns a single-threaded executor, so that control work does not delay requests. */
     public Executor controlExecutor() {
-        return mSystem.dispatchers().lookup(DispatcherSelector.fromConfig(CONTROL));
+        return mSystem.dispatchers().lookup(DispatcherSelector.fromConfig(CONTROL_DISPATCHER));
     }
 
     /**
-     * Stops the actor system, its HTTP connections first: one that is open when the system goes is
-     * logged as an error.
+     * Closes the HTTP connections, then stops the actor system, which would log an error for each
+     * open connection.
      */
     public CompletionStage<Done> stop() {
         return Http.get(mSystem)
@@ -85,7 +85,7 @@
                         });
     }
 
-    /** Stops the actor system and waits for its end, for a few seconds at most. */
+    /** Stops the actor system and waits for its termination, at most {@link #STOP_TIMEOUT}. */
     @Override
     public void close() {
         try {
--- a/foxtail-process/src/main/java/org/foxtailplank/process/ProcessException.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/ProcessException.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.process;
 
-/** Ends a program with a message for whoever started it: what happened, why, what to do. */
+/** Ends a program with an exit code and an error message for its user. */
 public final class ProcessException extends Exception {
     private final ExitCode mExitCode;
 
@@ -9,22 +9,22 @@
         mExitCode = exitCode;
     }
 
-    /** The command line or the settings are wrong. */
+    /** Creates an exception for an invalid command line or invalid settings. */
     public static ProcessException usage(String message) {
         return new ProcessException(ExitCode.USAGE, message, null);
     }
 
-    /** The program could not do what it was asked to. */
+    /** Creates an exception for a failed program. */
     public static ProcessException failed(String message) {
         return new ProcessException(ExitCode.FAILED, message, null);
     }
 
-    /** The program could not do what it was asked to, because of another error. */
+    /** Creates an exception for a program that failed with a cause. */
     public static ProcessException failed(String message, Throwable cause) {
         return new ProcessException(ExitCode.FAILED, message, cause);
     }
 
-    /** How the program ends. */
+    /** Returns the exit code of the program. */
     public ExitCode exitCode() {
         return mExitCode;
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Program.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Program.java
@@ -1,12 +1,12 @@
 package org.foxtailplank.process;
 
 /**
- * What a binary does once its command line is read.
+ * Main logic of a program, run after its command line is parsed.
  *
- * @param <O> its options
+ * @param <O> type of its command line options
  */
 @FunctionalInterface
 public interface Program<O extends ProgramOptions> {
-    /** Runs to the end, or until it is asked to stop. */
+    /** Runs until the program is done or a stop is requested. */
     ExitCode run(O options, StopSignal stop) throws ProcessException, InterruptedException;
 }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/ProgramOptions.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/ProgramOptions.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.settings.Settings;
 import org.kohsuke.args4j.Option;
 
-/** Options that every program has; a program adds its own in a subclass. */
+/** Command line options common to all programs; subclasses add their own. */
 public class ProgramOptions {
     @Option(name = "--help", aliases = "-h", help = true, usage = "print the options and exit")
     private boolean mHelp;
@@ -19,10 +19,13 @@
     @Option(name = "--settings", metaVar = "FILE", usage = "base settings, JSON with comments")
     private Path mSettings;
 
-    @Option(name = "--overlay", metaVar = "FILE", usage = "what one site states differently")
+    @Option(
+            name = "--overlay",
+            metaVar = "FILE",
+            usage = "overrides of the base settings for one site")
     private Path mOverlay;
 
-    @Option(name = "--node", metaVar = "ID", usage = "this process's name in the settings")
+    @Option(name = "--node", metaVar = "ID", usage = "name of this node in the settings")
     private String mNode;
 
     @Option(name = "--log-format", metaVar = "text|json", usage = "lines, or a JSON object a line")
@@ -34,58 +37,58 @@
             usage = "how much is logged; debug follows each request by its id")
     private LogLevel mLogLevel = LogLevel.INFO;
 
-    /** How much is logged. */
+    /** Returns the log level. */
     public final LogLevel logLevel() {
         return mLogLevel;
     }
 
-    /** Whether the options are asked for. */
+    /** Returns whether the help text is requested. */
     public final boolean help() {
         return mHelp;
     }
 
-    /** Whether the version is asked for. */
+    /** Returns whether the version is requested. */
     public final boolean version() {
         return mVersion;
     }
 
-    /** How logs are written. */
+    /** Returns the log format. */
     public final LogFormat logFormat() {
         return mLogFormat;
     }
 
-    /** The base settings file, if one was named. */
+    /** Returns the base settings file, if given. */
     public final Optional<Path> settingsFile() {
         return Optional.ofNullable(mSettings);
     }
 
-    /** The overlay file, if one was named. */
+    /** Returns the overlay file, if given. */
     public final Optional<Path> overlayFile() {
         return Optional.ofNullable(mOverlay);
     }
 
-    /** The settings of the files that were named. */
+    /** Loads the given settings files. */
     public final Settings settings() throws ProcessException {
         Path file =
                 settingsFile()
-                        .orElseThrow(() -> ProcessException.usage(Messages.settingsMissing()));
+                        .orElseThrow(() -> ProcessException.usage(Messages.missingSettings()));
         return SettingsFiles.load(file, overlayFile());
     }
 
-    /** The node that was named. */
+    /** Returns the given node, which must exist in the settings. */
     public final NodeId node(Settings settings) throws ProcessException {
         List<String> nodes =
                 settings.nodes().keySet().stream().map(NodeId::value).sorted().toList();
         if (mNode == null) {
-            throw ProcessException.usage(Messages.nodeMissing(nodes));
+            throw ProcessException.usage(Messages.missingNode(nodes));
         }
         if (!nodes.contains(mNode)) {
-            throw ProcessException.usage(Messages.nodeUnknown(mNode, nodes));
+            throw ProcessException.usage(Messages.unknownNode(mNode, nodes));
         }
         return NodeId.of(mNode);
     }
 
-    /** The settings of the node that was named. */
+    /** Returns the settings of the given node. */
     public final NodeSettings nodeSettings(Settings settings) throws ProcessException {
         return settings.nodes().get(node(settings));
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/SettingsFiles.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/SettingsFiles.java
@@ -11,20 +11,20 @@
 import org.foxtailplank.settings.SettingsReader;
 import org.foxtailplank.settings.SettingsResult;
 
-/** Reads settings from files. */
+/** Loads settings from files. */
 public final class SettingsFiles {
     private SettingsFiles() {}
 
-    /** The checked settings of a base and an overlay. */
+    /** Loads and validates a base file with an optional overlay. */
     public static Settings load(Path base, Optional<Path> overlay) throws ProcessException {
         SettingsResult result = read(base, overlay.map(List::of).orElse(List.of()));
         if (result instanceof SettingsResult.Invalid invalid) {
-            throw ProcessException.usage(Messages.settingsWrong(invalid.text()));
+            throw ProcessException.usage(Messages.invalidSettings(invalid.text()));
         }
         return ((SettingsResult.Valid) result).settings();
     }
 
-    /** Reads and checks a base with overlays. */
+    /** Reads and validates a base file with overlays. */
     public static SettingsResult read(Path base, List<Path> overlays) throws ProcessException {
         SettingsReader reader = SettingsReader.base(base.toString(), text(base));
         for (Path overlay : overlays) {
@@ -33,16 +33,16 @@
         return reader.read();
     }
 
-    /** The text of a file. */
+    /** Returns the content of a file. */
     public static String text(Path file) throws ProcessException {
         try {
             return Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw ProcessException.usage(Messages.unreadable(file, "it does not exist"));
+            throw ProcessException.usage(Messages.unreadableFile(file, "it does not exist"));
         } catch (CharacterCodingException e) {
-            throw ProcessException.usage(Messages.unreadable(file, "it is not UTF-8 text"));
+            throw ProcessException.usage(Messages.unreadableFile(file, "it is not UTF-8 text"));
         } catch (IOException e) {
-            throw ProcessException.usage(Messages.unreadable(file, e.toString()));
+            throw ProcessException.usage(Messages.unreadableFile(file, e.toString()));
         }
     }
 }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/StopSignal.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/StopSignal.java
@@ -4,30 +4,30 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.ExecutionException;
 
-/** Tells a program that it is asked to stop, by SIGTERM or SIGINT. */
+/** Signals a stop request, such as SIGTERM or SIGINT, to a program. */
 public final class StopSignal {
     private final CompletableFuture<Void> mRequested = new CompletableFuture<>();
 
-    /** Waits until the program is asked to stop. */
+    /** Blocks until a stop is requested. */
     public void await() throws InterruptedException {
         try {
             mRequested.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a stop was asked for with an error", e);
+            throw new IllegalStateException("unexpected failure of the stop request", e);
         }
     }
 
-    /** Done when the program is asked to stop. */
+    /** Returns a stage that completes when a stop is requested. */
     public CompletionStage<Void> requested() {
         return mRequested.minimalCompletionStage();
     }
 
-    /** Whether the program is asked to stop. */
+    /** Returns whether a stop is requested. */
     public boolean isRequested() {
         return mRequested.isDone();
     }
 
-    /** Asks the program to stop. */
+    /** Requests a stop. */
     public void request() {
         mRequested.complete(null);
     }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/TextLogFormatter.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/TextLogFormatter.java
@@ -5,7 +5,7 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** Writes {@code time level part: sentence name=value}. */
+/** Formats records as {@code time level component: message name=value}. */
 final class TextLogFormatter extends Formatter {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
@@ -18,6 +18,6 @@
         LogLines.fields(record)
                 .forEach((name, value) -> line.append(' ').append(name).append('=').append(value));
         LogLines.error(record).ifPresent(e -> line.append(" (").append(e).append(')'));
-        return LogLines.oneLine(line.toString()) + "\n";
+        return LogLines.escapeLineBreaks(line.toString()) + "\n";
     }
 }
--- a/foxtail-process/src/main/java/org/foxtailplank/process/Version.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/Version.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** The version of this build. */
+/** Version of this build. */
 public final class Version {
     private Version() {}
 
-    /** The version as the jar's manifest states it. */
+    /** Returns the version from the jar's manifest, or {@code development}. */
     public static String text() {
         return Optional.ofNullable(Version.class.getPackage().getImplementationVersion())
                 .orElse("development");
--- a/foxtail-process/src/main/java/org/foxtailplank/process/WarmUp.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/WarmUp.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 
 /**
- * Serves and makes one HTTP call and ends.
+ * Serves and sends one HTTP request, then exits.
  *
- * <p>The start scripts run it once after a build, to write the classes that it loads into a
- * class-data archive, from which each program then starts faster.
+ * <p>The start scripts run it after a build to create a class data sharing archive, which shortens
+ * the start of all programs.
  */
 public final class WarmUp {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private WarmUp() {}
 
-    /** Runs it. */
+    /** Runs the warm-up. */
     public static void main(String[] args) throws Exception {
         Logs.configure(LogFormat.TEXT, LogLevel.INFO, System.err);
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (PekkoRuntime runtime = PekkoRuntime.start("warm-up", 2)) {
             HttpListener listener =
                     HttpListener.bind(
                             runtime,
-                            any,
+                            anyPort,
                             HealthRoutes.of(
                                     () -> new Health(Health.SERVING, Map.of()),
                                     new MetricRegistry()));
--- a/foxtail-process/src/main/java/org/foxtailplank/process/package-info.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/package-info.java
@@ -1,2 +1,2 @@
-/** What the binaries share: command line, exit codes, logs, health and metrics. */
+/** Command line, exit codes, logging, health and metrics shared by all programs. */
 package org.foxtailplank.process;
--- a/foxtail-process/src/test/java/org/foxtailplank/process/HttpTest.java
+++ b/foxtail-process/src/test/java/org/foxtailplank/process/HttpTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Serves and calls JSON over HTTP on real sockets. */
+/** Tests the HTTP server and the JSON client over sockets. */
 public final class HttpTest {
     private static final InetSocketAddress ANY_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -30,7 +30,7 @@
     private HttpListener mListener;
     private JsonHttpClient mClient;
 
-    /** A body that the server echoes. */
+    /** Body that the server echoes. */
     record Greeting(String text, int times) {}
 
     @BeforeClass
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aValueGoesOverAndComesBack() throws Exception {
+    void aJsonBodyIsEchoed() throws Exception {
         Greeting greeting = new Greeting("здравей", 2);
         HttpAnswer answer = JsonHttpClient.await(mClient.post(uri("/echo"), greeting));
         assertTrue(answer.isOk());
@@ -60,11 +60,11 @@
     }
 
     @Test
-    void aBodyOfAnotherFormIsRefusedWithTheReason() throws Exception {
+    void anInvalidBodyIsRefusedWithTheReason() throws Exception {
         HttpAnswer answer =
                 JsonHttpClient.await(mClient.post(uri("/echo"), Map.of("times", "many")));
         assertEquals(answer.status(), 400);
-        assertTrue(answer.error().contains("the body is not what is expected"), answer.error());
+        assertTrue(answer.error().contains("invalid request body: "), answer.error());
     }
 
     @Test
@@ -79,13 +79,13 @@
     }
 
     @Test
-    void aHealthAnswerWithoutDetailsIsRead() throws Exception {
+    void healthWithoutDetailsRoundTrips() throws Exception {
         Health health = new Health(Health.SERVING, Map.of());
         assertEquals(Json.read(Json.write(health), Health.class), health);
     }
 
     @Test
-    void anAnswerBeyondTheBoundIsNotRead() {
+    void aResponseOverTheSizeLimitIsMalformed() {
         HttpCallException e =
                 expectThrows(
                         HttpCallException.class,
@@ -96,9 +96,8 @@
         assertEquals(e.kind(), HttpCallException.Kind.MALFORMED);
     }
 
-    /** An operator starts a second process on the same port and must be told so. */
     @Test
-    void aPortInUseIsNamed() {
+    void bindingAPortInUseNamesThePort() {
         ProcessException e =
                 expectThrows(
                         ProcessException.class,
@@ -110,9 +109,9 @@
                 e.getMessage());
     }
 
-    /** Nothing listens: the call had no effect for certain, and whoever asks may be told so. */
+    /** A refused connection means that the call had no effect. */
     @Test
-    void aCalleeThatIsNotThereIsUnreachable() throws IOException {
+    void aRefusedConnectionIsUnreachable() throws IOException {
         int port;
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
@@ -122,9 +121,9 @@
         assertFalse(e.kind().mayHaveHappened());
     }
 
-    /** The callee accepts and never answers: the call may have had its effect. */
+    /** The server accepted the connection, so the call may have taken effect. */
     @Test
-    void aCalleeThatIsSilentIsTimedOut() throws IOException {
+    void aServerThatNeverRespondsTimesOut() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             JsonHttpClient client = JsonHttpClient.withTimeout(mRuntime, Duration.ofMillis(200));
             HttpCallException e =
--- a/foxtail-process/src/test/java/org/foxtailplank/process/LauncherTest.java
+++ b/foxtail-process/src/test/java/org/foxtailplank/process/LauncherTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Reads command lines and turns what happens into exit statuses. */
+/** Tests command line parsing and exit statuses. */
 public final class LauncherTest {
     private static final String EXAMPLE = "../examples/stabilis/base.jsonc";
 
@@ -47,7 +47,7 @@
     }
 
     @DataProvider
-    Object[][] wrong() {
+    Object[][] invalidCommandLines() {
         return new Object[][] {
             {new String[] {"--colour"}, "--help lists the options"},
             {new String[] {"--log-format", "xml"}, "--log-format"},
@@ -58,7 +58,7 @@
         };
     }
 
-    @Test(dataProvider = "wrong")
+    @Test(dataProvider = "invalidCommandLines")
     void aWrongCommandLineIsExplainedAndEndsWithStatusTwo(String[] args, String message) {
         assertEquals(run(args), ExitCode.USAGE);
         String err = mErr.toString(StandardCharsets.UTF_8);
--- a/foxtail-process/src/test/java/org/foxtailplank/process/LogTest.java
+++ b/foxtail-process/src/test/java/org/foxtailplank/process/LogTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** Writes log lines for people and for machines. */
+/** Tests both log formats. */
 public final class LogTest {
     @Test
     void aTextLineNamesThePartAndTheRequest() {
@@ -27,21 +27,18 @@
         assertEquals(line.path("request").asText(), "r-1");
     }
 
-    /**
-     * A caller puts a line break and a pattern into a header; the operator would see a line that
-     * nobody logged, or another value in place of the pattern.
-     */
+    /** Guards against log injection through header values. */
     @Test
-    void aValueCanForgeNeitherALineNorAnArgument() {
+    void argumentsCannotInjectLinesOrPlaceholders() {
         String line = logged(LogFormat.TEXT, "Header {0} of {1}.", "{1}\n00:00 INFO x: y", "z");
         assertEquals(line.lines().count(), 1);
         assertTrue(line.contains("Header {1}\\n00:00 INFO x: y of z."), line);
     }
 
-    private static String logged(LogFormat format, String sentence, Object... arguments) {
+    private static String logged(LogFormat format, String message, Object... arguments) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Logs.configure(format, LogLevel.INFO, new PrintStream(out));
-        Log.of("route").with("request", "r-1").info(sentence, arguments);
+        Log.of("route").with("request", "r-1").info(message, arguments);
         return out.toString(StandardCharsets.UTF_8);
     }
 }
--- a/foxtail-process/src/test/java/org/foxtailplank/process/StopTest.java
+++ b/foxtail-process/src/test/java/org/foxtailplank/process/StopTest.java
@@ -12,17 +12,17 @@
 import java.util.logging.LogManager;
 import org.testng.annotations.Test;
 
-/** Ends real processes in each way. */
+/** Tests how processes end after SIGTERM and after an unexpected error. */
 public final class StopTest {
     private static final int LIMIT_SECONDS = 60;
 
-    /** A program that waits for its stop, or breaks an invariant beside a thread that goes on. */
-    public static final class Waiting {
-        private Waiting() {}
+    /** Waits for a stop request, or fails while another thread still runs. */
+    public static final class WaitingProgram {
+        private WaitingProgram() {}
 
-        /** Starts it. */
+        /** Runs the program. */
         public static void main(String[] args) {
-            Launcher.named("waiting").main(args, new ProgramOptions(), Waiting::run);
+            Launcher.named("waiting").main(args, new ProgramOptions(), WaitingProgram::run);
         }
 
         private static ExitCode run(ProgramOptions options, StopSignal stop)
@@ -38,11 +38,11 @@
                                     }
                                 })
                         .start();
-                throw new IllegalStateException("a thing that can't be");
+                throw new IllegalStateException("simulated failure");
             }
             System.out.println("waiting");
             stop.await();
-            // What the hook of java.util.logging does at an unknown moment of the stop.
+            // Simulates the concurrent shutdown hook of java.util.logging.
             LogManager.getLogManager().reset();
             Log.of("process").info("Nothing is left in flight.");
             System.out.println("finished what was in flight");
@@ -50,10 +50,7 @@
         }
     }
 
-    /**
-     * An operator stops an entry with SIGTERM: it finishes its work first, and its exit status says
-     * that it stopped well, not that it crashed.
-     */
+    /** A graceful stop must not look like a crash: the JVM's own status would be 143. */
     @Test
     void sigtermLetsTheProgramFinishAndEndWithItsOwnStatus() throws Exception {
         Process process = start();
@@ -61,14 +58,11 @@
             assertEquals(out.readLine(), "waiting");
             process.toHandle().destroy();
             assertEquals(out.readLine(), "finished what was in flight");
-            assertEquals(exitOf(process), 0);
+            assertEquals(exitStatus(process), 0);
         }
     }
 
-    /**
-     * An operator who stops an entry sees nothing of how it left. The log manager's own shutdown
-     * hook took the handlers away before the entry had finished what was in flight.
-     */
+    /** The default log manager would remove its handlers before the program has stopped. */
     @Test
     void whatIsLoggedDuringTheStopIsStillWritten() throws Exception {
         Process process = start();
@@ -76,20 +70,20 @@
                 BufferedReader err = process.errorReader()) {
             assertEquals(out.readLine(), "waiting");
             process.toHandle().destroy();
-            assertEquals(exitOf(process), 0);
+            assertEquals(exitStatus(process), 0);
             assertTrue(err.lines().anyMatch(l -> l.contains("Nothing is left in flight.")));
         }
     }
 
-    /** A broken invariant must end the process, whatever other threads it has. */
+    /** An unexpected error must end the process even if other threads still run. */
     @Test
     void aBrokenInvariantEndsTheProcessWithStatusOne() throws Exception {
         Process process = start("--settings", "any");
         try (BufferedReader err = process.errorReader()) {
             String line = err.readLine();
-            assertTrue(line.contains("An invariant is broken"), line);
-            assertTrue(line.contains("a thing that can't be"), line);
-            assertEquals(exitOf(process), 1);
+            assertTrue(line.contains("Unexpected error; the process exits."), line);
+            assertTrue(line.contains("simulated failure"), line);
+            assertEquals(exitStatus(process), 1);
         }
     }
 
@@ -100,13 +94,13 @@
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Waiting.class.getName());
+                        WaitingProgram.class.getName());
         builder.command().addAll(List.of(args));
         return builder.start();
     }
 
-    private static int exitOf(Process process) throws InterruptedException {
-        assertTrue(process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS), "it goes on");
+    private static int exitStatus(Process process) throws InterruptedException {
+        assertTrue(process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS), "the process did not exit");
         return process.exitValue();
     }
 }
