--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/AnswerLookup.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/AnswerLookup.java
@@ -4,11 +4,11 @@
 import org.foxtailplank.id.ServiceId;
 
 /**
- * Asks the first claimant of an idempotency key for the answer.
+ * Requests the stored answer from the first claimant of an idempotency key.
  *
  * @param service service of the request
  * @param key idempotency key
- * @param fingerprint digest of the request, so that a key used for another request is noticed
+ * @param fingerprint digest of the request, to detect reuse of the key for another request
  */
 public record AnswerLookup(ServiceId service, String key, ByteString fingerprint)
         implements PeerMessage {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/AnswerLookupResult.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/AnswerLookupResult.java
@@ -3,38 +3,39 @@
 import java.util.Optional;
 
 /**
- * What the first claimant of an idempotency key knows.
+ * Reply to an {@link AnswerLookup}.
  *
- * @param state what became of the request there
- * @param answer the answer, when there is one
+ * @param state state of the request at the first claimant
+ * @param answer stored answer; present only in state {@link State#ANSWERED}
  */
 public record AnswerLookupResult(State state, Optional<CallerAnswer> answer)
         implements PeerMessage {
 
-    /** What became of a request at its first claimant. */
+    /** State of a request at its first claimant. */
     public enum State {
-        /** The answer is there. */
+        /** The answer is stored. */
         ANSWERED,
-        /** The request runs; ask again. */
+        /** The request is still running; look it up again later. */
         RUNNING,
-        /** The node knows nothing of the key. */
+        /** The key is unknown to the node. */
         NOT_KNOWN,
-        /** The key belongs to another request. */
+        /** The key was used for another request. */
         OTHER_REQUEST
     }
 
     public AnswerLookupResult {
         if (answer.isPresent() != (state == State.ANSWERED)) {
-            throw new IllegalArgumentException("only an answered lookup has an answer");
+            throw new IllegalArgumentException(
+                    "an answer is required in state ANSWERED and not allowed in any other");
         }
     }
 
-    /** The answer is there. */
+    /** Returns a result with an answer. */
     public static AnswerLookupResult answered(CallerAnswer answer) {
         return new AnswerLookupResult(State.ANSWERED, Optional.of(answer));
     }
 
-    /** There is no answer. */
+    /** Returns a result without an answer. */
     public static AnswerLookupResult without(State state) {
         return new AnswerLookupResult(state, Optional.empty());
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/BurnCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/BurnCodec.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.wire.generated.burn.IntervalProto;
 import org.foxtailplank.wire.generated.burn.ServiceProto;
 
-/** Interval reports as records of the stream {@code burn}. */
+/** Encodes and decodes interval reports, the records of the {@code burn} stream. */
 public final class BurnCodec {
 
     private BurnCodec() {}
@@ -31,7 +31,7 @@
         return proto.build().toByteArray();
     }
 
-    /** Decodes a report; empty for bytes that are none. */
+    /** Decodes a report; empty if the bytes are malformed. */
     public static Optional<IntervalReport> decode(byte[] data) {
         try {
             IntervalProto proto = IntervalProto.parseFrom(data);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/CallerAnswer.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/CallerAnswer.java
@@ -5,12 +5,12 @@
 import org.foxtailplank.request.Outcome;
 
 /**
- * A whole answer to a caller, handed from one entry to another.
+ * Complete HTTP response for a caller, passed between entries.
  *
- * @param outcome what became of the attempt
+ * @param outcome outcome of the attempt
  * @param status HTTP status
  * @param headers header fields, in order
- * @param body whole body
+ * @param body complete body
  */
 public record CallerAnswer(
         Outcome outcome, int status, List<HeaderField> headers, ByteString body) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimCodec.java
@@ -17,15 +17,15 @@
 import org.foxtailplank.wire.generated.claims.EraProto;
 import org.foxtailplank.wire.generated.claims.OpeningProto;
 
-/** Records of the claims stream as protobuf. */
+/** Encodes and decodes the protobuf records of the claims stream. */
 public final class ClaimCodec {
 
     private static final int FORMAT = 1;
-    private static final int WORDS = 4;
+    private static final int WORDS_PER_CLAIM = 4;
 
     private ClaimCodec() {}
 
-    /** The bytes of a record. */
+    /** Encodes a record. */
     public static byte[] encode(ClaimBatch batch) {
         ClaimBatchProto.Builder proto =
                 ClaimBatchProto.newBuilder()
@@ -40,14 +40,14 @@
                         .setTimeMillis(batch.time().toEpochMilli());
         for (Claim claim : batch.claims()) {
             Digest key = claim.key().digest();
-            Digest print = claim.fingerprint().digest();
+            Digest fingerprint = claim.fingerprint().digest();
             proto.addClaimWords(key.high()).addClaimWords(key.low());
-            proto.addClaimWords(print.high()).addClaimWords(print.low());
+            proto.addClaimWords(fingerprint.high()).addClaimWords(fingerprint.low());
         }
         return proto.build().toByteArray();
     }
 
-    /** Reads a record; empty when this version does not understand it. */
+    /** Decodes a record; empty if it is malformed or has an unknown format. */
     public static Optional<ClaimBatch> decode(byte[] data) {
         ClaimBatchProto proto;
         try {
@@ -55,9 +55,9 @@
         } catch (InvalidProtocolBufferException e) {
             return Optional.empty();
         }
-        boolean understood = proto.getFormat() == FORMAT && !proto.getNode().isBlank();
+        boolean known = proto.getFormat() == FORMAT && !proto.getNode().isBlank();
         Optional<ClaimBatch.Opening> opening = decode(proto.getOpening());
-        if (!understood || opening.isEmpty() || proto.getClaimWordsCount() % WORDS != 0) {
+        if (!known || opening.isEmpty() || proto.getClaimWordsCount() % WORDS_PER_CLAIM != 0) {
             return Optional.empty();
         }
         Claimant writer = new Claimant(NodeId.of(proto.getNode()), proto.getIncarnation());
@@ -67,8 +67,8 @@
     }
 
     private static List<Claim> claims(ClaimBatchProto proto) {
-        List<Claim> claims = new ArrayList<>(proto.getClaimWordsCount() / WORDS);
-        for (int i = 0; i < proto.getClaimWordsCount(); i += WORDS) {
+        List<Claim> claims = new ArrayList<>(proto.getClaimWordsCount() / WORDS_PER_CLAIM);
+        for (int i = 0; i < proto.getClaimWordsCount(); i += WORDS_PER_CLAIM) {
             RequestKey key = new RequestKey(digest(proto, i));
             claims.add(new Claim(key, new Fingerprint(digest(proto, i + 2))));
         }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimsPosition.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimsPosition.java
@@ -3,8 +3,8 @@
 import org.foxtailplank.internal.idempotency.Position;
 
 /**
- * How far a node has read the claims stream.
+ * Read position of a node in the claims stream.
  *
- * @param position its position
+ * @param position position of the next record to read
  */
 public record ClaimsPosition(Position position) implements PeerMessage {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimsPositionRequest.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/ClaimsPositionRequest.java
@@ -1,4 +1,4 @@
 package org.foxtailplank.wire;
 
-/** Asks how far a node has read the claims stream. */
+/** Requests the read position of a node in the claims stream. */
 public record ClaimsPositionRequest() implements PeerMessage {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/ConfigurationAnswer.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/ConfigurationAnswer.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What a peer has that is newer: records of the log's tail, or a chunk of its rolled-up state.
+ * Newer state of a peer: records of the log's tail, or a chunk of an encoded snapshot.
  *
- * @param tail records that follow on the asker's position, without a gap
- * @param stateNumber number of the rolled-up state at the answering node; 0 for none
- * @param from first byte of the chunk
- * @param size bytes of the whole rolled-up state
- * @param chunk bytes of it
+ * @param tail consecutive records that follow the requester's position
+ * @param stateNumber number of the snapshot at the answering node; 0 for none
+ * @param from offset of the chunk in the snapshot
+ * @param size size of the whole snapshot in bytes
+ * @param chunk bytes of the chunk
  */
 public record ConfigurationAnswer(
         List<TailRecord> tail, long stateNumber, long from, long size, ByteString chunk)
@@ -20,12 +20,12 @@
         tail = List.copyOf(tail);
     }
 
-    /** Records of the log's tail. */
+    /** Returns an answer with records of the log's tail. */
     public static ConfigurationAnswer of(List<TailRecord> tail) {
         return new ConfigurationAnswer(tail, 0, 0, 0, ByteString.EMPTY);
     }
 
-    /** There is nothing to hand out. */
+    /** Returns an empty answer, for a node that has no newer state. */
     public static ConfigurationAnswer nothing() {
         return of(List.of());
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/ConfigurationRequest.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/ConfigurationRequest.java
@@ -3,11 +3,11 @@
 import org.foxtailplank.state.StatePosition;
 
 /**
- * Asks for what is newer than the asker's state.
+ * Requests state that is newer than the requester's.
  *
- * @param position how far the asker is
- * @param stateNumber rolled-up state that is being fetched in chunks; 0 for the newest one
- * @param from first byte wanted of it
+ * @param position position of the requester in the log
+ * @param stateNumber snapshot that is being fetched in chunks; 0 for the newest one
+ * @param from offset of the requested chunk
  */
 public record ConfigurationRequest(StatePosition position, long stateNumber, long from)
         implements PeerMessage {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/HeaderField.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/HeaderField.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.wire;
 
 /**
- * One field of an HTTP header.
+ * HTTP header field.
  *
- * @param name its name
- * @param value its value
+ * @param name field name
+ * @param value field value
  */
 public record HeaderField(String name, String value) {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerCounts.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerCounts.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What a link has counted since it started; bytes are those of TCP's payload.
+ * Counters of a link since its start; bytes are TCP payload.
  *
  * @param bytesOut bytes sent
  * @param bytesIn bytes received
  * @param messagesOut messages sent
  * @param messagesIn messages received
- * @param heartbeatsDropped heartbeats dropped because a newer one was due
- * @param notUnderstood messages of unknown kinds, ignored
- * @param connects connections tried
- * @param cuts connections cut, by reason
+ * @param heartbeatsDropped heartbeats skipped because the send buffer was full
+ * @param notUnderstood messages of unknown kinds
+ * @param connects connection attempts
+ * @param disconnects connections closed by this node, by reason
  */
 public record PeerCounts(
         long bytesOut,
@@ -22,14 +22,14 @@
         long heartbeatsDropped,
         long notUnderstood,
         long connects,
-        Map<CutReason, Long> cuts) {
+        Map<DisconnectReason, Long> disconnects) {
 
     public PeerCounts {
-        cuts = Map.copyOf(cuts);
+        disconnects = Map.copyOf(disconnects);
     }
 
-    /** Connections cut for a reason. */
-    public long cuts(CutReason reason) {
-        return cuts.getOrDefault(reason, 0L);
+    /** Returns the number of connections closed for a reason. */
+    public long disconnects(DisconnectReason reason) {
+        return disconnects.getOrDefault(reason, 0L);
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerFailure.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerFailure.java
@@ -1,12 +1,12 @@
 package org.foxtailplank.wire;
 
-/** Why a message to a peer came to nothing, and whether the peer may have acted on it. */
+/** Kind of failure of a message to a peer, by whether the peer may have acted on it. */
 public enum PeerFailure {
-    /** No byte of it left this node. */
+    /** The message was not sent. */
     NOT_SENT("was not sent"),
-    /** The peer refused it before it acted. */
+    /** The peer refused the message without acting on it. */
     NOT_TAKEN("was refused by the peer"),
-    /** It left, and no answer came: the peer may have acted. */
+    /** No answer was received; the peer may have acted on the message. */
     NO_ANSWER("was not answered");
 
     private final String mText;
@@ -15,12 +15,12 @@
         mText = text;
     }
 
-    /** Whether the peer has certainly not acted on the message. */
-    public boolean isCertainlyNotRun() {
+    /** Returns whether the peer has definitely not acted on the message. */
+    public boolean isDefinitelyNotExecuted() {
         return this != NO_ANSWER;
     }
 
-    /** What happened, as part of a sentence. */
+    /** Returns the failure as a verb phrase for error messages. */
     public String text() {
         return mText;
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerHandler.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerHandler.java
@@ -4,13 +4,13 @@
 import org.foxtailplank.membership.Member;
 
 /**
- * Answers a kind of message; called on the link's only thread, so it never blocks.
+ * Handles one kind of message. Called on the link's event loop, so it must not block.
  *
- * @param <T> kind of message
+ * @param <T> type of the message
  */
 @FunctionalInterface
 public interface PeerHandler<T extends PeerMessage> {
 
-    /** The answer; a message that was only sent, not asked, drops it. */
+    /** Returns the answer, which is discarded if the sender does not expect one. */
     CompletionStage<? extends PeerMessage> handle(Member from, T message);
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
@@ -15,60 +15,60 @@
 import org.foxtailplank.state.StatePosition;
 import org.foxtailplank.wire.internal.peer.PeerNode;
 
-/** A node's link to the other processes of the system: membership and messages. */
+/** Membership and messaging between the processes of the system. */
 public interface PeerLink extends AutoCloseable {
 
-    /** Starts to take peers' connections; peers are met once some are learned. */
+    /** Starts to accept connections; connects to peers once seeds are given. */
     static PeerLink start(PeerLinkOptions options) throws PeerLinkException {
         return PeerNode.start(options);
     }
 
-    /** Who this node is to its peers, with the address it takes connections on. */
+    /** Returns the identity of this node, including the address it accepts connections on. */
     PeerIdentity self();
 
-    /** Takes a new list of places to meet peers in place of the last one from its source. */
+    /** Replaces the seed addresses that were last given by a source. */
     void learn(SeedSource source, Collection<Seed> seeds);
 
-    /** How far this node has followed the log, for its heartbeats. */
+    /** Sets the log position that heartbeats carry. */
     void report(StatePosition position);
 
-    /** The configuration in force here, for its heartbeats; a newer version is told at once. */
+    /** Sets the configuration version that heartbeats carry; a newer one is sent immediately. */
     void reportConfiguration(long version);
 
-    /** What this node has in flight, for its heartbeats. */
+    /** Sets the load that heartbeats carry. */
     void report(LoadSummary load);
 
-    /** Sends a message without an answer; false when it certainly did not leave. */
+    /** Sends a message without expecting an answer; false if it was definitely not sent. */
     CompletionStage<Boolean> send(NodeId to, PeerMessage message);
 
-    /** Sends a message and waits for its answer; fails with a {@link PeerException}. */
+    /** Sends a message and returns its answer; the stage fails with a {@link PeerException}. */
     CompletionStage<PeerMessage> ask(NodeId to, PeerMessage message, Duration timeout);
 
-    /** Answers a kind of message from now on. */
+    /** Registers the handler of a kind of message. */
     <T extends PeerMessage> void handle(Class<T> kind, PeerHandler<T> handler);
 
-    /** The other processes, as last seen. */
+    /** Returns the last known state of all other processes. */
     List<Member> members();
 
-    /** The process that now goes by a name. */
+    /** Returns the current process of a node. */
     Optional<Member> member(NodeId node);
 
-    /** Calls back on the link's thread whenever the state of a member changes. */
+    /** Registers a listener for member state changes, called on the link's thread. */
     void onChange(Consumer<Member> listener);
 
-    /** Calls back on the link's thread after each heartbeat of a member. */
+    /** Registers a listener for member heartbeats, called on the link's thread. */
     void onHeartbeat(Consumer<Member> listener);
 
-    /** Runs work on the link's thread; after the link is closed it is dropped. */
-    void execute(Runnable work);
+    /** Runs a task on the link's thread; ignored once the link is closed. */
+    void execute(Runnable task);
 
-    /** Runs work on the link's thread again and again. */
-    void every(Duration time, Runnable work);
+    /** Runs a task on the link's thread at a fixed rate. */
+    void every(Duration interval, Runnable task);
 
-    /** What was counted since the start. */
+    /** Returns the counters since the start. */
     PeerCounts counts();
 
-    /** Tells the peers that this node leaves, and closes all connections. */
+    /** Announces the departure of this node to its peers and closes all connections. */
     @Override
     void close();
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkException.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkException.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.wire;
 
-/** The link to the peers cannot start. */
+/** Thrown when a peer link cannot be started. */
 public final class PeerLinkException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkLimits.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkLimits.java
@@ -3,39 +3,39 @@
 import java.time.Duration;
 
 /**
- * Bounds of what a link sends and takes.
+ * Resource limits of a peer link.
  *
- * @param heartbeatBytesPerSecond bytes of heartbeats sent a second, to all peers together
- * @param maxMessageBytes largest message of a peer that has proved its identity
- * @param maxUnproved connections at once that have not proved their identity
- * @param handshake time for a connection to prove its identity
- * @param asksPerPeer asks of one peer that are answered at once
- * @param connectsPerSecond connections tried a second, to all peers together
+ * @param heartbeatBytesPerSecond heartbeat bytes sent per second to all peers together
+ * @param maxMessageBytes maximum size of a message from an authenticated peer
+ * @param maxUnauthenticated maximum number of connections that are not authenticated yet
+ * @param handshakeTimeout maximum duration of the handshake
+ * @param maxRequestsPerPeer maximum number of concurrent requests of one peer
+ * @param connectsPerSecond connection attempts per second to all peers together
  */
 public record PeerLinkLimits(
         int heartbeatBytesPerSecond,
         int maxMessageBytes,
-        int maxUnproved,
-        Duration handshake,
-        int asksPerPeer,
+        int maxUnauthenticated,
+        Duration handshakeTimeout,
+        int maxRequestsPerPeer,
         int connectsPerSecond) {
 
-    private static final PeerLinkLimits USUAL =
+    private static final PeerLinkLimits DEFAULTS =
             new PeerLinkLimits(2_500, 256 * 1024, 32, Duration.ofSeconds(2), 64, 20);
 
-    /** The limits that the measurements of docs/design/peers.md chose. */
+    /** Returns the default limits. */
     public static PeerLinkLimits usual() {
-        return USUAL;
+        return DEFAULTS;
     }
 
-    /** The same with messages of at least this size allowed. */
+    /** Returns a copy that allows messages of at least this size. */
     public PeerLinkLimits withMessagesOf(int bytes) {
         return new PeerLinkLimits(
                 heartbeatBytesPerSecond,
                 Math.max(maxMessageBytes, bytes),
-                maxUnproved,
-                handshake,
-                asksPerPeer,
+                maxUnauthenticated,
+                handshakeTimeout,
+                maxRequestsPerPeer,
                 connectsPerSecond);
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkOptions.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkOptions.java
@@ -10,15 +10,15 @@
 import org.foxtailplank.settings.PeerSettings;
 
 /**
- * How a node's link to its peers is set up.
+ * Options of a peer link.
  *
  * @param node name of this node
- * @param zone availability zone it stands in
- * @param incarnation this start of it
- * @param roles what it does
- * @param bind address to take peers' connections on; port 0 lets the system choose
- * @param peers key and times
- * @param limits bounds of what it sends and takes
+ * @param zone availability zone of this node
+ * @param incarnation incarnation of this process
+ * @param roles roles of this node
+ * @param bind address to accept connections on; port 0 selects a free port
+ * @param peers shared key and timing
+ * @param limits resource limits
  */
 public record PeerLinkOptions(
         NodeId node,
@@ -33,7 +33,7 @@
         roles = Set.copyOf(roles);
     }
 
-    /** The usual options of a node that the settings name. */
+    /** Returns the options of a node with default limits. */
     public static PeerLinkOptions of(
             NodeId node,
             NodeSettings settings,
@@ -50,7 +50,7 @@
                 PeerLinkLimits.usual());
     }
 
-    /** The same for messages of at least this size. */
+    /** Returns a copy that allows messages of at least this size. */
     public PeerLinkOptions withMessagesOf(int bytes) {
         return new PeerLinkOptions(
                 node, zone, incarnation, roles, bind, peers, limits.withMessagesOf(bytes));
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerMessage.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerMessage.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.wire;
 
-/** What the system's processes say to each other beside heartbeats. */
+/** Messages between processes, apart from heartbeats. */
 public sealed interface PeerMessage
         permits ConfigurationRequest,
                 ConfigurationAnswer,
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordCodec.java
@@ -23,14 +23,14 @@
 import org.foxtailplank.wire.internal.records.ChangeDecoder;
 import org.foxtailplank.wire.internal.records.ChangeEncoder;
 
-/** Turns records of the log into bytes and back. */
+/** Encodes and decodes records of the log. */
 public final class RecordCodec {
-    /** Version of the format up to which this program understands records. */
+    /** Highest format version that this program can read. */
     static final int READER_VERSION = 1;
 
     private RecordCodec() {}
 
-    /** Encodes a record of a kind that this program knows. */
+    /** Encodes a record of a known kind. */
     public static byte[] encode(LogRecord record) {
         RecordProto.Builder b =
                 RecordProto.newBuilder()
@@ -62,15 +62,15 @@
     }
 
     /**
-     * Decodes a record. A change that this program does not understand is a {@link NotUnderstood}.
+     * Decodes a record; a change of an unknown kind becomes a {@link NotUnderstood}.
      *
-     * @throws RecordFormatException if the bytes are no record, for any version of the program
+     * @throws RecordFormatException if the bytes are not a valid record of any version
      */
     public static LogRecord decode(byte[] data) throws RecordFormatException {
         try {
             return decode(RecordProto.parseFrom(data));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new RecordFormatException("the entry is no record: " + e.getMessage(), e);
+            throw new RecordFormatException("malformed log record: " + e.getMessage(), e);
         }
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordFormatException.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordFormatException.java
@@ -1,8 +1,7 @@
 package org.foxtailplank.wire;
 
-/** Bytes that are no record of the log, for any version of the program. */
+/** Thrown when bytes are not a valid record or snapshot. */
 public final class RecordFormatException extends Exception {
-    /** Describes what was found. */
     public RecordFormatException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/RequestHandover.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/RequestHandover.java
@@ -6,15 +6,15 @@
 import org.foxtailplank.id.ServiceId;
 
 /**
- * Hands a request over to the node that issued its idempotency key.
+ * Forwards a request to the node that issued its idempotency key.
  *
- * @param requestId id by which the request is followed
+ * @param requestId id for tracing the request
  * @param service service of the request
  * @param method HTTP method
  * @param path path and query below the service
  * @param headers header fields, in order
- * @param body whole body
- * @param deadline time that is left for it
+ * @param body complete body
+ * @param deadline remaining time
  */
 public record RequestHandover(
         String requestId,
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/RequestHandoverResult.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/RequestHandoverResult.java
@@ -1,8 +1,8 @@
 package org.foxtailplank.wire;
 
 /**
- * What became of a request that was handed over.
+ * Reply to a {@link RequestHandover}.
  *
- * @param answer the answer for the caller
+ * @param answer response for the caller
  */
 public record RequestHandoverResult(CallerAnswer answer) implements PeerMessage {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
@@ -5,27 +5,27 @@
 import java.util.concurrent.CompletionStage;
 import org.foxtailplank.state.StatePosition;
 
-/** The state that a node has folded from the log, as far as its peers need to know it. */
+/** State folded from the log that a node shares with its peers. */
 public interface SharedState {
 
-    /** How far the node has followed the log. */
+    /** Returns the position of the state in the log. */
     StatePosition position();
 
     /**
-     * Records that follow on a position, without a gap, up to about so many bytes; empty when the
-     * node does not have the first of them at hand.
+     * Returns consecutive records after a position, up to about this size; empty if the first of
+     * them is not in memory any more.
      */
     CompletionStage<List<TailRecord>> tailAfter(StatePosition position, int maxBytes);
 
-    /** The whole state, rolled up; empty when the node has nothing that others could use. */
+    /** Returns an encoded snapshot of the whole state; empty if there is no state to share. */
     CompletionStage<Optional<byte[]>> rollUp();
 
-    /** Takes records that follow on a position; false when this node is somewhere else. */
+    /** Applies records that follow a position; false if this node is at another position. */
     CompletionStage<Boolean> offerTail(StatePosition position, List<TailRecord> tail);
 
-    /** Takes over a state that a peer rolled up, if it is newer than the own one. */
+    /** Replaces the state by the snapshot of a peer if that is newer; false otherwise. */
     CompletionStage<Boolean> offerRollUp(byte[] state);
 
-    /** Calls back after each change. */
+    /** Registers a listener that is called after each change. */
     void onChange(Runnable listener);
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotAssembler.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotAssembler.java
@@ -7,38 +7,38 @@
 import java.util.TreeMap;
 
 /**
- * Puts snapshots together from parts in any order, and keeps the newest that is whole.
+ * Assembles snapshots from chunks in any order and keeps the newest complete one.
  *
- * <p>Guards against a writer that died half-way, parts of two writers that alternate and parts that
- * expired: a snapshot counts only when each part is there and the checksum of the whole holds.
+ * <p>Tolerates crashed writers, interleaved chunks of several writers and expired chunks: a
+ * snapshot is used only if all its chunks are present and its checksum matches.
  */
 public final class SnapshotAssembler {
-    private final Map<String, TreeMap<Integer, SnapshotChunk>> mParts = new HashMap<>();
+    private final Map<String, TreeMap<Integer, SnapshotChunk>> mChunks = new HashMap<>();
     private Optional<StoredState> mNewest = Optional.empty();
 
-    /** Adds a part. */
+    /** Adds a chunk. */
     public void add(SnapshotChunk chunk) {
-        TreeMap<Integer, SnapshotChunk> parts =
-                mParts.computeIfAbsent(chunk.snapshot(), s -> new TreeMap<>());
-        parts.put(chunk.index(), chunk);
-        if (parts.size() == chunk.count()) {
-            mParts.remove(chunk.snapshot());
-            whole(parts).ifPresent(this::offer);
+        TreeMap<Integer, SnapshotChunk> chunks =
+                mChunks.computeIfAbsent(chunk.snapshot(), s -> new TreeMap<>());
+        chunks.put(chunk.index(), chunk);
+        if (chunks.size() == chunk.count()) {
+            mChunks.remove(chunk.snapshot());
+            assemble(chunks).ifPresent(this::offer);
         }
     }
 
-    /** The whole snapshot that goes furthest. */
+    /** Returns the complete snapshot with the highest position. */
     public Optional<StoredState> newest() {
         return mNewest;
     }
 
-    private static Optional<StoredState> whole(TreeMap<Integer, SnapshotChunk> parts) {
+    private static Optional<StoredState> assemble(TreeMap<Integer, SnapshotChunk> chunks) {
         ByteString bytes = ByteString.EMPTY;
-        for (SnapshotChunk c : parts.values()) {
+        for (SnapshotChunk c : chunks.values()) {
             bytes = bytes.concat(c.data());
         }
         byte[] all = bytes.toByteArray();
-        ByteString expected = parts.firstEntry().getValue().checksum();
+        ByteString expected = chunks.firstEntry().getValue().checksum();
         if (!SnapshotChunk.checksum(all).equals(expected)) {
             return Optional.empty();
         }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotChunk.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotChunk.java
@@ -9,16 +9,16 @@
 import org.foxtailplank.wire.generated.snapshot.SnapshotChunkProto;
 
 /**
- * A part of a stored snapshot, small enough for one entry of the log.
+ * A chunk of a stored snapshot, small enough for one entry of the log.
  *
  * @param snapshot name of the snapshot
- * @param index place among the parts
- * @param count number of parts
- * @param restorations restorations that the state holds
- * @param nextOffset offset that the state goes up to
- * @param writtenMillis clock of its writer; decides only when the next snapshot is due
+ * @param index index of the chunk
+ * @param count number of chunks
+ * @param restorations number of restorations included in the state
+ * @param nextOffset offset after the last record included in the state
+ * @param writtenMillis writer's clock; used only to schedule the next snapshot
  * @param checksum SHA-256 of the whole snapshot
- * @param data bytes of this part
+ * @param data bytes of this chunk
  */
 public record SnapshotChunk(
         String snapshot,
@@ -29,12 +29,12 @@
         long writtenMillis,
         ByteString checksum,
         ByteString data) {
-    /** Bytes of one part. */
+    /** Maximum data size of a chunk in bytes. */
     public static final int SIZE = 48 * 1024;
 
     /**
-     * Splits the bytes of a snapshot. The last part holds none of them: whoever only wants to know
-     * how old the newest snapshot is reads just that part.
+     * Splits an encoded snapshot into chunks. The last chunk has no data, so that the age of the
+     * newest snapshot can be read cheaply.
      */
     public static List<SnapshotChunk> split(
             String name, StoredState state, byte[] bytes, long writtenMillis) {
@@ -58,12 +58,12 @@
         return chunks;
     }
 
-    /** Whether nothing of the snapshot comes after this part. */
+    /** Returns whether this is the last chunk of the snapshot. */
     public boolean isLast() {
         return index == count - 1;
     }
 
-    /** Encodes the part. */
+    /** Encodes the chunk. */
     public byte[] encode() {
         return SnapshotChunkProto.newBuilder()
                 .setSnapshot(snapshot)
@@ -78,7 +78,7 @@
                 .toByteArray();
     }
 
-    /** Decodes a part. */
+    /** Decodes a chunk. */
     public static SnapshotChunk decode(byte[] bytes) throws RecordFormatException {
         try {
             SnapshotChunkProto p = SnapshotChunkProto.parseFrom(bytes);
@@ -92,11 +92,11 @@
                     p.getChecksum(),
                     p.getData());
         } catch (InvalidProtocolBufferException e) {
-            throw new RecordFormatException("no part of a snapshot", e);
+            throw new RecordFormatException("malformed snapshot chunk", e);
         }
     }
 
-    /** SHA-256 of the bytes of a whole snapshot. */
+    /** Returns the SHA-256 digest of an encoded snapshot. */
     static ByteString checksum(byte[] bytes) {
         try {
             return ByteString.copyFrom(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SnapshotCodec.java
@@ -9,9 +9,9 @@
 import org.foxtailplank.wire.internal.records.SnapshotDecoder;
 import org.foxtailplank.wire.internal.records.SnapshotEncoder;
 
-/** Turns a stored state into compressed bytes and back. */
+/** Encodes and decodes stored states as compressed protobuf. */
 public final class SnapshotCodec {
-    /** Version of the format up to which this program understands snapshots. */
+    /** Highest format version that this program can read. */
     static final int READER_VERSION = 1;
 
     private SnapshotCodec() {}
@@ -22,7 +22,7 @@
         try (GZIPOutputStream zip = new GZIPOutputStream(bytes)) {
             SnapshotEncoder.encode(state).setReaderVersion(READER_VERSION).build().writeTo(zip);
         } catch (IOException e) {
-            throw new IllegalStateException("memory can't be written", e);
+            throw new IllegalStateException("unexpected I/O error on an in-memory stream", e);
         }
         return bytes.toByteArray();
     }
@@ -30,17 +30,17 @@
     /**
      * Decodes a state.
      *
-     * @throws RecordFormatException if the bytes are no snapshot, or one that needs a newer program
+     * @throws RecordFormatException if the snapshot is malformed or needs a newer reader version
      */
     public static StoredState decode(byte[] data) throws RecordFormatException {
         try (GZIPInputStream zip = new GZIPInputStream(new ByteArrayInputStream(data))) {
             SnapshotProto p = SnapshotProto.parseFrom(zip);
             if (p.getReaderVersion() > READER_VERSION) {
-                throw new IllegalArgumentException("it needs a newer program");
+                throw new IllegalArgumentException("it needs a newer reader version");
             }
             return SnapshotDecoder.decode(p);
         } catch (IOException | RuntimeException e) {
-            throw new RecordFormatException("no snapshot: " + e.getMessage(), e);
+            throw new RecordFormatException("unreadable snapshot: " + e.getMessage(), e);
         }
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchange.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchange.java
@@ -3,18 +3,17 @@
 import org.foxtailplank.wire.internal.exchange.PeerStateExchange;
 
 /**
- * Keeps a node's state as new as that of its peers, also while the platform is away.
+ * Keeps a node's state up to date with its peers, even if the platform is unreachable.
  *
- * <p>A newer state is never replaced by an older one: whatever a peer hands out only adds to what
- * this node has.
+ * <p>A state is never replaced by an older one.
  */
 public interface StateExchange {
 
-    /** Starts to tell peers how far this node is, to hand out its state and to fetch newer ones. */
+    /** Starts to publish the position of this node, serve its state and fetch newer states. */
     static StateExchange start(PeerLink link, SharedState state, StateExchangeLimits limits) {
         return PeerStateExchange.start(link, state, limits);
     }
 
-    /** What was fetched and handed out since the start. */
+    /** Returns the counters since the start. */
     StateExchangeCounts counts();
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeCounts.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeCounts.java
@@ -1,13 +1,17 @@
 package org.foxtailplank.wire;
 
 /**
- * What a node has exchanged with its peers since it started.
+ * Counters of a state exchange since its start.
  *
- * @param tailRecordsTaken records of the log's tail taken from peers
- * @param statesTaken rolled-up states taken from peers
- * @param bytesTaken bytes of both
- * @param bytesGiven bytes of both handed out
- * @param failures requests that came to nothing
+ * @param tailRecordsReceived log records received from peers
+ * @param statesTaken snapshots received from peers
+ * @param bytesTaken bytes of records and snapshots received
+ * @param bytesSent bytes of records and snapshots sent
+ * @param failures failed requests
  */
 public record StateExchangeCounts(
-        long tailRecordsTaken, long statesTaken, long bytesTaken, long bytesGiven, long failures) {}
+        long tailRecordsReceived,
+        long statesTaken,
+        long bytesTaken,
+        long bytesSent,
+        long failures) {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeLimits.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeLimits.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * Bounds of what nodes hand each other of the state.
+ * Limits of the state exchange between nodes.
  *
- * @param grace time that the platform has to bring news itself before a peer is asked
- * @param timeout time for one answer
- * @param tailBytes bytes of the log's tail in one answer; 0 to hand out the rolled-up state alone
- * @param chunkBytes bytes of the rolled-up state in one answer
- * @param maxStateBytes largest rolled-up state that is taken
- * @param keepRollUp time for which a rolled-up state is handed out before it is made anew
+ * @param grace time to wait for the platform to deliver new records before asking a peer
+ * @param timeout timeout of one request
+ * @param tailBytes maximum bytes of log records in one answer; 0 to send snapshots only
+ * @param chunkBytes snapshot bytes in one answer
+ * @param maxStateBytes maximum size of a received snapshot
+ * @param snapshotCacheTime time for which a snapshot is cached
  */
 public record StateExchangeLimits(
         Duration grace,
@@ -18,9 +18,9 @@
         int tailBytes,
         int chunkBytes,
         int maxStateBytes,
-        Duration keepRollUp) {
+        Duration snapshotCacheTime) {
 
-    private static final StateExchangeLimits USUAL =
+    private static final StateExchangeLimits DEFAULTS =
             new StateExchangeLimits(
                     Duration.ofMillis(250),
                     Duration.ofSeconds(1),
@@ -29,8 +29,8 @@
                     16 * 1024 * 1024,
                     Duration.ofSeconds(5));
 
-    /** The limits that the measurements of docs/design/configuration-propagation.md chose. */
+    /** Returns the default limits. */
     public static StateExchangeLimits usual() {
-        return USUAL;
+        return DEFAULTS;
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/StoredState.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/StoredState.java
@@ -4,14 +4,14 @@
 import org.foxtailplank.state.StatePosition;
 
 /**
- * A snapshot together with its place in the log.
+ * A snapshot and its position in the log.
  *
- * @param restorations times that a state was restored to the log
- * @param logOffset offset in the log at which reading goes on
- * @param state the state
+ * @param restorations number of restorations of the log from a snapshot
+ * @param logOffset offset in the log of the next record to read
+ * @param state snapshot of the state
  */
 public record StoredState(long restorations, long logOffset, FleetSnapshot state) {
-    /** How far the state goes. */
+    /** Returns the position of the state. */
     public StatePosition position() {
         long[] digests = state.window().digests();
         int last = (int) (state.nextOffset() & digests.length - 1);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/TailRecord.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/TailRecord.java
@@ -4,10 +4,10 @@
 import org.foxtailplank.id.RecordId;
 
 /**
- * A record of the log's tail, handed from peer to peer.
+ * A record of the log's tail, passed between peers.
  *
- * @param offset its offset
- * @param id its id
- * @param data its bytes, as they stand on the log
+ * @param offset offset in the log
+ * @param id record id
+ * @param data encoded record
  */
 public record TailRecord(long offset, RecordId id, ByteString data) {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/ChunkedFetch.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/ChunkedFetch.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.foxtailplank.wire.ConfigurationAnswer;
 
-/** A rolled-up state on its way here, chunk by chunk from one peer. */
+/** Reassembles a snapshot that is fetched from one peer in chunks. */
 final class ChunkedFetch {
 
     private final int mMaxBytes;
@@ -23,8 +23,8 @@
         return mBytes.size();
     }
 
-    /** Takes a chunk; false when it does not fit what came before. */
-    boolean take(ConfigurationAnswer chunk) {
+    /** Appends a chunk; false if it is invalid or does not follow the previous one. */
+    boolean append(ConfigurationAnswer chunk) {
         if (chunk.size() <= 0 || chunk.size() > mMaxBytes || chunk.chunk().isEmpty()) {
             return false;
         }
@@ -32,16 +32,16 @@
             mNumber = chunk.stateNumber();
             mBytes = ByteString.EMPTY;
         }
-        boolean fits = chunk.from() == mBytes.size();
-        if (!fits || mBytes.size() + chunk.chunk().size() > chunk.size()) {
+        boolean contiguous = chunk.from() == mBytes.size();
+        if (!contiguous || mBytes.size() + chunk.chunk().size() > chunk.size()) {
             return false;
         }
         mBytes = mBytes.concat(chunk.chunk());
         return true;
     }
 
-    /** The whole state once the last chunk is there. */
-    Optional<byte[]> whole(ConfigurationAnswer last) {
+    /** Returns the snapshot if the last chunk completes it. */
+    Optional<byte[]> complete(ConfigurationAnswer last) {
         return mBytes.size() == last.size() ? Optional.of(mBytes.toByteArray()) : Optional.empty();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/PeerStateExchange.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/PeerStateExchange.java
@@ -21,21 +21,21 @@
 import org.foxtailplank.wire.StateExchangeLimits;
 import org.foxtailplank.wire.TailRecord;
 
-/** The exchange over a peer link; its own state belongs to the link's thread. */
+/** State exchange over a peer link; its fields are confined to the link's thread. */
 public final class PeerStateExchange implements StateExchange {
 
     private static final Logger LOG = System.getLogger("org.foxtailplank.peer");
-    private static final Duration CHECK_EVERY = Duration.ofMillis(100);
-    private static final Duration AVOID = Duration.ofSeconds(1);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final PeerLink mLink;
     private final SharedState mState;
     private final StateExchangeLimits mLimits;
     private final StateServer mServer;
     private final CatchUp mCatchUp;
-    private final LongAdder mTailTaken = new LongAdder();
-    private final LongAdder mStatesTaken = new LongAdder();
-    private final LongAdder mBytesTaken = new LongAdder();
+    private final LongAdder mTailRecordsReceived = new LongAdder();
+    private final LongAdder mSnapshotsReceived = new LongAdder();
+    private final LongAdder mBytesReceived = new LongAdder();
     private final LongAdder mFailures = new LongAdder();
     private boolean mFetching;
 
@@ -48,11 +48,11 @@
                 new CatchUp(
                         link.self().zone(),
                         limits.grace().toNanos(),
-                        AVOID.toNanos(),
+                        RETRY_DELAY.toNanos(),
                         new Random(link.self().incarnation().value()));
     }
 
-    /** Starts an exchange. */
+    /** Starts a state exchange. */
     public static StateExchange start(
             PeerLink link, SharedState state, StateExchangeLimits limits) {
         PeerStateExchange exchange = new PeerStateExchange(link, state, limits);
@@ -61,17 +61,17 @@
         link.onHeartbeat(member -> exchange.check());
         state.onChange(exchange::report);
         exchange.report();
-        link.every(CHECK_EVERY, exchange::check);
+        link.every(CHECK_INTERVAL, exchange::check);
         return exchange;
     }
 
     @Override
     public StateExchangeCounts counts() {
         return new StateExchangeCounts(
-                mTailTaken.sum(),
-                mStatesTaken.sum(),
-                mBytesTaken.sum(),
-                mServer.bytesGiven(),
+                mTailRecordsReceived.sum(),
+                mSnapshotsReceived.sum(),
+                mBytesReceived.sum(),
+                mServer.bytesSent(),
                 mFailures.sum());
     }
 
@@ -94,10 +94,10 @@
                 .whenComplete(
                         (answer, error) ->
                                 mLink.execute(
-                                        () -> answered(peer, request, chunks, answer, error)));
+                                        () -> onAnswer(peer, request, chunks, answer, error)));
     }
 
-    private void answered(
+    private void onAnswer(
             NodeId peer,
             ConfigurationRequest request,
             ChunkedFetch chunks,
@@ -105,59 +105,59 @@
             Throwable error) {
         mFetching = false;
         if (error != null) {
-            failed(peer, error.getMessage());
+            onFailure(peer, error.getMessage());
         } else if (!(message instanceof ConfigurationAnswer answer)) {
-            failed(peer, "its answer is of another kind");
+            onFailure(peer, "unexpected kind of answer");
         } else if (!answer.tail().isEmpty()) {
-            takeTail(peer, request.position(), answer.tail());
+            onTail(peer, request.position(), answer.tail());
         } else if (answer.stateNumber() != 0) {
-            takeChunk(peer, chunks, answer);
+            onChunk(peer, chunks, answer);
         } else {
-            failed(peer, "it has nothing to hand out");
+            onFailure(peer, "it has no newer state");
         }
     }
 
-    private void takeTail(NodeId peer, StatePosition position, List<TailRecord> tail) {
-        mTailTaken.add(tail.size());
-        mBytesTaken.add(tail.stream().mapToLong(r -> r.data().size()).sum());
-        offered(peer, mState.offerTail(position, tail));
+    private void onTail(NodeId peer, StatePosition position, List<TailRecord> tail) {
+        mTailRecordsReceived.add(tail.size());
+        mBytesReceived.add(tail.stream().mapToLong(r -> r.data().size()).sum());
+        onOffered(peer, mState.offerTail(position, tail));
     }
 
-    private void takeChunk(NodeId peer, ChunkedFetch chunks, ConfigurationAnswer answer) {
-        if (!chunks.take(answer)) {
-            failed(peer, "a chunk of its state does not fit");
+    private void onChunk(NodeId peer, ChunkedFetch chunks, ConfigurationAnswer answer) {
+        if (!chunks.append(answer)) {
+            onFailure(peer, "invalid snapshot chunk");
             return;
         }
-        mBytesTaken.add(answer.chunk().size());
-        Optional<byte[]> whole = chunks.whole(answer);
-        if (whole.isEmpty()) {
+        mBytesReceived.add(answer.chunk().size());
+        Optional<byte[]> snapshot = chunks.complete(answer);
+        if (snapshot.isEmpty()) {
             fetch(peer, chunks);
             return;
         }
-        mStatesTaken.increment();
-        offered(peer, mState.offerRollUp(whole.get()));
+        mSnapshotsReceived.increment();
+        onOffered(peer, mState.offerRollUp(snapshot.get()));
     }
 
-    private void offered(NodeId peer, CompletionStage<Boolean> taken) {
+    private void onOffered(NodeId peer, CompletionStage<Boolean> offer) {
         mFetching = true;
-        taken.whenComplete(
-                (good, error) -> mLink.execute(() -> offered(peer, error == null && good)));
+        offer.whenComplete(
+                (applied, error) -> mLink.execute(() -> onOffered(peer, error == null && applied)));
     }
 
-    private void offered(NodeId peer, boolean taken) {
+    private void onOffered(NodeId peer, boolean applied) {
         mFetching = false;
-        if (taken) {
+        if (applied) {
             report();
             mCatchUp.helped(mState.position());
             check();
         } else {
-            failed(peer, "what it has is not newer or does not fit");
+            onFailure(peer, "its state is not newer or does not match");
         }
     }
 
-    private void failed(NodeId peer, String why) {
+    private void onFailure(NodeId peer, String reason) {
         mFailures.increment();
         mCatchUp.failed(peer, System.nanoTime());
-        LOG.log(Level.INFO, "peer: Could not fetch newer state from {0}: {1}.", peer, why);
+        LOG.log(Level.INFO, "peer: Could not fetch newer state from {0}: {1}.", peer, reason);
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/StateServer.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/StateServer.java
@@ -12,14 +12,14 @@
 import org.foxtailplank.wire.StateExchangeLimits;
 import org.foxtailplank.wire.TailRecord;
 
-/** Hands out the state of this node. */
+/** Serves the state of this node to its peers. */
 final class StateServer {
 
     private final SharedState mState;
     private final StateExchangeLimits mLimits;
-    private final LongAdder mBytesGiven = new LongAdder();
-    private Optional<ByteString> mKept = Optional.empty();
-    private long mKeptAt;
+    private final LongAdder mBytesSent = new LongAdder();
+    private Optional<ByteString> mCached = Optional.empty();
+    private long mCachedAt;
     private long mNumber;
 
     StateServer(SharedState state, StateExchangeLimits limits) {
@@ -27,73 +27,74 @@
         mLimits = limits;
     }
 
-    long bytesGiven() {
-        return mBytesGiven.sum();
+    long bytesSent() {
+        return mBytesSent.sum();
     }
 
-    /** Answers by the tail where this node still has it, and by the rolled-up state otherwise. */
+    /** Answers with log records if they are still in memory, and with a snapshot otherwise. */
     CompletionStage<ConfigurationAnswer> answer(ConfigurationRequest request) {
         if (request.stateNumber() != 0 || mLimits.tailBytes() == 0) {
             return chunk(request);
         }
         return mState.tailAfter(request.position(), mLimits.tailBytes())
-                .thenCompose(tail -> fits(tail) ? tail(tail) : chunk(request));
+                .thenCompose(tail -> fitsInMessage(tail) ? tail(tail) : chunk(request));
     }
 
     /**
-     * Whether there is a tail that a message can hold.
+     * Returns whether the records fit into one message.
      *
-     * <p>Guards against one large record, such as a whole configuration: the asker would cut the
-     * connection for an oversized frame, again and again.
+     * <p>A large record, such as a whole configuration, would make the requester close the
+     * connection because of an oversized frame.
      */
-    private boolean fits(List<TailRecord> tail) {
+    private boolean fitsInMessage(List<TailRecord> tail) {
         long bytes = tail.stream().mapToLong(record -> record.data().size()).sum();
         return !tail.isEmpty() && bytes <= mLimits.tailBytes();
     }
 
     private CompletionStage<ConfigurationAnswer> tail(List<TailRecord> tail) {
-        tail.forEach(record -> mBytesGiven.add(record.data().size()));
+        tail.forEach(record -> mBytesSent.add(record.data().size()));
         return CompletableFuture.completedFuture(ConfigurationAnswer.of(tail));
     }
 
     private CompletionStage<ConfigurationAnswer> chunk(ConfigurationRequest request) {
-        return rollUp(request.stateNumber()).thenApply(kept -> chunkOf(kept, request));
+        return snapshot(request.stateNumber()).thenApply(snapshot -> chunkOf(snapshot, request));
     }
 
-    /** A fetch whose state is no longer kept starts again with the one that is. */
+    /**
+     * Returns the requested chunk, or the first one if the requested snapshot has been replaced.
+     */
     private synchronized ConfigurationAnswer chunkOf(
-            Optional<ByteString> kept, ConfigurationRequest request) {
-        if (kept.isEmpty()) {
+            Optional<ByteString> snapshot, ConfigurationRequest request) {
+        if (snapshot.isEmpty()) {
             return ConfigurationAnswer.nothing();
         }
-        ByteString bytes = kept.get();
+        ByteString bytes = snapshot.get();
         boolean same = request.stateNumber() == mNumber;
         int from = same ? (int) Math.max(0, Math.min(request.from(), bytes.size())) : 0;
         int to = Math.min(bytes.size(), from + mLimits.chunkBytes());
-        mBytesGiven.add(to - from);
+        mBytesSent.add(to - from);
         return new ConfigurationAnswer(
                 List.of(), mNumber, from, bytes.size(), bytes.substring(from, to));
     }
 
     /**
-     * The rolled-up state, made anew only now and then.
+     * Returns the cached snapshot, or a new one if it is outdated and not the one being fetched.
      *
-     * <p>Guards against a crowd of nodes that start together: each of their chunks would roll up
-     * the state again, and none would belong to the one before. A fetch that has begun goes on with
-     * its state for as long as that is kept.
+     * <p>Without the cache, each chunk request of concurrently starting nodes would create another
+     * snapshot, and the chunks of one fetch would not belong together.
      */
-    private synchronized CompletionStage<Optional<ByteString>> rollUp(long wanted) {
-        boolean fresh = System.nanoTime() - mKeptAt < mLimits.keepRollUp().toNanos();
-        if (mKept.isPresent() && (fresh || wanted == mNumber)) {
-            return CompletableFuture.completedFuture(mKept);
+    private synchronized CompletionStage<Optional<ByteString>> snapshot(long requested) {
+        boolean fresh = System.nanoTime() - mCachedAt < mLimits.snapshotCacheTime().toNanos();
+        if (mCached.isPresent() && (fresh || requested == mNumber)) {
+            return CompletableFuture.completedFuture(mCached);
         }
-        return mState.rollUp().thenApply(this::keep);
+        return mState.rollUp().thenApply(this::cache);
     }
 
-    private synchronized Optional<ByteString> keep(Optional<byte[]> state) {
-        mKept = state.map(ByteString::copyFrom);
-        mKeptAt = System.nanoTime();
+    private synchronized Optional<ByteString> cache(Optional<byte[]> state) {
+        mCached = state.map(ByteString::copyFrom);
+        mCachedAt = System.nanoTime();
         mNumber++;
-        return mKept;
+        return mCached;
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/package-info.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** Hands the newest state from node to node. */
+/** Exchange of the newest state between nodes. */
 package org.foxtailplank.wire.internal.exchange;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/AcceptingHandshake.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/AcceptingHandshake.java
@@ -6,14 +6,14 @@
 import java.security.MessageDigest;
 import java.util.Optional;
 import org.foxtailplank.membership.PeerIdentity;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.generated.peer.ChallengeProto;
 import org.foxtailplank.wire.generated.peer.ProofProto;
 
-/** The handshake of the side that accepts. */
+/** Handshake of the accepting side. */
 final class AcceptingHandshake extends Handshake {
 
-    private boolean mCounted;
+    private boolean mAdmitted;
     private Optional<PeerIdentity> mPeer = Optional.empty();
     private byte[] mTranscript;
 
@@ -24,59 +24,61 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         super.channelActive(ctx);
-        mCounted = owner().admitUnproved();
-        if (!mCounted) {
-            cut(ctx, CutReason.TOO_MANY);
+        mAdmitted = owner().tryAdmitUnauthenticated();
+        if (!mAdmitted) {
+            disconnect(ctx, DisconnectReason.TOO_MANY_CONNECTIONS);
         }
     }
 
     @Override
-    Optional<CutReason> take(ChannelHandlerContext ctx, byte[] frame)
+    Optional<DisconnectReason> onFrame(ChannelHandlerContext ctx, byte[] frame)
             throws InvalidProtocolBufferException {
-        return mPeer.isEmpty() ? takeHello(ctx, frame) : takeProof(ctx, frame);
+        return mPeer.isEmpty() ? onHello(ctx, frame) : onProof(ctx, frame);
     }
 
-    private Optional<CutReason> takeHello(ChannelHandlerContext ctx, byte[] hello)
+    private Optional<DisconnectReason> onHello(ChannelHandlerContext ctx, byte[] hello)
             throws InvalidProtocolBufferException {
         mPeer = peerOf(hello);
         if (mPeer.isEmpty()) {
-            return Optional.of(CutReason.NOT_A_PEER);
+            return Optional.of(DisconnectReason.INCOMPATIBLE);
         }
-        byte[] own = ownHello();
-        mTranscript = PeerKey.transcript(hello, own);
+        byte[] ownHello = ownHello();
+        mTranscript = PeerKey.transcript(hello, ownHello);
         byte[] proof = owner().key().acceptorProof(mTranscript);
         send(
                 ctx,
                 ChallengeProto.newBuilder()
-                        .setHello(ByteString.copyFrom(own))
+                        .setHello(ByteString.copyFrom(ownHello))
                         .setProof(ByteString.copyFrom(proof))
                         .build());
         return Optional.empty();
     }
 
-    private Optional<CutReason> takeProof(ChannelHandlerContext ctx, byte[] frame)
+    private Optional<DisconnectReason> onProof(ChannelHandlerContext ctx, byte[] frame)
             throws InvalidProtocolBufferException {
         byte[] expected = owner().key().connectorProof(mTranscript);
         byte[] proof = ProofProto.parseFrom(frame).getProof().toByteArray();
         if (!MessageDigest.isEqual(expected, proof)) {
-            return Optional.of(CutReason.BAD_KEY);
+            return Optional.of(DisconnectReason.WRONG_KEY);
         }
-        done();
-        FrameSeal seal = owner().key().acceptorSeal(mTranscript);
-        proved(ctx, new Session(ctx.channel(), mPeer.get(), false, seal, owner().counters()));
+        release();
+        FrameAuthenticator authenticator = owner().key().acceptorAuthenticator(mTranscript);
+        complete(
+                ctx,
+                new Session(ctx.channel(), mPeer.get(), false, authenticator, owner().counters()));
         return Optional.empty();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         super.channelInactive(ctx);
-        done();
+        release();
     }
 
-    private void done() {
-        if (mCounted) {
-            mCounted = false;
-            owner().unprovedDone();
+    private void release() {
+        if (mAdmitted) {
+            mAdmitted = false;
+            owner().releaseUnauthenticated();
         }
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/ByteCounter.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/ByteCounter.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts the bytes of one connection, next to the socket. */
+/** Counts the bytes read from and written to a connection. */
 final class ByteCounter extends ChannelDuplexHandler {
 
     private final Counters mCounters;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/ConnectingHandshake.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/ConnectingHandshake.java
@@ -6,11 +6,11 @@
 import java.security.MessageDigest;
 import java.util.Optional;
 import org.foxtailplank.membership.PeerIdentity;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.generated.peer.ChallengeProto;
 import org.foxtailplank.wire.generated.peer.ProofProto;
 
-/** The handshake of the side that connects. */
+/** Handshake of the connecting side. */
 final class ConnectingHandshake extends Handshake {
 
     private final byte[] mHello;
@@ -27,23 +27,25 @@
     }
 
     @Override
-    Optional<CutReason> take(ChannelHandlerContext ctx, byte[] frame)
+    Optional<DisconnectReason> onFrame(ChannelHandlerContext ctx, byte[] frame)
             throws InvalidProtocolBufferException {
         ChallengeProto challenge = ChallengeProto.parseFrom(frame);
         byte[] hello = challenge.getHello().toByteArray();
         byte[] transcript = PeerKey.transcript(mHello, hello);
         byte[] expected = owner().key().acceptorProof(transcript);
         if (!MessageDigest.isEqual(expected, challenge.getProof().toByteArray())) {
-            return Optional.of(CutReason.BAD_KEY);
+            return Optional.of(DisconnectReason.WRONG_KEY);
         }
         Optional<PeerIdentity> peer = peerOf(hello);
         if (peer.isEmpty()) {
-            return Optional.of(CutReason.NOT_A_PEER);
+            return Optional.of(DisconnectReason.INCOMPATIBLE);
         }
         byte[] proof = owner().key().connectorProof(transcript);
         send(ctx, ProofProto.newBuilder().setProof(ByteString.copyFrom(proof)).build());
-        FrameSeal seal = owner().key().connectorSeal(transcript);
-        proved(ctx, new Session(ctx.channel(), peer.get(), true, seal, owner().counters()));
+        FrameAuthenticator authenticator = owner().key().connectorAuthenticator(transcript);
+        complete(
+                ctx,
+                new Session(ctx.channel(), peer.get(), true, authenticator, owner().counters()));
         return Optional.empty();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Counters.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Counters.java
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.PeerCounts;
 
-/** Counts what a link does, and logs why connections are cut without flooding the log. */
+/** Counters of a link; logs closed connections at a limited rate. */
 final class Counters {
 
     private static final Logger LOG = System.getLogger("org.foxtailplank.peer");
-    private static final long LOG_EVERY_NANOS = 1_000_000_000L;
+    private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
     final LongAdder mBytesOut = new LongAdder();
     final LongAdder mBytesIn = new LongAdder();
@@ -22,25 +22,25 @@
     final LongAdder mHeartbeatsDropped = new LongAdder();
     final LongAdder mNotUnderstood = new LongAdder();
     final LongAdder mConnects = new LongAdder();
-    private final Map<CutReason, LongAdder> mCuts = new EnumMap<>(CutReason.class);
-    private final Map<CutReason, Long> mLoggedAt = new EnumMap<>(CutReason.class);
+    private final Map<DisconnectReason, LongAdder> mDisconnects =
+            new EnumMap<>(DisconnectReason.class);
+    private final Map<DisconnectReason, Long> mLoggedAt = new EnumMap<>(DisconnectReason.class);
 
     Counters() {
-        for (CutReason reason : CutReason.values()) {
-            mCuts.put(reason, new LongAdder());
+        for (DisconnectReason reason : DisconnectReason.values()) {
+            mDisconnects.put(reason, new LongAdder());
         }
     }
 
     /**
-     * Counts a cut connection; at most one line a second is logged for a reason.
-     *
-     * <p>Guards against a peer that connects and fails in a loop and would fill the log.
+     * Counts a closed connection and logs it, at most once per second and reason, since a failing
+     * peer reconnects in a loop.
      */
-    void cut(CutReason reason, Object peer) {
-        LongAdder count = mCuts.get(reason);
+    void disconnected(DisconnectReason reason, Object peer) {
+        LongAdder count = mDisconnects.get(reason);
         count.increment();
         long now = System.nanoTime();
-        if (mayLog(reason, now)) {
+        if (isLogDue(reason, now)) {
             LOG.log(
                     Level.WARNING,
                     "peer: Cut the connection of {0}: {1} ({2} so far).",
@@ -51,8 +51,8 @@
     }
 
     PeerCounts snapshot() {
-        Map<CutReason, Long> cuts = new HashMap<>();
-        mCuts.forEach((reason, count) -> cuts.put(reason, count.sum()));
+        Map<DisconnectReason, Long> disconnects = new HashMap<>();
+        mDisconnects.forEach((reason, count) -> disconnects.put(reason, count.sum()));
         return new PeerCounts(
                 mBytesOut.sum(),
                 mBytesIn.sum(),
@@ -61,12 +61,12 @@
                 mHeartbeatsDropped.sum(),
                 mNotUnderstood.sum(),
                 mConnects.sum(),
-                cuts);
+                disconnects);
     }
 
-    private synchronized boolean mayLog(CutReason reason, long now) {
+    private synchronized boolean isLogDue(DisconnectReason reason, long now) {
         Long last = mLoggedAt.get(reason);
-        if (last != null && now - last < LOG_EVERY_NANOS) {
+        if (last != null && now - last < LOG_INTERVAL_NANOS) {
             return false;
         }
         mLoggedAt.put(reason, now);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameSeal.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameAuthenticator.java
@@ -7,13 +7,12 @@
 import javax.crypto.Mac;
 
 /**
- * Puts a MAC on each frame of one connection and checks it.
+ * Signs and verifies the frames of one connection with a MAC.
  *
- * <p>The MAC covers a sequence number that is counted at both ends and never sent. It guards
- * against a frame that is made up, changed, played back, left out or swapped by somebody on the
- * way: the numbers no longer agree, so the MAC is wrong and the connection is cut.
+ * <p>The MAC covers an implicit sequence number, so that forged, modified, replayed, omitted and
+ * reordered frames are all detected.
  */
-final class FrameSeal {
+final class FrameAuthenticator {
 
     static final int MAC_BYTES = 16;
 
@@ -22,28 +21,28 @@
     private long mSent;
     private long mReceived;
 
-    FrameSeal(Mac out, Mac in) {
+    FrameAuthenticator(Mac out, Mac in) {
         mOut = out;
         mIn = in;
     }
 
-    /** The message with its MAC behind it. */
-    byte[] seal(byte[] message) {
+    /** Returns the message followed by its MAC. */
+    byte[] sign(byte[] message) {
         byte[] frame = Arrays.copyOf(message, message.length + MAC_BYTES);
         byte[] mac = mac(mOut, mSent++, message, message.length);
         System.arraycopy(mac, 0, frame, message.length, MAC_BYTES);
         return frame;
     }
 
-    /** The message of a frame, if its MAC is right. */
-    Optional<byte[]> open(byte[] frame) {
+    /** Returns the message of a frame, or empty if its MAC is wrong. */
+    Optional<byte[]> verify(byte[] frame) {
         int length = frame.length - MAC_BYTES;
         if (length < 0) {
             return Optional.empty();
         }
         byte[] expected = Arrays.copyOf(mac(mIn, mReceived++, frame, length), MAC_BYTES);
-        byte[] found = Arrays.copyOfRange(frame, length, frame.length);
-        if (!MessageDigest.isEqual(expected, found)) {
+        byte[] actual = Arrays.copyOfRange(frame, length, frame.length);
+        if (!MessageDigest.isEqual(expected, actual)) {
             return Optional.empty();
         }
         return Optional.of(Arrays.copyOf(frame, length));
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.List;
 
-/** Cuts the stream into frames of a four byte length and as many bytes, up to a limit. */
+/** Decodes frames with a length prefix of four bytes, up to a maximum length. */
 final class FrameDecoder extends ByteToMessageDecoder {
 
     static final int LENGTH_BYTES = Integer.BYTES;
@@ -17,8 +17,8 @@
         mLimit = limit;
     }
 
-    /** Allows larger frames, once the peer has proved its identity. */
-    void allow(int limit) {
+    /** Sets the maximum length of a frame. */
+    void setLimit(int limit) {
         mLimit = limit;
     }
 
@@ -30,7 +30,8 @@
         int length = in.getInt(in.readerIndex());
         if (length < 0 || length > mLimit) {
             in.skipBytes(in.readableBytes());
-            throw new TooLongFrameException("a frame of " + length + " bytes; limit " + mLimit);
+            throw new TooLongFrameException(
+                    "frame length " + length + " exceeds the limit of " + mLimit);
         }
         if (in.readableBytes() < LENGTH_BYTES + length) {
             return;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/FrameEncoder.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.MessageToByteEncoder;
 
-/** Puts the length before each frame. */
+/** Prepends the length to each frame. */
 final class FrameEncoder extends MessageToByteEncoder<byte[]> {
 
     FrameEncoder() {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Handshake.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Handshake.java
@@ -11,18 +11,18 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.foxtailplank.membership.PeerIdentity;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.generated.peer.HelloProto;
 
 /**
- * The start of a connection: both sides prove the shared key over both identities and nonces.
+ * Mutual authentication at the start of a connection: both sides prove knowledge of the shared key
+ * over both identities and nonces.
  *
- * <p>Nothing but these small frames is taken, and only for a short time, before the peer's proof is
- * right.
+ * <p>Until the peer is authenticated, only small frames are accepted, and only for a limited time.
  */
 abstract class Handshake extends SimpleChannelInboundHandler<byte[]> {
 
-    static final int PROTOCOL = 1;
+    static final int PROTOCOL_VERSION = 1;
     static final int MAX_FRAME_BYTES = 1_024;
 
     private static final int NONCE_BYTES = 16;
@@ -36,8 +36,8 @@
         mOwner = owner;
     }
 
-    /** Takes the next frame, and says why the connection is to be cut if it is. */
-    abstract Optional<CutReason> take(ChannelHandlerContext ctx, byte[] frame)
+    /** Handles a frame; returns a reason if the connection must be closed. */
+    abstract Optional<DisconnectReason> onFrame(ChannelHandlerContext ctx, byte[] frame)
             throws InvalidProtocolBufferException;
 
     SessionOwner owner() {
@@ -48,17 +48,17 @@
         byte[] nonce = new byte[NONCE_BYTES];
         RANDOM.nextBytes(nonce);
         return HelloProto.newBuilder()
-                .setProtocol(PROTOCOL)
+                .setProtocol(PROTOCOL_VERSION)
                 .setIdentity(Identities.encode(mOwner.self()))
                 .setNonce(ByteString.copyFrom(nonce))
                 .build()
                 .toByteArray();
     }
 
-    /** Who a hello is from, if it is a peer that this node can talk to. */
+    /** Returns the sender of a hello; empty if it is not a compatible peer. */
     Optional<PeerIdentity> peerOf(byte[] hello) throws InvalidProtocolBufferException {
         HelloProto proto = HelloProto.parseFrom(hello);
-        if (proto.getProtocol() != PROTOCOL || proto.getNonce().size() != NONCE_BYTES) {
+        if (proto.getProtocol() != PROTOCOL_VERSION || proto.getNonce().size() != NONCE_BYTES) {
             return Optional.empty();
         }
         return Identities.decode(proto.getIdentity())
@@ -69,20 +69,20 @@
         ctx.writeAndFlush(message.toByteArray(), ctx.voidPromise());
     }
 
-    void proved(ChannelHandlerContext ctx, Session session) {
+    void complete(ChannelHandlerContext ctx, Session session) {
         mTimeout.cancel(false);
-        ctx.pipeline().get(FrameDecoder.class).allow(mOwner.limits().maxMessageBytes());
+        ctx.pipeline().get(FrameDecoder.class).setLimit(mOwner.limits().maxMessageBytes());
         ctx.pipeline().replace(this, "session", new SessionHandler(session, mOwner));
-        mOwner.opened(session);
+        mOwner.onOpened(session);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        long nanos = mOwner.limits().handshake().toNanos();
+        long nanos = mOwner.limits().handshakeTimeout().toNanos();
         mTimeout =
                 ctx.executor()
                         .schedule(
-                                () -> cut(ctx, CutReason.HANDSHAKE_TIMEOUT),
+                                () -> disconnect(ctx, DisconnectReason.HANDSHAKE_TIMEOUT),
                                 nanos,
                                 TimeUnit.NANOSECONDS);
     }
@@ -93,9 +93,9 @@
             return;
         }
         try {
-            take(ctx, frame).ifPresent(reason -> cut(ctx, reason));
+            onFrame(ctx, frame).ifPresent(reason -> disconnect(ctx, reason));
         } catch (InvalidProtocolBufferException e) {
-            cut(ctx, CutReason.GARBAGE);
+            disconnect(ctx, DisconnectReason.MALFORMED);
         }
     }
 
@@ -110,14 +110,14 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause.getCause() instanceof TooLongFrameException
                 || cause instanceof TooLongFrameException) {
-            cut(ctx, CutReason.OVERSIZED);
+            disconnect(ctx, DisconnectReason.OVERSIZED);
         } else {
             ctx.close();
         }
     }
 
-    void cut(ChannelHandlerContext ctx, CutReason reason) {
-        mOwner.counters().cut(reason, ctx.channel().remoteAddress());
+    void disconnect(ChannelHandlerContext ctx, DisconnectReason reason) {
+        mOwner.counters().disconnected(reason, ctx.channel().remoteAddress());
         ctx.close();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
@@ -12,47 +12,47 @@
 import org.foxtailplank.state.StatePosition;
 import org.foxtailplank.wire.generated.peer.EnvelopeProto;
 
-/** Sends this node's heartbeats. */
+/** Sends the heartbeats of this node. */
 final class HeartbeatSender {
 
-    private static final int FIRST_BYTES = 40;
-    private static final int FAREWELLS = 4;
-    private static final int PEERS_AT_ONCE = 8;
+    private static final int INITIAL_HEARTBEAT_BYTES = 40;
+    private static final int MAX_DEPARTURES = 4;
+    private static final int MAX_IMMEDIATE_PEERS = 8;
     private static final long MIN_GAP_NANOS = 20_000_000L;
 
     private final EventLoop mLoop;
     private final MemberTable mTable;
-    private final Links mLinks;
-    private final Asks mAsks;
+    private final OutgoingLinks mLinks;
+    private final OutstandingRequests mOutstandingRequests;
     private final Counters mCounters;
-    private final HeartbeatPlan<Link> mPlan;
-    private final SilenceLimits mSilence;
+    private final HeartbeatPlan<OutgoingLink> mPlan;
+    private final SilenceLimits mSilenceLimits;
     private NodeStatus mStatus = NodeStatus.none();
-    private int mBytes = FIRST_BYTES;
-    private long mBeat;
+    private int mHeartbeatBytes = INITIAL_HEARTBEAT_BYTES;
+    private long mNumber;
     private long mSentAt;
-    private boolean mDueAtOnce;
+    private boolean mImmediateScheduled;
 
     HeartbeatSender(
             EventLoop loop,
             MemberTable table,
-            Links links,
-            Asks asks,
+            OutgoingLinks links,
+            OutstandingRequests outstandingRequests,
             Counters counters,
-            HeartbeatPlan<Link> plan,
-            SilenceLimits silence) {
+            HeartbeatPlan<OutgoingLink> plan,
+            SilenceLimits silenceLimits) {
         mLoop = loop;
         mTable = table;
         mLinks = links;
-        mAsks = asks;
+        mOutstandingRequests = outstandingRequests;
         mCounters = counters;
         mPlan = plan;
-        mSilence = silence;
+        mSilenceLimits = silenceLimits;
     }
 
-    /** The number of the newest heartbeat. */
-    long beat() {
-        return mBeat;
+    /** Returns the number of the last heartbeat. */
+    long lastNumber() {
+        return mNumber;
     }
 
     void report(LoadSummary load) {
@@ -63,49 +63,50 @@
         mStatus = new NodeStatus(mStatus.configurationVersion(), position, mStatus.load());
     }
 
-    /** The version in force here; a newer one is told at once. */
+    /** Sets the active configuration version; a newer one is sent immediately. */
     void reportConfiguration(long version) {
         boolean newer = version > mStatus.configurationVersion();
         mStatus = new NodeStatus(version, mStatus.position(), mStatus.load());
-        if (newer && !mDueAtOnce) {
-            mDueAtOnce = true;
-            long wait = Math.max(0, mSentAt + MIN_GAP_NANOS - System.nanoTime());
-            mLoop.schedule(this::sendAtOnce, wait, TimeUnit.NANOSECONDS);
+        if (newer && !mImmediateScheduled) {
+            mImmediateScheduled = true;
+            long delay = Math.max(0, mSentAt + MIN_GAP_NANOS - System.nanoTime());
+            mLoop.schedule(this::sendImmediately, delay, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Sends the regular heartbeats of one interval. */
+    /** Sends the periodic heartbeats of one interval. */
     void send() {
-        long now = nextBeat();
+        long now = nextNumber();
         int peers = mLinks.open().size();
-        mTable.allow(mSilence.allowing(mPlan.spread(peers, mBytes)));
+        mTable.allow(mSilenceLimits.allowing(mPlan.spread(peers, mHeartbeatBytes)));
         mTable.tick(now);
-        int news = mPlan.newsLimit(peers, mBytes);
-        for (Link link : mPlan.next(mLinks.open(), mBytes)) {
+        int news = mPlan.newsLimit(peers, mHeartbeatBytes);
+        for (OutgoingLink link : mPlan.next(mLinks.open(), mHeartbeatBytes)) {
             sendTo(link, news, now);
         }
     }
 
-    private void sendAtOnce() {
-        mDueAtOnce = false;
-        long now = nextBeat();
-        for (Link link : mPlan.atOnce(mLinks.open(), PEERS_AT_ONCE, mBytes)) {
+    private void sendImmediately() {
+        mImmediateScheduled = false;
+        long now = nextNumber();
+        for (OutgoingLink link :
+                mPlan.atOnce(mLinks.open(), MAX_IMMEDIATE_PEERS, mHeartbeatBytes)) {
             sendTo(link, 0, now);
         }
     }
 
-    private long nextBeat() {
-        mBeat++;
+    private long nextNumber() {
+        mNumber++;
         mSentAt = System.nanoTime();
         return mSentAt;
     }
 
-    private void sendTo(Link link, int newsLimit, long now) {
+    private void sendTo(OutgoingLink link, int newsLimit, long now) {
         link.session().ifPresent(session -> sendOn(session, link, newsLimit, now));
     }
 
-    /** A peer that does not keep up gets the next heartbeat in place of this one. */
-    private void sendOn(Session session, Link link, int newsLimit, long now) {
+    /** Sends a heartbeat, or skips it if the send buffer is full. */
+    private void sendOn(Session session, OutgoingLink link, int newsLimit, long now) {
         if (!session.isWritable()) {
             mCounters.mHeartbeatsDropped.increment();
             return;
@@ -115,12 +116,13 @@
                 EnvelopeProto.newBuilder()
                         .setHeartbeat(
                                 Heartbeats.encode(
-                                        mBeat, mStatus, news, mTable.farewells(FAREWELLS)));
-        if (link.wantsConfirmation(mSilence.suspectNanos(), now)) {
-            long ask = mAsks.nextNumber();
-            link.await(ask, now);
-            envelope.setAsk(ask);
+                                        mNumber, mStatus, news, mTable.farewells(MAX_DEPARTURES)));
+        if (link.needsConfirmation(mSilenceLimits.suspectNanos(), now)) {
+            long request = mOutstandingRequests.nextNumber();
+            link.awaitConfirmation(request, now);
+            envelope.setAsk(request);
         }
-        mBytes = session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_NEWS * news.size();
+        mHeartbeatBytes =
+                session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_NEWS * news.size();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
@@ -11,7 +11,7 @@
 import org.foxtailplank.membership.NodeStatus;
 import org.foxtailplank.wire.generated.peer.HeartbeatProto;
 
-/** Heartbeats as protobuf. */
+/** Protobuf codec of heartbeats. */
 final class Heartbeats {
 
     private Heartbeats() {}
@@ -30,9 +30,9 @@
                         (instance, count) ->
                                 proto.addLoadInstance(instance).addLoadInFlight(count));
         ByteBuffer beats = ByteBuffer.allocate(news.size() * Short.BYTES);
-        for (BeatNews heard : news) {
-            proto.addHeardTag(heard.tag());
-            beats.putShort(heard.beat());
+        for (BeatNews entry : news) {
+            proto.addHeardTag(entry.tag());
+            beats.putShort(entry.beat());
         }
         return proto.setHeardBeat(ByteString.copyFrom(beats.flip())).build();
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Identities.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Identities.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.wire.generated.peer.IdentityProto;
 import org.foxtailplank.wire.generated.peer.RoleProto;
 
-/** Identities as protobuf. */
+/** Protobuf codec of peer identities. */
 final class Identities {
 
     private static final int MAX_PORT = 65_535;
@@ -32,10 +32,10 @@
         return proto.build();
     }
 
-    /** The identity, or empty where a peer states none that makes sense. */
+    /** Decodes an identity; empty if it is invalid. */
     static Optional<PeerIdentity> decode(IdentityProto proto) {
-        boolean port = proto.getPort() > 0 && proto.getPort() <= MAX_PORT;
-        if (!port || proto.getIncarnation() == 0 || !isIpNumber(proto.getHost())) {
+        boolean validPort = proto.getPort() > 0 && proto.getPort() <= MAX_PORT;
+        if (!validPort || proto.getIncarnation() == 0 || !isIpLiteral(proto.getHost())) {
             return Optional.empty();
         }
         try {
@@ -51,8 +51,8 @@
         }
     }
 
-    /** Guards against a peer that makes this node wait for a name server. */
-    private static boolean isIpNumber(String host) {
+    /** Host names are rejected, since resolving them would block the event loop. */
+    private static boolean isIpLiteral(String host) {
         return NetUtil.isValidIpV4Address(host) || NetUtil.isValidIpV6Address(host);
     }
 
@@ -63,7 +63,7 @@
                 case ROLE_ENTRY -> roles.add(NodeRole.ENTRY);
                 case ROLE_CONTROL -> roles.add(NodeRole.CONTROL);
                 default -> {
-                    // A newer peer may have roles that this one has no use for.
+                    // Roles of newer versions are ignored.
                 }
             }
         }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Inbox.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/MessageDispatcher.java
@@ -20,8 +20,8 @@
 import org.foxtailplank.wire.generated.peer.IntroductionRequestProto;
 import org.foxtailplank.wire.generated.peer.RefusalProto;
 
-/** Takes the messages of proved connections. */
-final class Inbox {
+/** Dispatches the messages of authenticated connections. */
+final class MessageDispatcher {
 
     private static final Logger LOG = System.getLogger("org.foxtailplank.peer");
 
@@ -29,102 +29,107 @@
     private final MemberTable mTable;
     private final Handlers mHandlers;
     private final Counters mCounters;
-    private final int mMaxAsksPerPeer;
-    private final LongSupplier mOwnBeat;
-    private final Consumer<Member> mOnHeartbeat;
+    private final int mMaxRequestsPerPeer;
+    private final LongSupplier mOwnHeartbeatNumber;
+    private final Consumer<Member> mHeartbeatListener;
 
-    Inbox(
+    MessageDispatcher(
             EventLoop loop,
             MemberTable table,
             Handlers handlers,
             Counters counters,
-            int maxAsksPerPeer,
-            LongSupplier ownBeat,
-            Consumer<Member> onHeartbeat) {
+            int maxRequestsPerPeer,
+            LongSupplier ownHeartbeatNumber,
+            Consumer<Member> heartbeatListener) {
         mLoop = loop;
         mTable = table;
         mHandlers = handlers;
         mCounters = counters;
-        mMaxAsksPerPeer = maxAsksPerPeer;
-        mOwnBeat = ownBeat;
-        mOnHeartbeat = onHeartbeat;
+        mMaxRequestsPerPeer = maxRequestsPerPeer;
+        mOwnHeartbeatNumber = ownHeartbeatNumber;
+        mHeartbeatListener = heartbeatListener;
     }
 
-    /** Takes a message that is no answer. */
-    void take(Session from, EnvelopeProto envelope, long now) {
+    /** Dispatches a message that is not an answer. */
+    void dispatch(Session from, EnvelopeProto envelope, long now) {
         switch (envelope.getBodyCase()) {
-            case HEARTBEAT -> heartbeat(from, envelope, now);
+            case HEARTBEAT -> onHeartbeat(from, envelope, now);
             case LEAVING -> mTable.left(from.peer().incarnation());
-            case INTRODUCTION_REQUEST -> introduce(from, envelope.getIntroductionRequest());
-            case INTRODUCTION_ANSWER -> introduced(envelope.getIntroductionAnswer(), now);
+            case INTRODUCTION_REQUEST ->
+                    onIntroductionRequest(from, envelope.getIntroductionRequest());
+            case INTRODUCTION_ANSWER -> onIntroductionAnswer(envelope.getIntroductionAnswer(), now);
             case REFUSAL -> mCounters.mNotUnderstood.increment();
-            default -> message(from, envelope);
+            default -> onMessage(from, envelope);
         }
     }
 
-    private void heartbeat(Session from, EnvelopeProto envelope, long now) {
-        HeartbeatProto beat = envelope.getHeartbeat();
+    private void onHeartbeat(Session from, EnvelopeProto envelope, long now) {
+        HeartbeatProto heartbeat = envelope.getHeartbeat();
         Incarnation sender = from.peer().incarnation();
-        mTable.heard(sender, beat.getBeat(), now);
-        mTable.status(sender, Heartbeats.status(beat));
-        for (BeatNews news : Heartbeats.news(beat)) {
+        mTable.heard(sender, heartbeat.getBeat(), now);
+        mTable.status(sender, Heartbeats.status(heartbeat));
+        for (BeatNews news : Heartbeats.news(heartbeat)) {
             mTable.told(news, now);
         }
-        beat.getLeftTagList().forEach(mTable::leftByTag);
+        heartbeat.getLeftTagList().forEach(mTable::leftByTag);
         if (envelope.getAsk() != 0) {
-            confirm(from, envelope.getAsk());
+            sendConfirmation(from, envelope.getAsk());
         }
-        askForStrangers(from);
-        mTable.find(sender).ifPresent(mOnHeartbeat);
+        requestIntroductions(from);
+        mTable.find(sender).ifPresent(mHeartbeatListener);
     }
 
-    private void confirm(Session from, long ask) {
-        ConfirmationProto own =
-                ConfirmationProto.newBuilder().setBeat(mOwnBeat.getAsLong()).build();
-        from.write(EnvelopeProto.newBuilder().setAnswerTo(ask).setConfirmation(own).build());
+    private void sendConfirmation(Session from, long request) {
+        ConfirmationProto confirmation =
+                ConfirmationProto.newBuilder().setBeat(mOwnHeartbeatNumber.getAsLong()).build();
+        from.write(
+                EnvelopeProto.newBuilder()
+                        .setAnswerTo(request)
+                        .setConfirmation(confirmation)
+                        .build());
     }
 
-    private void askForStrangers(Session from) {
-        List<Integer> strangers = mTable.takeStrangers();
-        if (!strangers.isEmpty()) {
+    private void requestIntroductions(Session from) {
+        List<Integer> unknownTags = mTable.takeStrangers();
+        if (!unknownTags.isEmpty()) {
             IntroductionRequestProto request =
-                    IntroductionRequestProto.newBuilder().addAllTag(strangers).build();
+                    IntroductionRequestProto.newBuilder().addAllTag(unknownTags).build();
             from.write(EnvelopeProto.newBuilder().setIntroductionRequest(request).build());
         }
     }
 
-    private void introduce(Session from, IntroductionRequestProto request) {
+    private void onIntroductionRequest(Session from, IntroductionRequestProto request) {
         IntroductionAnswerProto.Builder answer = IntroductionAnswerProto.newBuilder();
         mTable.introduce(request.getTagList())
                 .forEach(peer -> answer.addIdentity(Identities.encode(peer)));
         from.write(EnvelopeProto.newBuilder().setIntroductionAnswer(answer).build());
     }
 
-    private void introduced(IntroductionAnswerProto answer, long now) {
+    private void onIntroductionAnswer(IntroductionAnswerProto answer, long now) {
         answer.getIdentityList().stream()
                 .map(Identities::decode)
                 .flatMap(Optional::stream)
                 .forEach(peer -> mTable.introduced(peer, now));
     }
 
-    private void message(Session from, EnvelopeProto envelope) {
+    private void onMessage(Session from, EnvelopeProto envelope) {
         Optional<PeerMessage> message = Messages.decode(envelope);
         Optional<Member> sender = mTable.find(from.peer().incarnation());
         if (message.isEmpty() || sender.isEmpty()) {
-            notUnderstood(from, envelope);
+            refuseUnknown(from, envelope);
             return;
         }
-        if (from.asksUnderWay() >= mMaxAsksPerPeer) {
+        if (from.requestsInFlight() >= mMaxRequestsPerPeer) {
             refuse(from, envelope, RefusalProto.Reason.BUSY);
             return;
         }
         Optional<CompletionStage<? extends PeerMessage>> answer =
                 mHandlers.call(sender.get(), message.get());
         if (answer.isEmpty()) {
-            notUnderstood(from, envelope);
+            refuseUnknown(from, envelope);
             return;
         }
-        from.askBegins();
+        from.requestStarted();
         answer.get()
                 .whenComplete(
                         (result, error) ->
@@ -132,11 +137,11 @@
     }
 
     private void answer(Session from, EnvelopeProto envelope, PeerMessage answer, Throwable error) {
-        from.askEnds();
+        from.requestFinished();
         if (error != null) {
             LOG.log(
                     Level.WARNING,
-                    "peer: A message of {0} failed: {1}.",
+                    "peer: Failed to handle a message of {0}: {1}.",
                     from.peer().node(),
                     error);
             refuse(from, envelope, RefusalProto.Reason.FAILED);
@@ -145,7 +150,7 @@
         }
     }
 
-    private void notUnderstood(Session from, EnvelopeProto envelope) {
+    private void refuseUnknown(Session from, EnvelopeProto envelope) {
         mCounters.mNotUnderstood.increment();
         refuse(from, envelope, RefusalProto.Reason.NOT_UNDERSTOOD);
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Messages.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Messages.java
@@ -34,7 +34,7 @@
 import org.foxtailplank.wire.generated.peer.RequestHandoverResultProto;
 import org.foxtailplank.wire.generated.peer.TailRecordProto;
 
-/** Messages as protobuf. */
+/** Protobuf codec of peer messages. */
 final class Messages {
 
     private Messages() {}
@@ -71,10 +71,10 @@
         } else if (message instanceof ClaimsPosition m) {
             return envelope.setClaimsPosition(encode(m.position()));
         }
-        throw new IllegalStateException("no protobuf form of " + message.getClass());
+        throw new IllegalStateException("unsupported message type: " + message.getClass());
     }
 
-    /** The message of an envelope; empty when its kind or content is not understood. */
+    /** Decodes the message of an envelope; empty if it is unknown or malformed. */
     static Optional<PeerMessage> decode(EnvelopeProto envelope) {
         try {
             return switch (envelope.getBodyCase()) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Link.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutgoingLink.java
@@ -5,23 +5,23 @@
 import org.foxtailplank.internal.membership.Backoff;
 import org.foxtailplank.membership.Incarnation;
 
-/** This node's own connection to one address, and when to try it again. */
-final class Link {
+/** Outgoing connection to one address, with reconnect back-off. */
+final class OutgoingLink {
 
     private final InetSocketAddress mAddress;
     private final Backoff mBackoff;
     private Optional<Session> mSession = Optional.empty();
     private Optional<Incarnation> mLastPeer = Optional.empty();
     private boolean mConnecting;
-    private long mTryAt;
-    private long mAwaitedAsk;
+    private long mNextAttemptAt;
+    private long mAwaitedRequest;
     private long mAwaitedSince;
     private long mConfirmedAt;
 
-    Link(InetSocketAddress address, Backoff backoff, long tryAt) {
+    OutgoingLink(InetSocketAddress address, Backoff backoff, long nextAttemptAt) {
         mAddress = address;
         mBackoff = backoff;
-        mTryAt = tryAt;
+        mNextAttemptAt = nextAttemptAt;
     }
 
     InetSocketAddress address() {
@@ -32,64 +32,64 @@
         return mSession;
     }
 
-    long tryAt() {
-        return mTryAt;
+    long nextAttemptAt() {
+        return mNextAttemptAt;
     }
 
     boolean isDue(long now) {
-        return mSession.isEmpty() && !mConnecting && now >= mTryAt;
+        return mSession.isEmpty() && !mConnecting && now >= mNextAttemptAt;
     }
 
-    boolean leadsTo(Incarnation incarnation) {
+    boolean lastReached(Incarnation incarnation) {
         return mLastPeer.equals(Optional.of(incarnation));
     }
 
-    void connecting() {
+    void onConnecting() {
         mConnecting = true;
     }
 
-    void opened(Session session, long now) {
+    void onOpened(Session session, long now) {
         mSession = Optional.of(session);
         mLastPeer = Optional.of(session.peer().incarnation());
-        mAwaitedAsk = 0;
+        mAwaitedRequest = 0;
         mConfirmedAt = now;
         mBackoff.reset();
     }
 
-    void closed(long now) {
+    void onClosed(long now) {
         mConnecting = false;
         mSession = Optional.empty();
-        mTryAt = now + mBackoff.next();
+        mNextAttemptAt = now + mBackoff.next();
     }
 
-    /** The peer is known to be there again: try soon, from the shortest wait on. */
-    void hurry(long now) {
+    /** Resets the back-off, since the peer is known to be reachable. */
+    void retrySoon(long now) {
         if (mSession.isEmpty()) {
             mBackoff.reset();
-            mTryAt = Math.min(mTryAt, now + mBackoff.next());
+            mNextAttemptAt = Math.min(mNextAttemptAt, now + mBackoff.next());
         }
     }
 
-    /** Whether the next heartbeat is to be confirmed. */
-    boolean wantsConfirmation(long afterNanos, long now) {
-        return mAwaitedAsk == 0 && now - mConfirmedAt > afterNanos;
+    /** Returns whether the next heartbeat must request a confirmation. */
+    boolean needsConfirmation(long afterNanos, long now) {
+        return mAwaitedRequest == 0 && now - mConfirmedAt > afterNanos;
     }
 
-    void await(long ask, long now) {
-        mAwaitedAsk = ask;
+    void awaitConfirmation(long request, long now) {
+        mAwaitedRequest = request;
         mAwaitedSince = now;
     }
 
-    boolean confirmed(long ask, long now) {
-        if (ask != mAwaitedAsk) {
+    boolean onConfirmation(long request, long now) {
+        if (request != mAwaitedRequest) {
             return false;
         }
-        mAwaitedAsk = 0;
+        mAwaitedRequest = 0;
         mConfirmedAt = now;
         return true;
     }
 
     boolean isUnconfirmedFor(long nanos, long now) {
-        return mAwaitedAsk != 0 && now - mAwaitedSince > nanos;
+        return mAwaitedRequest != 0 && now - mAwaitedSince > nanos;
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerKey.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerKey.java
@@ -8,13 +8,13 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** The key that all peers share, and what is derived from it for one connection. */
+/** Shared key of all peers, and the proofs and MAC keys derived from it per connection. */
 final class PeerKey {
 
     private static final String ALGORITHM = "HmacSHA256";
     private static final String DIGEST = "SHA-256";
 
-    /** Labels keep a proof of one side from being played back as the proof of the other one. */
+    /** Distinct labels prevent reflection of a proof to its sender. */
     private static final String ACCEPTOR_PROOF = "foxtail-peer acceptor proof";
 
     private static final String CONNECTOR_PROOF = "foxtail-peer connector proof";
@@ -31,7 +31,7 @@
         return new PeerKey(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Digest of all that was said before the proofs, which binds them to nodes and nonces. */
+    /** Returns a digest of both hellos, which binds the proofs to identities and nonces. */
     static byte[] transcript(byte[] connectorHello, byte[] acceptorHello) {
         try {
             MessageDigest digest = MessageDigest.getInstance(DIGEST);
@@ -53,13 +53,13 @@
         return derive(CONNECTOR_PROOF, transcript);
     }
 
-    FrameSeal connectorSeal(byte[] transcript) {
-        return new FrameSeal(
+    FrameAuthenticator connectorAuthenticator(byte[] transcript) {
+        return new FrameAuthenticator(
                 mac(derive(TO_ACCEPTOR, transcript)), mac(derive(TO_CONNECTOR, transcript)));
     }
 
-    FrameSeal acceptorSeal(byte[] transcript) {
-        return new FrameSeal(
+    FrameAuthenticator acceptorAuthenticator(byte[] transcript) {
+        return new FrameAuthenticator(
                 mac(derive(TO_CONNECTOR, transcript)), mac(derive(TO_ACCEPTOR, transcript)));
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
@@ -31,7 +31,7 @@
 import org.foxtailplank.membership.Seed;
 import org.foxtailplank.membership.SeedSource;
 import org.foxtailplank.state.StatePosition;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.PeerCounts;
 import org.foxtailplank.wire.PeerException;
 import org.foxtailplank.wire.PeerFailure;
@@ -44,16 +44,16 @@
 import org.foxtailplank.wire.generated.peer.EnvelopeProto;
 import org.foxtailplank.wire.generated.peer.LeavingProto;
 
-/** The link of one node; all of its state belongs to the transport's one thread. */
+/** Peer link of one node; its fields are confined to the transport's thread unless thread-safe. */
 public final class PeerNode implements PeerLink, SessionOwner {
 
-    private static final Duration MAINTAIN_EVERY = Duration.ofMillis(100);
+    private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(100);
     private static final int MAX_INCOMING = 1_024;
 
-    /** Far above the time in which a node of a large system gets round to each of its peers. */
-    private static final long IDLE_NANOS = Duration.ofMinutes(5).toNanos();
+    /** Must exceed the heartbeat rotation over all peers of a large system. */
+    private static final long IDLE_TIMEOUT_NANOS = Duration.ofMinutes(5).toNanos();
 
-    private static final long LEAVE_MILLIS = 200;
+    private static final long LEAVE_TIMEOUT_MILLIS = 200;
 
     private final PeerLinkOptions mOptions;
     private final PeerKey mKey;
@@ -62,63 +62,71 @@
     private final EventLoop mLoop = mTransport.loop();
     private final Handlers mHandlers = new Handlers();
     private final List<Consumer<Member>> mChangeListeners = new CopyOnWriteArrayList<>();
-    private final List<Consumer<Member>> mBeatListeners = new CopyOnWriteArrayList<>();
+    private final List<Consumer<Member>> mHeartbeatListeners = new CopyOnWriteArrayList<>();
     private final Map<Incarnation, Session> mIncoming = new HashMap<>();
-    private final SilenceLimits mSilence;
-    private final Channel mListening;
+    private final SilenceLimits mSilenceLimits;
+    private final Channel mServerChannel;
     private final PeerIdentity mSelf;
     private final MemberTable mTable;
-    private final Links mLinks;
-    private final Asks mAsks;
-    private final Inbox mInbox;
-    private final HeartbeatSender mSender;
+    private final OutgoingLinks mLinks;
+    private final OutstandingRequests mOutstandingRequests;
+    private final MessageDispatcher mDispatcher;
+    private final HeartbeatSender mHeartbeatSender;
     private volatile List<Member> mMembers = List.of();
-    private int mUnproved;
+    private int mUnauthenticated;
 
     private PeerNode(PeerLinkOptions options) throws PeerLinkException {
         mOptions = options;
         mKey = PeerKey.of(options.peers().key());
-        mSilence = SilenceLimits.of(options.peers().silence());
-        mListening = mTransport.listen(options.bind(), () -> new AcceptingHandshake(this));
+        mSilenceLimits = SilenceLimits.of(options.peers().silence());
+        mServerChannel = mTransport.listen(options.bind(), () -> new AcceptingHandshake(this));
         mSelf =
                 new PeerIdentity(
                         options.node(),
                         options.incarnation(),
                         options.zone(),
-                        (InetSocketAddress) mListening.localAddress(),
+                        (InetSocketAddress) mServerChannel.localAddress(),
                         options.roles());
         Random random = new Random(options.incarnation().value());
         PeerLinkLimits limits = options.limits();
-        mTable = new MemberTable(mSelf, mSilence);
-        int tries = limits.connectsPerSecond();
+        mTable = new MemberTable(mSelf, mSilenceLimits);
+        int connectsPerSecond = limits.connectsPerSecond();
         mLinks =
-                new Links(
+                new OutgoingLinks(
                         address -> mTransport.connect(address, () -> new ConnectingHandshake(this)),
-                        mSilence,
-                        new TryBudget(tries, tries, System.nanoTime()),
+                        mSilenceLimits,
+                        new TryBudget(connectsPerSecond, connectsPerSecond, System.nanoTime()),
                         random);
-        mAsks = new Asks(mLoop);
-        HeartbeatPlan<Link> plan =
+        mOutstandingRequests = new OutstandingRequests(mLoop);
+        HeartbeatPlan<OutgoingLink> plan =
                 new HeartbeatPlan<>(
                         options.peers().heartbeat(), limits.heartbeatBytesPerSecond(), random);
-        mSender = new HeartbeatSender(mLoop, mTable, mLinks, mAsks, mCounters, plan, mSilence);
-        mInbox =
-                new Inbox(
+        mHeartbeatSender =
+                new HeartbeatSender(
+                        mLoop,
+                        mTable,
+                        mLinks,
+                        mOutstandingRequests,
+                        mCounters,
+                        plan,
+                        mSilenceLimits);
+        mDispatcher =
+                new MessageDispatcher(
                         mLoop,
                         mTable,
                         mHandlers,
                         mCounters,
-                        limits.asksPerPeer(),
-                        mSender::beat,
-                        member -> mBeatListeners.forEach(l -> l.accept(member)));
+                        limits.maxRequestsPerPeer(),
+                        mHeartbeatSender::lastNumber,
+                        member -> mHeartbeatListeners.forEach(l -> l.accept(member)));
     }
 
-    /** Starts a link. */
+    /** Starts a peer link. */
     public static PeerLink start(PeerLinkOptions options) throws PeerLinkException {
         PeerNode node = new PeerNode(options);
-        node.every(options.peers().heartbeat(), node::beat);
-        node.every(MAINTAIN_EVERY, node::maintain);
-        node.mListening.config().setAutoRead(true);
+        node.every(options.peers().heartbeat(), node::sendHeartbeats);
+        node.every(MAINTENANCE_INTERVAL, node::maintain);
+        node.mServerChannel.config().setAutoRead(true);
         return node;
     }
 
@@ -139,35 +147,35 @@
 
     @Override
     public void report(StatePosition position) {
-        run(() -> mSender.report(position));
+        run(() -> mHeartbeatSender.report(position));
     }
 
     @Override
     public void reportConfiguration(long version) {
-        run(() -> mSender.reportConfiguration(version));
+        run(() -> mHeartbeatSender.reportConfiguration(version));
     }
 
     @Override
     public void report(LoadSummary load) {
-        run(() -> mSender.report(load));
+        run(() -> mHeartbeatSender.report(load));
     }
 
     @Override
-    public void execute(Runnable work) {
-        run(work);
+    public void execute(Runnable task) {
+        run(task);
     }
 
     @Override
     public CompletionStage<Boolean> send(NodeId to, PeerMessage message) {
         CompletableFuture<Boolean> sent = new CompletableFuture<>();
-        boolean runs =
+        boolean accepted =
                 run(
                         () -> {
                             Optional<Session> session = sessionTo(to).filter(Session::isWritable);
                             session.ifPresent(s -> s.write(Messages.encode(message).build()));
                             sent.complete(session.isPresent());
                         });
-        if (!runs) {
+        if (!accepted) {
             sent.complete(false);
         }
         return sent;
@@ -176,22 +184,24 @@
     @Override
     public CompletionStage<PeerMessage> ask(NodeId to, PeerMessage message, Duration timeout) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
-        boolean runs =
+        boolean accepted =
                 run(
                         () ->
                                 sessionTo(to)
                                         .ifPresentOrElse(
-                                                s -> mAsks.ask(s, message, timeout, answer),
-                                                () -> fail(answer, to, "there is no connection")));
-        if (!runs) {
-            fail(answer, to, "this node leaves");
+                                                s ->
+                                                        mOutstandingRequests.send(
+                                                                s, message, timeout, answer),
+                                                () -> fail(answer, to, "not connected")));
+        if (!accepted) {
+            fail(answer, to, "the peer link is closed");
         }
         return answer;
     }
 
     @Override
     public <T extends PeerMessage> void handle(Class<T> kind, PeerHandler<T> handler) {
-        mHandlers.put(kind, handler);
+        mHandlers.register(kind, handler);
     }
 
     @Override
@@ -213,7 +223,7 @@
 
     @Override
     public void onHeartbeat(Consumer<Member> listener) {
-        mBeatListeners.add(listener);
+        mHeartbeatListeners.add(listener);
     }
 
     @Override
@@ -223,16 +233,16 @@
 
     @Override
     public void close() {
-        CompletableFuture<Void> said = new CompletableFuture<>();
-        boolean runs =
+        CompletableFuture<Void> announced = new CompletableFuture<>();
+        boolean accepted =
                 run(
                         () -> {
-                            sayLeaving();
-                            said.complete(null);
+                            announceLeave();
+                            announced.complete(null);
                         });
-        if (runs) {
-            // Stopping closes the channels before it runs what is queued: the word must be out.
-            said.completeOnTimeout(null, LEAVE_MILLIS, TimeUnit.MILLISECONDS).join();
+        if (accepted) {
+            // The transport closes its channels before it runs queued tasks.
+            announced.completeOnTimeout(null, LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).join();
             mTransport.stop();
         }
     }
@@ -253,84 +263,84 @@
     }
 
     @Override
-    public boolean admitUnproved() {
-        if (mUnproved >= limits().maxUnproved()) {
+    public boolean tryAdmitUnauthenticated() {
+        if (mUnauthenticated >= limits().maxUnauthenticated()) {
             return false;
         }
-        mUnproved++;
+        mUnauthenticated++;
         return true;
     }
 
     @Override
-    public void unprovedDone() {
-        mUnproved--;
+    public void releaseUnauthenticated() {
+        mUnauthenticated--;
     }
 
     @Override
-    public void opened(Session session) {
+    public void onOpened(Session session) {
         long now = System.nanoTime();
         PeerIdentity peer = session.peer();
         if (session.isOutgoing()) {
-            if (mLinks.opened(session, now)) {
+            if (mLinks.onOpened(session, now)) {
                 mTable.reached(peer, session.remote(), now);
             }
         } else if (mIncoming.size() >= MAX_INCOMING) {
-            session.cut(CutReason.TOO_MANY);
+            session.disconnect(DisconnectReason.TOO_MANY_CONNECTIONS);
         } else {
             Session older = mIncoming.put(peer.incarnation(), session);
             if (older != null) {
-                older.cut(CutReason.SUPERSEDED);
+                older.disconnect(DisconnectReason.SUPERSEDED);
             }
             mTable.met(peer, now);
-            mLinks.hurry(peer, now);
+            mLinks.retrySoon(peer, now);
         }
         publish();
     }
 
     @Override
-    public void received(Session session, EnvelopeProto envelope) {
+    public void onReceived(Session session, EnvelopeProto envelope) {
         long now = System.nanoTime();
         if (envelope.getAnswerTo() == 0) {
-            mInbox.take(session, envelope, now);
-        } else if (!mAsks.answered(session, envelope)) {
-            mLinks.of(session)
-                    .filter(link -> link.confirmed(envelope.getAnswerTo(), now))
-                    .ifPresent(link -> heardFrom(session, envelope, now));
+            mDispatcher.dispatch(session, envelope, now);
+        } else if (!mOutstandingRequests.onAnswer(session, envelope)) {
+            mLinks.find(session)
+                    .filter(link -> link.onConfirmation(envelope.getAnswerTo(), now))
+                    .ifPresent(link -> onConfirmation(session, envelope, now));
         }
         publish();
     }
 
     @Override
-    public void closed(Session session) {
+    public void onClosed(Session session) {
         mIncoming.remove(session.peer().incarnation(), session);
-        mAsks.closed(session);
+        mOutstandingRequests.onClosed(session);
     }
 
     @Override
-    public void every(Duration time, Runnable work) {
-        long nanos = time.toNanos();
-        mLoop.scheduleAtFixedRate(work, nanos, nanos, TimeUnit.NANOSECONDS);
+    public void every(Duration interval, Runnable task) {
+        long nanos = interval.toNanos();
+        mLoop.scheduleAtFixedRate(task, nanos, nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void beat() {
-        mSender.send();
+    private void sendHeartbeats() {
+        mHeartbeatSender.send();
         publish();
     }
 
-    private void heardFrom(Session session, EnvelopeProto envelope, long now) {
+    private void onConfirmation(Session session, EnvelopeProto envelope, long now) {
         long beat = envelope.getConfirmation().getBeat();
         mTable.heard(session.peer().incarnation(), beat, now);
     }
 
     private void maintain() {
         long now = System.nanoTime();
-        mLinks.keep(mTable.addresses(), now);
+        mLinks.retain(mTable.addresses(), now);
         mLinks.maintain(now);
         for (Session session : List.copyOf(mIncoming.values())) {
-            if (session.isSilentFor(IDLE_NANOS, now)) {
-                session.cut(CutReason.SILENT);
-            } else if (session.isBlockedFor(mSilence.awayNanos(), now)) {
-                session.cut(CutReason.SLOW_READER);
+            if (session.isSilentFor(IDLE_TIMEOUT_NANOS, now)) {
+                session.disconnect(DisconnectReason.SILENT);
+            } else if (session.isBlockedFor(mSilenceLimits.awayNanos(), now)) {
+                session.disconnect(DisconnectReason.SLOW_READER);
             }
         }
     }
@@ -341,34 +351,34 @@
         long now = System.nanoTime();
         for (Member member : changes) {
             if (member.state() == MemberState.ALIVE) {
-                mLinks.hurry(member.identity(), now);
+                mLinks.retrySoon(member.identity(), now);
             }
             mChangeListeners.forEach(listener -> listener.accept(member));
         }
     }
 
     private Optional<Session> sessionTo(NodeId node) {
-        return mTable.find(node).flatMap(member -> mLinks.to(member.incarnation()));
+        return mTable.find(node).flatMap(member -> mLinks.sessionTo(member.incarnation()));
     }
 
-    private static void fail(CompletableFuture<PeerMessage> answer, NodeId to, String why) {
-        answer.completeExceptionally(new PeerException(to, PeerFailure.NOT_SENT, why));
+    private static void fail(CompletableFuture<PeerMessage> answer, NodeId to, String reason) {
+        answer.completeExceptionally(new PeerException(to, PeerFailure.NOT_SENT, reason));
     }
 
-    /** Runs work on the link's thread; false when the link is closed. */
-    private boolean run(Runnable work) {
+    /** Runs a task on the link's thread; false if the link is closed. */
+    private boolean run(Runnable task) {
         try {
-            mLoop.execute(work);
+            mLoop.execute(task);
             return true;
         } catch (RejectedExecutionException e) {
             return false;
         }
     }
 
-    private void sayLeaving() {
+    private void announceLeave() {
         EnvelopeProto leaving =
                 EnvelopeProto.newBuilder().setLeaving(LeavingProto.getDefaultInstance()).build();
-        Set<Link> open = mLinks.open();
+        Set<OutgoingLink> open = mLinks.open();
         open.forEach(link -> link.session().ifPresent(session -> session.write(leaving)));
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Positions.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Positions.java
@@ -3,7 +3,7 @@
 import org.foxtailplank.state.StatePosition;
 import org.foxtailplank.wire.generated.peer.PositionProto;
 
-/** Positions in the log as protobuf. */
+/** Protobuf codec of log positions. */
 final class Positions {
 
     private Positions() {}
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Session.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Session.java
@@ -4,33 +4,33 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import org.foxtailplank.membership.PeerIdentity;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.generated.peer.EnvelopeProto;
 
-/** A connection on which both sides have proved their identity. */
+/** A mutually authenticated connection. */
 final class Session {
 
     private final Channel mChannel;
     private final PeerIdentity mPeer;
     private final boolean mOutgoing;
-    private final FrameSeal mSeal;
+    private final FrameAuthenticator mAuthenticator;
     private final Counters mCounters;
-    private long mHeardAt;
+    private long mLastReceivedAt;
     private long mBlockedSince;
-    private int mAsksUnderWay;
+    private int mRequestsInFlight;
 
     Session(
             Channel channel,
             PeerIdentity peer,
             boolean outgoing,
-            FrameSeal seal,
+            FrameAuthenticator authenticator,
             Counters counters) {
         mChannel = channel;
         mPeer = peer;
         mOutgoing = outgoing;
-        mSeal = seal;
+        mAuthenticator = authenticator;
         mCounters = counters;
-        mHeardAt = System.nanoTime();
+        mLastReceivedAt = System.nanoTime();
     }
 
     PeerIdentity peer() {
@@ -49,40 +49,39 @@
         return mChannel.isWritable();
     }
 
-    int asksUnderWay() {
-        return mAsksUnderWay;
+    int requestsInFlight() {
+        return mRequestsInFlight;
     }
 
-    void askBegins() {
-        mAsksUnderWay++;
+    void requestStarted() {
+        mRequestsInFlight++;
     }
 
-    void askEnds() {
-        mAsksUnderWay--;
+    void requestFinished() {
+        mRequestsInFlight--;
     }
 
-    /** Sends an envelope and says how large it was. */
+    /** Sends an envelope and returns the size of its frame. */
     int write(EnvelopeProto envelope) {
-        byte[] frame = mSeal.seal(envelope.toByteArray());
+        byte[] frame = mAuthenticator.sign(envelope.toByteArray());
         mCounters.mMessagesOut.increment();
         mChannel.writeAndFlush(frame, mChannel.voidPromise());
         return FrameDecoder.LENGTH_BYTES + frame.length;
     }
 
-    /** The message of a frame, if its MAC is right. */
-    Optional<byte[]> open(byte[] frame) {
-        mHeardAt = System.nanoTime();
+    /** Returns the message of a frame, or empty if its MAC is wrong. */
+    Optional<byte[]> verify(byte[] frame) {
+        mLastReceivedAt = System.nanoTime();
         mCounters.mMessagesIn.increment();
-        return mSeal.open(frame);
+        return mAuthenticator.verify(frame);
     }
 
     /**
-     * Stops reading from a peer that does not read.
+     * Applies backpressure: reads from the peer only while the send buffer has room.
      *
-     * <p>Guards against a slow reader: its asks would go on to pile up answers in this node's
-     * memory. While it takes nothing in, nothing more is read from it.
+     * <p>Otherwise, answers to a peer that does not read would accumulate in memory.
      */
-    void writabilityChanged() {
+    void onWritabilityChanged() {
         boolean writable = mChannel.isWritable();
         mChannel.config().setAutoRead(writable);
         mBlockedSince = writable ? 0 : System.nanoTime();
@@ -93,11 +92,11 @@
     }
 
     boolean isSilentFor(long nanos, long now) {
-        return now - mHeardAt > nanos;
+        return now - mLastReceivedAt > nanos;
     }
 
-    void cut(CutReason reason) {
-        mCounters.cut(reason, mPeer.node() + " at " + mChannel.remoteAddress());
+    void disconnect(DisconnectReason reason) {
+        mCounters.disconnected(reason, mPeer.node() + " at " + mChannel.remoteAddress());
         mChannel.close();
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/SessionHandler.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/SessionHandler.java
@@ -5,10 +5,10 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.Optional;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.generated.peer.EnvelopeProto;
 
-/** Takes the frames of a proved connection. */
+/** Verifies and parses the frames of an authenticated connection. */
 final class SessionHandler extends SimpleChannelInboundHandler<byte[]> {
 
     private final Session mSession;
@@ -22,33 +22,33 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, byte[] frame) {
-        Optional<byte[]> message = mSession.open(frame);
+        Optional<byte[]> message = mSession.verify(frame);
         if (message.isEmpty()) {
-            mSession.cut(CutReason.FORGED);
+            mSession.disconnect(DisconnectReason.INVALID_MAC);
             return;
         }
         try {
-            mOwner.received(mSession, EnvelopeProto.parseFrom(message.get()));
+            mOwner.onReceived(mSession, EnvelopeProto.parseFrom(message.get()));
         } catch (InvalidProtocolBufferException e) {
-            mSession.cut(CutReason.GARBAGE);
+            mSession.disconnect(DisconnectReason.MALFORMED);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        mSession.writabilityChanged();
+        mSession.onWritabilityChanged();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        mOwner.closed(mSession);
+        mOwner.onClosed(mSession);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause.getCause() instanceof TooLongFrameException
                 || cause instanceof TooLongFrameException) {
-            mSession.cut(CutReason.OVERSIZED);
+            mSession.disconnect(DisconnectReason.OVERSIZED);
         } else {
             ctx.close();
         }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/SessionOwner.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/SessionOwner.java
@@ -4,7 +4,7 @@
 import org.foxtailplank.wire.PeerLinkLimits;
 import org.foxtailplank.wire.generated.peer.EnvelopeProto;
 
-/** Whom connections tell what happens on them; always on the link's one thread. */
+/** Context and callbacks of connections; used only on the link's thread. */
 interface SessionOwner {
 
     PeerIdentity self();
@@ -15,15 +15,15 @@
 
     Counters counters();
 
-    /** Whether one more connection may begin to prove its identity. */
-    boolean admitUnproved();
+    /** Reserves a handshake slot; false if all are in use. */
+    boolean tryAdmitUnauthenticated();
 
-    /** Such a connection has proved its identity or is closed. */
-    void unprovedDone();
+    /** Releases a handshake slot after authentication or close. */
+    void releaseUnauthenticated();
 
-    void opened(Session session);
+    void onOpened(Session session);
 
-    void received(Session session, EnvelopeProto envelope);
+    void onReceived(Session session, EnvelopeProto envelope);
 
-    void closed(Session session);
+    void onClosed(Session session);
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Transport.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Transport.java
@@ -25,13 +25,13 @@
 import java.util.function.Supplier;
 import org.foxtailplank.wire.PeerLinkException;
 
-/** Sockets and the one thread that serves them all. */
+/** Sockets of a peer link and the single event loop that serves them. */
 final class Transport {
 
     private static final int LOW_WATER_BYTES = 32 * 1024;
     private static final int HIGH_WATER_BYTES = 64 * 1024;
     private static final int MIN_READ_BYTES = 256;
-    private static final int FIRST_READ_BYTES = 1_024;
+    private static final int INITIAL_READ_BYTES = 1_024;
     private static final int MAX_READ_BYTES = 32 * 1024;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
     private static final int BACKLOG = 128;
@@ -54,9 +54,8 @@
     }
 
     /**
-     * Binds an address without accepting yet; {@code setAutoRead(true)} on the channel starts that.
-     *
-     * <p>Guards against a peer that connects while the node that owns this is still being built.
+     * Binds an address without accepting connections yet, since the owner may not be fully
+     * constructed; {@code setAutoRead(true)} on the channel starts to accept.
      */
     Channel listen(InetSocketAddress address, Supplier<ChannelHandler> handshake)
             throws PeerLinkException {
@@ -69,7 +68,7 @@
                         .option(ChannelOption.AUTO_READ, false)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.ALLOCATOR, allocator())
-                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads())
+                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, receiveAllocator())
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
                         .childHandler(pipeline(handshake))
                         .bind(address)
@@ -77,7 +76,7 @@
         if (!bound.isSuccess()) {
             stop();
             throw new PeerLinkException(
-                    "The link to the peers cannot take connections on "
+                    "The peer link cannot listen on "
                             + address
                             + ". Another process may use that address; free it or change the"
                             + " node's peers address in the settings.",
@@ -95,18 +94,17 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.ALLOCATOR, allocator())
-                .option(ChannelOption.RECVBUF_ALLOCATOR, reads())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, receiveAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
                 .handler(pipeline(handshake))
                 .connect(address);
     }
 
     /**
-     * Closes all channels, then ends the thread.
+     * Closes all channels, then stops the event loop.
      *
-     * <p>Guards against a socket that outlives its thread: when the loop was shut down while a
-     * connection was being accepted, it ended with the listening socket still open, and the
-     * successor on the same address could not bind it.
+     * <p>A loop that is shut down while it accepts a connection may leave the listening socket
+     * open, so that the address cannot be bound again.
      */
     void stop() {
         mChannels.close().awaitUninterruptibly(SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
@@ -128,13 +126,13 @@
         };
     }
 
-    /** Unpooled: control traffic is a few messages a second, and pools would hold megabytes. */
+    /** Unpooled, since pools would take megabytes for a few messages per second. */
     private static UnpooledByteBufAllocator allocator() {
         return UnpooledByteBufAllocator.DEFAULT;
     }
 
-    private static AdaptiveRecvByteBufAllocator reads() {
-        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, MAX_READ_BYTES);
+    private static AdaptiveRecvByteBufAllocator receiveAllocator() {
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 
     private static WriteBufferWaterMark waterMark() {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/package-info.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The Netty link between the system's processes: handshake, frames, connections, heartbeats. */
+/** Netty link between processes: handshake, framing, connections and heartbeats. */
 package org.foxtailplank.wire.internal.peer;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
@@ -55,11 +55,11 @@
 import org.foxtailplank.wire.generated.records.WaveFinishedProto;
 import org.foxtailplank.wire.generated.records.WaveStartedProto;
 
-/** Reads the change from the record's protobuf. */
+/** Decodes the change of a record from protobuf. */
 public final class ChangeDecoder {
     private ChangeDecoder() {}
 
-    /** The change; empty where a newer program wrote a kind or a constant unknown to this one. */
+    /** Decodes a change; empty if its kind or a constant is unknown to this version. */
     public static Optional<? extends Change> decode(RecordProto p) {
         return switch (p.getChangeCase()) {
             case CONFIGURATION_PUBLISHED -> Optional.of(decode(p.getConfigurationPublished()));
@@ -119,7 +119,7 @@
     private static Optional<VmActionIntended> decode(VmActionIntendedProto p) {
         Optional<WaveId> wave =
                 p.hasWave() ? Optional.of(WaveId.of(p.getWave())) : Optional.empty();
-        return Enums.VM_ACTION
+        return EnumCodecs.VM_ACTION
                 .decode(p.getAction())
                 .map(
                         a ->
@@ -132,13 +132,13 @@
     }
 
     private static Optional<VmActionConfirmed> decode(VmActionConfirmedProto p) {
-        return Enums.ACTION_OUTCOME
+        return EnumCodecs.ACTION_OUTCOME
                 .decode(p.getOutcome())
                 .map(o -> new VmActionConfirmed(VmId.of(p.getVm()), p.getGeneration(), o));
     }
 
     private static Optional<VmObserved> decode(VmObservedProto p) {
-        return Enums.VM_HEALTH
+        return EnumCodecs.VM_HEALTH
                 .decode(p.getHealth())
                 .map(
                         h ->
@@ -167,7 +167,7 @@
     }
 
     private static Optional<WaveControlled> decode(WaveControlledProto p) {
-        return Enums.WAVE_ORDER
+        return EnumCodecs.WAVE_ORDER
                 .decode(p.getOrder())
                 .map(o -> new WaveControlled(WaveId.of(p.getWave()), o, author(p.getAuthor())));
     }
@@ -186,7 +186,7 @@
     }
 
     private static Optional<TaskIntended> decode(TaskIntendedProto p) {
-        return Enums.TASK_ACTION
+        return EnumCodecs.TASK_ACTION
                 .decode(p.getAction())
                 .map(
                         a ->
@@ -199,7 +199,7 @@
     }
 
     private static Optional<TaskConfirmed> decode(TaskConfirmedProto p) {
-        return Enums.TASK_OUTCOME
+        return EnumCodecs.TASK_OUTCOME
                 .decode(p.getOutcome())
                 .map(
                         o ->
@@ -216,9 +216,9 @@
                 p.getReplaces(), p.getNextOffset(), p.getDigest(), p.getSnapshot());
     }
 
-    /** Decodes what a job asks for; empty for a class that is newer than this program. */
+    /** Decodes a job specification; empty if its request class is unknown to this version. */
     public static Optional<JobSpec> spec(JobSpecProto p) {
-        return Enums.REQUEST_CLASS
+        return EnumCodecs.REQUEST_CLASS
                 .decode(p.getUrgency())
                 .map(
                         u ->
@@ -232,12 +232,12 @@
                                         p.getTasks()));
     }
 
-    /** Decodes who asked for a change, and why. */
+    /** Decodes the author of a change. */
     public static Author author(AuthorProto p) {
         return new Author(p.getWho(), p.getWhy());
     }
 
-    /** Decodes a text for each zone. */
+    /** Decodes a map from zones to texts. */
     public static Map<ZoneId, String> byZone(Map<String, String> texts) {
         Map<ZoneId, String> result = new HashMap<>();
         texts.forEach((z, t) -> result.put(ZoneId.of(z), t));
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
@@ -48,7 +48,7 @@
 import org.foxtailplank.wire.generated.records.WaveFinishedProto;
 import org.foxtailplank.wire.generated.records.WaveStartedProto;
 
-/** Puts a change into the record's protobuf. */
+/** Encodes the change of a record as protobuf. */
 public final class ChangeEncoder {
     private ChangeEncoder() {}
 
@@ -89,7 +89,7 @@
                             .setDigest(c.digest())
                             .setSnapshot(c.snapshot()));
         } else {
-            throw new IllegalArgumentException("a change that is not understood can't be written");
+            throw new IllegalArgumentException("cannot encode a change of an unknown kind");
         }
     }
 
@@ -119,7 +119,7 @@
             VmActionIntendedProto.Builder b =
                     VmActionIntendedProto.newBuilder()
                             .setVm(vm)
-                            .setAction(Enums.VM_ACTION.encode(c.action()))
+                            .setAction(EnumCodecs.VM_ACTION.encode(c.action()))
                             .setGeneration(c.generation())
                             .setAuthor(author(c.author()));
             c.wave().ifPresent(w -> b.setWave(w.value()));
@@ -129,7 +129,7 @@
                     VmActionConfirmedProto.newBuilder()
                             .setVm(vm)
                             .setGeneration(c.generation())
-                            .setOutcome(Enums.ACTION_OUTCOME.encode(c.outcome())));
+                            .setOutcome(EnumCodecs.ACTION_OUTCOME.encode(c.outcome())));
         } else if (change instanceof VmReleased c) {
             to.setVmReleased(
                     VmReleasedProto.newBuilder()
@@ -144,7 +144,7 @@
                     VmObservedProto.newBuilder()
                             .setVm(vm)
                             .setGeneration(c.generation())
-                            .setHealth(Enums.VM_HEALTH.encode(c.health()))
+                            .setHealth(EnumCodecs.VM_HEALTH.encode(c.health()))
                             .setAuthor(author(c.author())));
         }
     }
@@ -161,7 +161,7 @@
             to.setWaveControlled(
                     WaveControlledProto.newBuilder()
                             .setWave(wave)
-                            .setOrder(Enums.WAVE_ORDER.encode(c.order()))
+                            .setOrder(EnumCodecs.WAVE_ORDER.encode(c.order()))
                             .setAuthor(author(c.author())));
         } else if (change instanceof WaveFinished c) {
             to.setWaveFinished(
@@ -186,7 +186,7 @@
                             .setJob(job)
                             .setTask(c.task())
                             .setWorker(c.worker().value())
-                            .setAction(Enums.TASK_ACTION.encode(c.action()))
+                            .setAction(EnumCodecs.TASK_ACTION.encode(c.action()))
                             .setAttempt(c.attempt()));
         } else if (change instanceof TaskConfirmed c) {
             to.setTaskConfirmed(
@@ -195,16 +195,16 @@
                             .setTask(c.task())
                             .setWorker(c.worker().value())
                             .setAttempt(c.attempt())
-                            .setOutcome(Enums.TASK_OUTCOME.encode(c.outcome())));
+                            .setOutcome(EnumCodecs.TASK_OUTCOME.encode(c.outcome())));
         }
     }
 
-    /** Encodes what a job asks for. */
+    /** Encodes a job specification. */
     public static JobSpecProto spec(JobSpec s) {
         return JobSpecProto.newBuilder()
                 .setTeam(s.team().value())
                 .setPool(s.pool().value())
-                .setUrgency(Enums.REQUEST_CLASS.encode(s.urgency()))
+                .setUrgency(EnumCodecs.REQUEST_CLASS.encode(s.urgency()))
                 .setProcessors(s.processors())
                 .setMemoryBytes(s.memoryBytes())
                 .setAccelerators(s.accelerators())
@@ -212,7 +212,7 @@
                 .build();
     }
 
-    /** Encodes who asked for a change, and why. */
+    /** Encodes the author of a change. */
     public static AuthorProto author(Author a) {
         return AuthorProto.newBuilder().setWho(a.who()).setWhy(a.why()).build();
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/EnumCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/EnumCodec.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ProtocolMessageEnum;
 import java.util.Optional;
 
-/** Pairs enums of the core with those of the protobuf format, by name. */
+/** Converts between core enums and protobuf enums by constant name. */
 final class EnumCodec<C extends Enum<C>, P extends Enum<P> & ProtocolMessageEnum> {
     private final Class<C> mCore;
     private final Class<P> mProto;
@@ -15,7 +15,7 @@
         mPrefix = prefix;
     }
 
-    /** Pairs constants whose protobuf names are those of the core behind a prefix. */
+    /** Creates a codec for protobuf constants named like the core constants with a prefix. */
     static <C extends Enum<C>, P extends Enum<P> & ProtocolMessageEnum> EnumCodec<C, P> between(
             Class<C> core, Class<P> proto, String prefix) {
         return new EnumCodec<>(core, proto, prefix);
@@ -25,7 +25,7 @@
         return Enum.valueOf(mProto, mPrefix + value.name());
     }
 
-    /** The constant of the core; empty for one that is newer than this program. */
+    /** Returns the core constant; empty if it is unknown to this version. */
     Optional<C> decode(P value) {
         for (C c : mCore.getEnumConstants()) {
             if (value.name().equals(mPrefix + c.name())) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/Enums.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/EnumCodecs.java
@@ -19,8 +19,8 @@
 import org.foxtailplank.wire.generated.snapshot.VmPhaseProto;
 import org.foxtailplank.wire.generated.snapshot.WavePhaseProto;
 
-/** The enums that records hold. */
-final class Enums {
+/** Codecs of the enums in records and snapshots. */
+final class EnumCodecs {
     static final EnumCodec<VmAction, VmActionProto> VM_ACTION =
             EnumCodec.between(VmAction.class, VmActionProto.class, "VM_ACTION_");
     static final EnumCodec<ActionOutcome, ActionOutcomeProto> ACTION_OUTCOME =
@@ -40,5 +40,5 @@
     static final EnumCodec<TaskOutcome, TaskOutcomeProto> TASK_OUTCOME =
             EnumCodec.between(TaskOutcome.class, TaskOutcomeProto.class, "TASK_OUTCOME_");
 
-    private Enums() {}
+    private EnumCodecs() {}
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ShapeCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ShapeCodec.java
@@ -15,11 +15,11 @@
 import org.foxtailplank.wire.generated.records.ShapeProto;
 import org.foxtailplank.wire.generated.records.VmPlaceProto;
 
-/** Turns the shape of a fleet into protobuf and back. */
+/** Protobuf codec of fleet shapes. */
 public final class ShapeCodec {
     private ShapeCodec() {}
 
-    /** Encodes a shape. */
+    /** Encodes a fleet shape. */
     public static ShapeProto encode(FleetShape shape) {
         ShapeProto.Builder b = ShapeProto.newBuilder();
         shape.vms().forEach((id, v) -> b.putVms(id.value(), place(v)));
@@ -28,7 +28,7 @@
         return b.build();
     }
 
-    /** Decodes a shape; names that come often are held once. */
+    /** Decodes a fleet shape; repeated ids share one instance. */
     public static FleetShape decode(ShapeProto p) {
         Map<String, ZoneId> zones = new HashMap<>();
         Map<String, RackId> racks = new HashMap<>();
@@ -51,7 +51,7 @@
         return new FleetShape(vms, pools, min);
     }
 
-    /** Encodes a pool as the configuration states it. */
+    /** Encodes the configured shape of a pool. */
     public static PoolShapeProto encode(PoolShape shape) {
         PoolShapeProto.Builder b =
                 PoolShapeProto.newBuilder().setTarget(shape.target()).setReserve(shape.reserve());
@@ -59,7 +59,7 @@
         return b.build();
     }
 
-    /** Decodes a pool as the configuration states it. */
+    /** Decodes the configured shape of a pool. */
     public static PoolShape decode(PoolShapeProto p) {
         Optional<ServiceId> service =
                 p.hasService() ? Optional.of(ServiceId.of(p.getService())) : Optional.empty();
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
@@ -40,16 +40,16 @@
 import org.foxtailplank.wire.generated.snapshot.VmProto;
 import org.foxtailplank.wire.generated.snapshot.WaveProto;
 
-/** Reads a state from protobuf; throws {@link RuntimeException} where a part is not understood. */
+/** Decodes a state from protobuf; throws {@link RuntimeException} if it is malformed. */
 public final class SnapshotDecoder {
     private final Map<Integer, ZoneId> mZones = new HashMap<>();
     private final Map<Integer, RackId> mRacks = new HashMap<>();
     private final Map<Integer, PoolId> mPools = new HashMap<>();
     private final Map<Integer, WaveId> mWaves = new HashMap<>();
-    private final SnapshotProto mFrom;
+    private final SnapshotProto mProto;
 
-    private SnapshotDecoder(SnapshotProto from) {
-        mFrom = from;
+    private SnapshotDecoder(SnapshotProto proto) {
+        mProto = proto;
     }
 
     /** Decodes a state. */
@@ -86,7 +86,8 @@
 
     private static long[] longs(List<Long> values) {
         if (Integer.bitCount(values.size()) != 1) {
-            throw new IllegalArgumentException("a window of " + values.size() + " records");
+            throw new IllegalArgumentException(
+                    "window size must be a power of two, found " + values.size() + " records");
         }
         return values.stream().mapToLong(Long::longValue).toArray();
     }
@@ -117,30 +118,30 @@
     private VmState vm(VmProto p) {
         Optional<VmAction> pending =
                 p.hasPending()
-                        ? Optional.of(Enums.VM_ACTION.decode(p.getPending()).orElseThrow())
+                        ? Optional.of(EnumCodecs.VM_ACTION.decode(p.getPending()).orElseThrow())
                         : Optional.empty();
         return new VmState(
                 VmId.of(p.getId()),
-                named(mZones, p.getZone(), ZoneId::of),
-                named(mRacks, p.getRack(), RackId::of),
-                named(mPools, p.getPool(), PoolId::of),
+                intern(mZones, p.getZone(), ZoneId::of),
+                intern(mRacks, p.getRack(), RackId::of),
+                intern(mPools, p.getPool(), PoolId::of),
                 p.getPoolGeneration(),
-                Enums.VM_PHASE.decode(p.getPhase()).orElseThrow(),
+                EnumCodecs.VM_PHASE.decode(p.getPhase()).orElseThrow(),
                 p.getGeneration(),
                 pending,
                 p.hasWave()
-                        ? Optional.of(named(mWaves, p.getWave(), WaveId::of))
+                        ? Optional.of(intern(mWaves, p.getWave(), WaveId::of))
                         : Optional.empty(),
                 p.hasJoining()
-                        ? Optional.of(named(mPools, p.getJoining(), PoolId::of))
+                        ? Optional.of(intern(mPools, p.getJoining(), PoolId::of))
                         : Optional.empty(),
                 p.getLastMaintained(),
                 p.getVersion());
     }
 
-    /** Names that come often are held once. */
-    private <T> T named(Map<Integer, T> known, int index, Function<String, T> make) {
-        return known.computeIfAbsent(index, i -> make.apply(mFrom.getNames(i)));
+    /** Returns the id at an index of the name table; repeated ids share one instance. */
+    private <T> T intern(Map<Integer, T> known, int index, Function<String, T> make) {
+        return known.computeIfAbsent(index, i -> make.apply(mProto.getNames(i)));
     }
 
     private static WaveState wave(WaveProto p) {
@@ -149,7 +150,7 @@
                 zones(p.getZonesList()),
                 Set.copyOf(list(p.getPoolsList(), PoolId::of)),
                 zones(p.getFinishedList()),
-                Enums.WAVE_PHASE.decode(p.getPhase()).orElseThrow(),
+                EnumCodecs.WAVE_PHASE.decode(p.getPhase()).orElseThrow(),
                 ChangeDecoder.author(p.getLastOrder()),
                 p.getStarted(),
                 p.getVersion());
@@ -175,12 +176,12 @@
     private static TaskState task(TaskProto p) {
         Optional<TaskOutcome> outcome =
                 p.hasOutcome()
-                        ? Optional.of(Enums.TASK_OUTCOME.decode(p.getOutcome()).orElseThrow())
+                        ? Optional.of(EnumCodecs.TASK_OUTCOME.decode(p.getOutcome()).orElseThrow())
                         : Optional.empty();
         return new TaskState(
                 VmId.of(p.getWorker()),
                 p.getAttempt(),
-                Enums.TASK_ACTION.decode(p.getAction()).orElseThrow(),
+                EnumCodecs.TASK_ACTION.decode(p.getAction()).orElseThrow(),
                 outcome);
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotEncoder.java
@@ -21,10 +21,10 @@
 import org.foxtailplank.wire.generated.snapshot.VmProto;
 import org.foxtailplank.wire.generated.snapshot.WaveProto;
 
-/** Puts a state into protobuf. */
+/** Encodes a state as protobuf. */
 public final class SnapshotEncoder {
-    private final SnapshotProto.Builder mTo = SnapshotProto.newBuilder();
-    private final Map<String, Integer> mNames = new HashMap<>();
+    private final SnapshotProto.Builder mProto = SnapshotProto.newBuilder();
+    private final Map<String, Integer> mNameIndexes = new HashMap<>();
 
     private SnapshotEncoder() {}
 
@@ -32,32 +32,33 @@
     public static SnapshotProto.Builder encode(StoredState stored) {
         SnapshotEncoder e = new SnapshotEncoder();
         FleetSnapshot s = stored.state();
-        e.mTo.setRestorations(stored.restorations())
+        e.mProto
+                .setRestorations(stored.restorations())
                 .setLogOffset(stored.logOffset())
                 .setNextOffset(s.nextOffset());
         for (long id : s.window().ids()) {
-            e.mTo.addIds(id);
+            e.mProto.addIds(id);
         }
         for (long digest : s.window().digests()) {
-            e.mTo.addDigests(digest);
+            e.mProto.addDigests(digest);
         }
-        s.configuration().ifPresent(c -> e.mTo.setConfiguration(configuration(c)));
-        s.shapes().forEach((id, p) -> e.mTo.putShapes(id.value(), ShapeCodec.encode(p)));
-        s.minAvailable().forEach((id, n) -> e.mTo.putMinAvailable(id.value(), n));
-        s.pools().forEach(p -> e.mTo.addPools(pool(p)));
-        s.vms().forEach(v -> e.mTo.addVms(e.vm(v)));
-        s.waves().forEach(w -> e.mTo.addWaves(wave(w)));
-        s.jobs().forEach(j -> e.mTo.addJobs(job(j)));
-        s.epochs().forEach(p -> e.mTo.addEpochs(epoch(p)));
+        s.configuration().ifPresent(c -> e.mProto.setConfiguration(configuration(c)));
+        s.shapes().forEach((id, p) -> e.mProto.putShapes(id.value(), ShapeCodec.encode(p)));
+        s.minAvailable().forEach((id, n) -> e.mProto.putMinAvailable(id.value(), n));
+        s.pools().forEach(p -> e.mProto.addPools(pool(p)));
+        s.vms().forEach(v -> e.mProto.addVms(e.vm(v)));
+        s.waves().forEach(w -> e.mProto.addWaves(wave(w)));
+        s.jobs().forEach(j -> e.mProto.addJobs(job(j)));
+        s.epochs().forEach(p -> e.mProto.addEpochs(epoch(p)));
         s.quotas()
                 .forEach(
                         (t, q) ->
-                                e.mTo.addQuotas(
+                                e.mProto.addQuotas(
                                         QuotaProto.newBuilder()
                                                 .setTeam(t.value())
                                                 .setQuota(q.quota())
                                                 .setVersion(q.version())));
-        return e.mTo;
+        return e.mProto;
     }
 
     private static ConfigurationProto configuration(Configuration c) {
@@ -85,26 +86,26 @@
         VmProto.Builder b =
                 VmProto.newBuilder()
                         .setId(v.id().value())
-                        .setZone(name(v.zone().value()))
-                        .setRack(name(v.rack().value()))
-                        .setPool(name(v.pool().value()))
+                        .setZone(nameIndex(v.zone().value()))
+                        .setRack(nameIndex(v.rack().value()))
+                        .setPool(nameIndex(v.pool().value()))
                         .setPoolGeneration(v.poolGeneration())
-                        .setPhase(Enums.VM_PHASE.encode(v.phase()))
+                        .setPhase(EnumCodecs.VM_PHASE.encode(v.phase()))
                         .setGeneration(v.generation())
                         .setLastMaintained(v.lastMaintained())
                         .setVersion(v.version());
-        v.pending().ifPresent(a -> b.setPending(Enums.VM_ACTION.encode(a)));
-        v.wave().ifPresent(w -> b.setWave(name(w.value())));
-        v.joining().ifPresent(p -> b.setJoining(name(p.value())));
+        v.pending().ifPresent(a -> b.setPending(EnumCodecs.VM_ACTION.encode(a)));
+        v.wave().ifPresent(w -> b.setWave(nameIndex(w.value())));
+        v.joining().ifPresent(p -> b.setJoining(nameIndex(p.value())));
         return b.build();
     }
 
-    private int name(String value) {
-        return mNames.computeIfAbsent(
+    private int nameIndex(String value) {
+        return mNameIndexes.computeIfAbsent(
                 value,
                 v -> {
-                    mTo.addNames(v);
-                    return mTo.getNamesCount() - 1;
+                    mProto.addNames(v);
+                    return mProto.getNamesCount() - 1;
                 });
     }
 
@@ -112,7 +113,7 @@
         WaveProto.Builder b =
                 WaveProto.newBuilder()
                         .setId(w.id().value())
-                        .setPhase(Enums.WAVE_PHASE.encode(w.phase()))
+                        .setPhase(EnumCodecs.WAVE_PHASE.encode(w.phase()))
                         .setLastOrder(ChangeEncoder.author(w.lastOrder()))
                         .setStarted(w.started())
                         .setVersion(w.version());
@@ -138,8 +139,8 @@
                 TaskProto.newBuilder()
                         .setWorker(t.worker().value())
                         .setAttempt(t.attempt())
-                        .setAction(Enums.TASK_ACTION.encode(t.action()));
-        t.outcome().ifPresent(o -> b.setOutcome(Enums.TASK_OUTCOME.encode(o)));
+                        .setAction(EnumCodecs.TASK_ACTION.encode(t.action()));
+        t.outcome().ifPresent(o -> b.setOutcome(EnumCodecs.TASK_OUTCOME.encode(o)));
         return b.build();
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/package-info.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/package-info.java
@@ -1,2 +1,2 @@
-/** How records of the log are turned into protobuf and back. */
+/** Conversion of log records and snapshots to and from protobuf. */
 package org.foxtailplank.wire.internal.records;
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/package-info.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Protobuf forms of records and messages, and the Netty link between the system's processes. */
+/** Protobuf codecs of records and messages, and the Netty link between processes. */
 package org.foxtailplank.wire;
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/ClaimCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/ClaimCodecTest.java
@@ -16,7 +16,7 @@
 import org.foxtailplank.wire.generated.claims.ClaimBatchProto;
 import org.testng.annotations.Test;
 
-/** Records of the claims stream in bytes. */
+/** Tests the codec of claims stream records. */
 public class ClaimCodecTest {
 
     @Test
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void doesNotGuessWhatNewerOrBrokenRecordsClaim() throws Exception {
+    public void rejectsNewerAndMalformedRecords() throws Exception {
         byte[] data = ClaimCodec.encode(batch(ClaimBatch.Opening.NONE));
         ClaimBatchProto.Builder proto = ClaimBatchProto.parseFrom(data).toBuilder();
         byte[] newer = proto.clone().setFormat(2).build().toByteArray();
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/HoldingProxy.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/PausableProxy.java
@@ -17,19 +17,19 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 import java.net.InetSocketAddress;
 
-/** A path to one address on which bytes can be held back, each direction by itself. */
-public final class HoldingProxy implements AutoCloseable {
+/** TCP proxy whose two directions can be paused independently. */
+public final class PausableProxy implements AutoCloseable {
 
     private final EventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ChannelGroup mForward = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final ChannelGroup mBack = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final Channel mListening;
-    private volatile boolean mHoldForward;
-    private volatile boolean mHoldBack;
+    private final ChannelGroup mBackward = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final Channel mServerChannel;
+    private volatile boolean mForwardPaused;
+    private volatile boolean mBackwardPaused;
 
-    public HoldingProxy(InetSocketAddress target) {
-        mListening =
+    public PausableProxy(InetSocketAddress target) {
+        mServerChannel =
                 new ServerBootstrap()
                         .group(mGroup)
                         .channel(NioServerSocketChannel.class)
@@ -38,7 +38,7 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel client) {
-                                        join(client, target);
+                                        connect(client, target);
                                     }
                                 })
                         .bind("127.0.0.1", 0)
@@ -47,58 +47,58 @@
     }
 
     public InetSocketAddress address() {
-        return (InetSocketAddress) mListening.localAddress();
+        return (InetSocketAddress) mServerChannel.localAddress();
     }
 
-    /** Holds back what the connecting side sends, or lets it go on. */
-    public void holdForward(boolean hold) {
-        mHoldForward = hold;
-        mForward.forEach(channel -> channel.config().setAutoRead(!hold));
+    /** Pauses or resumes the direction from the connecting to the accepting side. */
+    public void pauseForward(boolean paused) {
+        mForwardPaused = paused;
+        mForward.forEach(channel -> channel.config().setAutoRead(!paused));
     }
 
-    /** Holds back what the accepting side sends, or lets it go on. */
-    public void holdBack(boolean hold) {
-        mHoldBack = hold;
-        mBack.forEach(channel -> channel.config().setAutoRead(!hold));
+    /** Pauses or resumes the direction from the accepting to the connecting side. */
+    public void pauseBackward(boolean paused) {
+        mBackwardPaused = paused;
+        mBackward.forEach(channel -> channel.config().setAutoRead(!paused));
     }
 
-    private void join(Channel client, InetSocketAddress target) {
+    private void connect(Channel client, InetSocketAddress target) {
         Channel server =
                 new Bootstrap()
                         .group(client.eventLoop())
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.AUTO_READ, false)
-                        .handler(new PassOn(client))
+                        .handler(new Relay(client))
                         .connect(target)
                         .addListener(
                                 done -> {
-                                    client.config().setAutoRead(!mHoldForward);
+                                    client.config().setAutoRead(!mForwardPaused);
                                     if (!done.isSuccess()) {
                                         client.close();
                                     }
                                 })
                         .channel();
-        client.pipeline().addLast(new PassOn(server));
+        client.pipeline().addLast(new Relay(server));
         mForward.add(client);
-        mBack.add(server);
+        mBackward.add(server);
         server.closeFuture().addListener(closed -> client.close());
-        server.config().setAutoRead(!mHoldBack);
+        server.config().setAutoRead(!mBackwardPaused);
     }
 
     @Override
     public void close() {
-        mListening.close();
+        mServerChannel.close();
         mForward.close();
-        mBack.close();
+        mBackward.close();
         mGroup.shutdownGracefully();
     }
 
-    /** Passes what one channel reads on to another one. */
-    private static final class PassOn extends ChannelInboundHandlerAdapter {
+    /** Forwards data and close events to another channel. */
+    private static final class Relay extends ChannelInboundHandlerAdapter {
 
         private final Channel mTo;
 
-        PassOn(Channel to) {
+        Relay(Channel to) {
             mTo = to;
         }
 
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerCostMeasurement.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerCostMeasurement.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /**
- * What membership costs a node at several sizes: all nodes in this JVM, real sockets on loopback.
+ * Measures the cost of membership per node for several cluster sizes, with all nodes in this JVM.
  *
  * <p>Not part of the build; {@code mvn -pl foxtail-wire -am test -Dtest=PeerCostMeasurement
  * -Dsurefire.failIfNoSpecifiedTests=false} runs it.
@@ -26,15 +26,15 @@
 
     private static final Duration HEARTBEAT = Duration.ofMillis(500);
     private static final Duration SILENCE = Duration.ofSeconds(2);
-    private static final Duration SETTLE = Duration.ofSeconds(10);
-    private static final Duration MEASURED = Duration.ofSeconds(30);
+    private static final Duration WARM_UP_TIME = Duration.ofSeconds(10);
+    private static final Duration MEASURED_TIME = Duration.ofSeconds(30);
 
-    /** Headers of IP and TCP for a message and for the acknowledgement that TCP sends. */
-    private static final int PACKET_BYTES = 104;
+    /** IP and TCP headers of a message and of its acknowledgement. */
+    private static final int HEADER_BYTES_PER_MESSAGE = 104;
 
     private static final int BUSY_INSTANCES = 40;
 
-    /** Number of nodes, and instances with requests in flight that each heartbeat names. */
+    /** Number of nodes, and number of loaded instances in each heartbeat. */
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {{9, 0}, {27, 0}, {99, 0}, {9, BUSY_INSTANCES}, {99, BUSY_INSTANCES}};
@@ -45,13 +45,14 @@
         long heapBefore = usedHeap();
         try (PeerNodes nodes = new PeerNodes(HEARTBEAT, SILENCE)) {
             List<PeerLink> links = start(nodes, size, busyInstances);
-            PeerNodes.await("all are met", Duration.ofMinutes(2), () -> allAlive(links));
-            PeerNodes.pause(SETTLE);
+            PeerNodes.await(
+                    "all nodes see each other", Duration.ofMinutes(2), () -> allAlive(links));
+            PeerNodes.pause(WARM_UP_TIME);
             PeerCounts before = sum(links);
             long cpuBefore = cpuNanos();
-            long began = System.nanoTime();
-            long wronglyAway = watch(links, MEASURED);
-            double seconds = (System.nanoTime() - began) / 1e9;
+            long startedAt = System.nanoTime();
+            long wronglyAway = maxAway(links, MEASURED_TIME);
+            double seconds = (System.nanoTime() - startedAt) / 1e9;
             PeerCounts after = sum(links);
             double bytes = (after.bytesOut() - before.bytesOut()) / seconds / size;
             double messages = (after.messagesOut() - before.messagesOut()) / seconds / size;
@@ -65,7 +66,7 @@
                     busyInstances,
                     bytes,
                     messages,
-                    bytes + messages * PACKET_BYTES,
+                    bytes + messages * HEADER_BYTES_PER_MESSAGE,
                     cpu * 100,
                     heap / 1_024,
                     wronglyAway,
@@ -91,18 +92,18 @@
         return links;
     }
 
-    /** The most members that were wrongly away or suspected at once. */
-    private static long watch(List<PeerLink> links, Duration time) {
+    /** Returns the maximum number of members that were wrongly seen as away at one time. */
+    private static long maxAway(List<PeerLink> links, Duration time) {
         long end = System.nanoTime() + time.toNanos();
         long most = 0;
         while (System.nanoTime() < end) {
             PeerNodes.pause(Duration.ofMillis(100));
-            most = Math.max(most, links.stream().mapToLong(PeerCostMeasurement::away).sum());
+            most = Math.max(most, links.stream().mapToLong(PeerCostMeasurement::countAway).sum());
         }
         return most;
     }
 
-    private static long away(PeerLink link) {
+    private static long countAway(PeerLink link) {
         return link.members().stream().filter(m -> m.state() == MemberState.AWAY).count();
     }
 
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerNodes.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerNodes.java
@@ -19,15 +19,15 @@
 import org.foxtailplank.membership.SeedSource;
 import org.foxtailplank.settings.PeerSettings;
 
-/** Starts links on loopback and waits for what they come to see. */
+/** Starts peer links on the loopback interface and waits for conditions on them. */
 public final class PeerNodes implements AutoCloseable {
 
     public static final String KEY = "a key that all nodes of the test share";
     public static final Duration HEARTBEAT = Duration.ofMillis(50);
     public static final Duration SILENCE = Duration.ofMillis(1_000);
 
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final long POLL_NANOS = 5_000_000;
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
+    private static final long POLL_INTERVAL_NANOS = 5_000_000;
 
     private final Random mRandom = new Random(17);
     private final List<PeerLink> mLinks = new ArrayList<>();
@@ -68,7 +68,7 @@
         return link;
     }
 
-    /** Lets each node know all others. */
+    /** Gives each node all nodes as seeds. */
     public static void joinAll(PeerLink... links) {
         for (PeerLink link : links) {
             join(link, links);
@@ -97,19 +97,19 @@
                 () -> sees(link, other, state));
     }
 
-    public static void await(String what, BooleanSupplier condition) {
-        await(what, PATIENCE, condition);
+    public static void await(String description, BooleanSupplier condition) {
+        await(description, AWAIT_TIMEOUT, condition);
     }
 
-    public static void await(String what, Duration patience, BooleanSupplier condition) {
-        long deadline = System.nanoTime() + patience.toNanos();
+    public static void await(String description, Duration timeout, BooleanSupplier condition) {
+        long deadline = System.nanoTime() + timeout.toNanos();
         while (!condition.getAsBoolean() && System.nanoTime() < deadline) {
-            LockSupport.parkNanos(POLL_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        assertTrue(condition.getAsBoolean(), "never came: " + what);
+        assertTrue(condition.getAsBoolean(), "condition not met in time: " + description);
     }
 
-    /** Lets time pass in a measurement; tests wait on conditions. */
+    /** Sleeps; for measurements only, since tests wait on conditions. */
     static void pause(Duration time) {
         long end = System.nanoTime() + time.toNanos();
         while (System.nanoTime() < end) {
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
@@ -58,7 +58,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How records are written to the log, and what an older program makes of a newer one's. */
+/** Tests the record codec, including records written by a newer version. */
 public class RecordCodecTest {
     private static final Author AUTHOR = new Author("ivana", "ticket 7");
     private static final VmId VM = VmId.of("vm-1");
@@ -110,9 +110,9 @@
         assertEquals(RecordCodec.decode(RecordCodec.encode(r)), r);
     }
 
-    /** A newer node writes a kind of change that this program has never heard of. */
+    /** An older node must still learn which objects an unknown kind of change touches. */
     @Test(dataProvider = "changes")
-    public void namesTheObjectsOfAKindItDoesNotKnow(Change change) throws Exception {
+    public void decodesAnUnknownKindAsNotUnderstood(Change change) throws Exception {
         RecordProto known = RecordProto.parseFrom(RecordCodec.encode(record(change)));
         UnknownFieldSet newer =
                 UnknownFieldSet.newBuilder()
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void doesNotGuessAtANewerConstant() throws Exception {
+    public void decodesANewerConstantAsNotUnderstood() throws Exception {
         Change change = new VmActionConfirmed(VM, 5, ActionOutcome.DONE);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
@@ -136,7 +136,7 @@
     }
 
     @Test
-    public void doesNotGuessAtARecordThatNeedsANewerReader() throws Exception {
+    public void decodesARecordForANewerReaderAsNotUnderstood() throws Exception {
         Change change = new VmJoined(VM, POOL);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    public void doesNotGuessAtAnExpectationOfANewerKind() throws Exception {
+    public void decodesAnExpectationOfANewerKindAsNotUnderstood() throws Exception {
         Change change = new VmJoined(VM, POOL);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
@@ -154,7 +154,7 @@
     }
 
     @Test
-    public void refusesBytesThatAreNoRecord() {
+    public void rejectsBytesThatAreNotARecord() {
         byte[][] bad = {{}, "{\"id\":1}".getBytes(), {(byte) 0xff, 1, 2}};
         for (byte[] data : bad) {
             assertThrows(RecordFormatException.class, () -> RecordCodec.decode(data));
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
@@ -44,7 +44,7 @@
 import org.foxtailplank.state.WindowContents;
 import org.testng.annotations.Test;
 
-/** How snapshots are stored, and that a damaged one is never loaded. */
+/** Tests the snapshot codec and the reassembly of snapshots from chunks. */
 public class SnapshotCodecTest {
     private static final Author AUTHOR = new Author("ivana", "ticket 7");
     private static final ZoneId ZONE = ZoneId.of("sofia-1");
@@ -60,17 +60,14 @@
     }
 
     @Test
-    public void refusesBytesThatAreNoSnapshot() {
+    public void rejectsBytesThatAreNotASnapshot() {
         byte[] bytes = SnapshotCodec.encode(state(700, "{}"));
         bytes[bytes.length / 2] ^= 1;
         assertThrows(RecordFormatException.class, () -> SnapshotCodec.decode(bytes));
         assertThrows(RecordFormatException.class, () -> SnapshotCodec.decode(new byte[0]));
     }
 
-    /**
-     * Two nodes write a snapshot at once, a third died half-way through a newer one, and one part
-     * came twice. Loading must find the newest that is whole.
-     */
+    /** Covers interleaved writers, an incomplete newer snapshot and a duplicated chunk. */
     @Test
     public void findsTheNewestWholeSnapshotAmongMixedParts() {
         List<SnapshotChunk> parts = new ArrayList<>();
@@ -84,7 +81,7 @@
     }
 
     @Test
-    public void dropsASnapshotWhosePartWasDamaged() {
+    public void ignoresASnapshotWithADamagedPart() {
         List<SnapshotChunk> parts = new ArrayList<>(chunks("a", 700));
         assertTrue(parts.size() > 1);
         assertTrue(assembled(parts).isPresent());
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/MemorySharedState.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/InMemorySharedState.java
@@ -13,47 +13,47 @@
 import org.foxtailplank.wire.SharedState;
 import org.foxtailplank.wire.TailRecord;
 
-/** A state that is the text of its records, one character each. */
-final class MemorySharedState implements SharedState {
+/** Shared state whose records are single characters of a text. */
+final class InMemorySharedState implements SharedState {
 
-    private final StringBuilder mFolded = new StringBuilder();
+    private final StringBuilder mContent = new StringBuilder();
     private final List<Runnable> mListeners = new CopyOnWriteArrayList<>();
-    private final int mTailRecords;
-    private int mAdopted;
+    private final int mMaxTailRecords;
+    private int mSnapshotsApplied;
 
-    /** Keeps so many of the newest records of the tail. */
-    MemorySharedState(int tailRecords) {
-        mTailRecords = tailRecords;
+    /** Creates a state that serves at most this number of its newest records as a tail. */
+    InMemorySharedState(int maxTailRecords) {
+        mMaxTailRecords = maxTailRecords;
     }
 
-    /** The platform's log brings records. */
-    synchronized void fold(String records) {
-        mFolded.append(records);
+    /** Applies records, one per character. */
+    synchronized void append(String records) {
+        mContent.append(records);
         mListeners.forEach(Runnable::run);
     }
 
-    synchronized String folded() {
-        return mFolded.toString();
+    synchronized String content() {
+        return mContent.toString();
     }
 
-    synchronized int adopted() {
-        return mAdopted;
+    synchronized int snapshotsApplied() {
+        return mSnapshotsApplied;
     }
 
     @Override
     public synchronized StatePosition position() {
-        return new StatePosition(0, mFolded.length() + 1, mFolded.toString().hashCode());
+        return new StatePosition(0, mContent.length() + 1, mContent.toString().hashCode());
     }
 
     @Override
     public synchronized CompletionStage<List<TailRecord>> tailAfter(
             StatePosition position, int maxBytes) {
         List<TailRecord> tail = new ArrayList<>();
-        long oldest = mFolded.length() - mTailRecords;
+        long oldest = mContent.length() - mMaxTailRecords;
         for (long offset = position.nextOffset();
-                position.nextOffset() > oldest && offset <= mFolded.length();
+                position.nextOffset() > oldest && offset <= mContent.length();
                 offset++) {
-            ByteString data = ByteString.copyFromUtf8("" + mFolded.charAt((int) offset - 1));
+            ByteString data = ByteString.copyFromUtf8("" + mContent.charAt((int) offset - 1));
             tail.add(new TailRecord(offset, RecordId.of("r" + offset), data));
         }
         return CompletableFuture.completedFuture(tail);
@@ -61,27 +61,27 @@
 
     @Override
     public synchronized CompletionStage<Optional<byte[]>> rollUp() {
-        byte[] bytes = mFolded.toString().getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = mContent.toString().getBytes(StandardCharsets.UTF_8);
         return CompletableFuture.completedFuture(Optional.of(bytes).filter(b -> b.length > 0));
     }
 
     @Override
     public synchronized CompletionStage<Boolean> offerTail(
             StatePosition position, List<TailRecord> tail) {
-        boolean fits = position.equals(position());
-        if (fits) {
-            tail.forEach(record -> fold(record.data().toStringUtf8()));
+        boolean matches = position.equals(position());
+        if (matches) {
+            tail.forEach(record -> append(record.data().toStringUtf8()));
         }
-        return CompletableFuture.completedFuture(fits);
+        return CompletableFuture.completedFuture(matches);
     }
 
     @Override
     public synchronized CompletionStage<Boolean> offerRollUp(byte[] state) {
-        boolean newer = state.length > mFolded.length();
+        boolean newer = state.length > mContent.length();
         if (newer) {
-            mFolded.setLength(0);
-            mAdopted++;
-            fold(new String(state, StandardCharsets.UTF_8));
+            mContent.setLength(0);
+            mSnapshotsApplied++;
+            append(new String(state, StandardCharsets.UTF_8));
         }
         return CompletableFuture.completedFuture(newer);
     }
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/StateExchangeTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/StateExchangeTest.java
@@ -16,14 +16,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/**
- * A configuration that was accepted would not be in force in a zone that the platform cannot reach.
- * Operators publish, the nodes of the other zones fold it, and those of the cut off zone hear of it
- * only from their peers.
- */
+/** Tests that nodes without a connection to the platform receive new state from their peers. */
 public class StateExchangeTest {
 
-    /** Small chunks, so that a state takes many. */
+    /** Small chunks, so that a snapshot is sent in many. */
     private static final StateExchangeLimits LIMITS =
             new StateExchangeLimits(
                     Duration.ofMillis(100),
@@ -50,74 +46,70 @@
 
     @Test
     public void aNodeWithoutThePlatformGetsTheTailFromItsPeers() throws Exception {
-        MemorySharedState reached = new MemorySharedState(WHOLE_TAIL);
-        MemorySharedState cutOff = new MemorySharedState(WHOLE_TAIL);
-        reached.fold("abc");
-        cutOff.fold("abc");
-        start(reached, cutOff);
-        reached.fold("d");
-        await("the record at the node that is cut off", () -> cutOff.folded().equals("abcd"));
-        assertEquals(cutOff.adopted(), 0, "no whole state was needed");
+        InMemorySharedState connected = new InMemorySharedState(WHOLE_TAIL);
+        InMemorySharedState isolated = new InMemorySharedState(WHOLE_TAIL);
+        connected.append("abc");
+        isolated.append("abc");
+        start(connected, isolated);
+        connected.append("d");
+        await(
+                "the record at the node without the platform",
+                () -> isolated.content().equals("abcd"));
+        assertEquals(isolated.snapshotsApplied(), 0, "no snapshot was needed");
     }
 
     @Test
-    public void aNodeThatStartsWithoutThePlatformStartsFromItsPeers() throws Exception {
-        MemorySharedState running = new MemorySharedState(2);
-        MemorySharedState starting = new MemorySharedState(2);
-        running.fold(LONG_STATE);
+    public void aNodeThatStartsWithoutThePlatformGetsASnapshotFromItsPeers() throws Exception {
+        InMemorySharedState running = new InMemorySharedState(2);
+        InMemorySharedState starting = new InMemorySharedState(2);
+        running.append(LONG_STATE);
         start(running, starting);
-        await("the whole state", () -> starting.folded().equals(LONG_STATE));
-        assertEquals(starting.adopted(), 1);
+        await("the snapshot", () -> starting.content().equals(LONG_STATE));
+        assertEquals(starting.snapshotsApplied(), 1);
     }
 
     @Test
-    public void aNodeFarBehindGetsTheWholeStateAndThenTheTail() throws Exception {
-        MemorySharedState running = new MemorySharedState(2);
-        MemorySharedState behind = new MemorySharedState(2);
-        running.fold(LONG_STATE);
-        behind.fold("abc");
+    public void aNodeFarBehindGetsASnapshotAndThenTheTail() throws Exception {
+        InMemorySharedState running = new InMemorySharedState(2);
+        InMemorySharedState behind = new InMemorySharedState(2);
+        running.append(LONG_STATE);
+        behind.append("abc");
         start(running, behind);
-        await("the whole state", () -> behind.folded().equals(LONG_STATE));
-        running.fold("x");
-        await("the tail", () -> behind.folded().equals(LONG_STATE + "x"));
-        assertEquals(behind.adopted(), 1);
+        await("the snapshot", () -> behind.content().equals(LONG_STATE));
+        running.append("x");
+        await("the tail", () -> behind.content().equals(LONG_STATE + "x"));
+        assertEquals(behind.snapshotsApplied(), 1);
     }
 
-    /**
-     * A zone would fall back to an old configuration. It was cut off from the platform for long and
-     * meets nodes that have newer ones, or it has the newest one itself and meets old nodes.
-     */
+    /** Guards against reverting to an older configuration after a partition. */
     @Test
     public void aNewerStateIsNeverReplacedByAnOlderOne() throws Exception {
-        MemorySharedState newest = new MemorySharedState(WHOLE_TAIL);
-        MemorySharedState old = new MemorySharedState(0);
-        newest.fold(LONG_STATE);
-        old.fold("ab");
+        InMemorySharedState newest = new InMemorySharedState(WHOLE_TAIL);
+        InMemorySharedState old = new InMemorySharedState(0);
+        newest.append(LONG_STATE);
+        old.append("ab");
         start(newest, old);
-        await("the old node catches up", () -> old.folded().equals(LONG_STATE));
-        assertEquals(newest.folded(), LONG_STATE);
-        assertEquals(newest.adopted(), 0);
+        await("the old node catches up", () -> old.content().equals(LONG_STATE));
+        assertEquals(newest.content(), LONG_STATE);
+        assertEquals(newest.snapshotsApplied(), 0);
     }
 
-    /**
-     * A node would never catch up. One record is larger than a message may be, and the asker cuts
-     * the connection of each peer that sends it.
-     */
+    /** An oversized tail would close the connection at each attempt. */
     @Test
-    public void aTailTooLargeForOneMessageIsHandedOutAsAState() throws Exception {
-        MemorySharedState running = new MemorySharedState(WHOLE_TAIL);
-        MemorySharedState starting = new MemorySharedState(WHOLE_TAIL);
-        running.fold("x".repeat(LIMITS.tailBytes() + 1));
+    public void aTailTooLargeForOneMessageIsSentAsASnapshot() throws Exception {
+        InMemorySharedState running = new InMemorySharedState(WHOLE_TAIL);
+        InMemorySharedState starting = new InMemorySharedState(WHOLE_TAIL);
+        running.append("x".repeat(LIMITS.tailBytes() + 1));
         start(running, starting);
-        await("the state", () -> starting.folded().equals(running.folded()));
-        assertEquals(starting.adopted(), 1);
+        await("the state", () -> starting.content().equals(running.content()));
+        assertEquals(starting.snapshotsApplied(), 1);
     }
 
     @Test
-    public void newsGoesOnThroughNodesThatWereBehindThemselves() throws Exception {
-        MemorySharedState first = new MemorySharedState(WHOLE_TAIL);
-        MemorySharedState second = new MemorySharedState(WHOLE_TAIL);
-        MemorySharedState third = new MemorySharedState(WHOLE_TAIL);
+    public void stateIsForwardedByNodesThatWereBehindThemselves() throws Exception {
+        InMemorySharedState first = new InMemorySharedState(WHOLE_TAIL);
+        InMemorySharedState second = new InMemorySharedState(WHOLE_TAIL);
+        InMemorySharedState third = new InMemorySharedState(WHOLE_TAIL);
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         PeerLink c = mNodes.start("c");
@@ -126,17 +118,17 @@
         exchange(c, third);
         PeerNodes.joinAll(a, b);
         PeerNodes.joinAll(b, c);
-        first.fold("abc");
-        await("the state at the third node", () -> third.folded().equals("abc"));
+        first.append("abc");
+        await("the state at the third node", () -> third.content().equals("abc"));
     }
 
     @Test
-    public void aPeerWhoseStateCannotBeTakenIsLeftForAnother() throws Exception {
-        MemorySharedState tooLarge = new MemorySharedState(0);
-        MemorySharedState running = new MemorySharedState(0);
-        MemorySharedState starting = new MemorySharedState(0);
-        tooLarge.fold("x".repeat(LIMITS.maxStateBytes() + 1));
-        running.fold(LONG_STATE);
+    public void aPeerWhoseStateIsTooLargeIsReplacedByAnother() throws Exception {
+        InMemorySharedState tooLarge = new InMemorySharedState(0);
+        InMemorySharedState running = new InMemorySharedState(0);
+        InMemorySharedState starting = new InMemorySharedState(0);
+        tooLarge.append("x".repeat(LIMITS.maxStateBytes() + 1));
+        running.append(LONG_STATE);
         PeerLink a = mNodes.start("a", "near");
         PeerLink b = mNodes.start("b", "far");
         PeerLink c = mNodes.start("c", "near");
@@ -145,11 +137,12 @@
         StateExchange exchange = exchange(c, starting);
         joinAll(a, c);
         joinAll(b, c);
-        await("the state of the other peer", () -> starting.folded().equals(LONG_STATE));
+        await("the state of the other peer", () -> starting.content().equals(LONG_STATE));
         assertEquals(exchange.counts().statesTaken(), 1);
     }
 
-    private void start(MemorySharedState first, MemorySharedState second) throws PeerLinkException {
+    private void start(InMemorySharedState first, InMemorySharedState second)
+            throws PeerLinkException {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         exchange(a, first);
@@ -159,7 +152,7 @@
         awaitSees(b, a, MemberState.ALIVE);
     }
 
-    private static StateExchange exchange(PeerLink link, MemorySharedState state) {
+    private static StateExchange exchange(PeerLink link, InMemorySharedState state) {
         return StateExchange.start(link, state, LIMITS);
     }
 }
