--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/HostilePeerTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/HostilePeerTest.java
@@ -20,7 +20,7 @@
 import org.foxtailplank.wire.AnswerLookup;
 import org.foxtailplank.wire.AnswerLookupResult;
 import org.foxtailplank.wire.CallerAnswer;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.PeerLink;
 import org.foxtailplank.wire.PeerLinkException;
 import org.foxtailplank.wire.PeerLinkLimits;
@@ -32,9 +32,8 @@
 import org.testng.annotations.Test;
 
 /**
- * An entry would act on a message that no peer wrote, or would be brought down by one that
- * misbehaves. Somebody reaches the peers' address and sends what no peer would send, or a peer
- * stops to read. Each test also sees that the node still serves its honest peer.
+ * Tests that forged and malformed input is refused and that a misbehaving peer cannot exhaust a
+ * node. Each test also checks that the node still serves an honest peer.
  */
 public class HostilePeerTest {
 
@@ -65,138 +64,140 @@
     }
 
     @AfterMethod
-    public void servesItsHonestPeerStill() {
+    public void assertHonestPeerIsStillServed() {
         awaitSees(mVictim, mHonest, MemberState.ALIVE);
         awaitSees(mHonest, mVictim, MemberState.ALIVE);
         mNodes.close();
     }
 
     @Test
-    public void aForgedFrameIsRefusedAndItsConnectionCut() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            byte[] frame = peer.seal(lookup());
+    public void aForgedFrameIsRefusedAndItsConnectionClosed() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            byte[] frame = peer.sign(lookup());
             frame[0] ^= 1;
-            assertTrue(peer.send(frame).isCut());
-            assertCutOnce(CutReason.FORGED);
+            assertTrue(peer.send(frame).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.INVALID_MAC);
             assertEquals(mHandled.get(), 0);
         }
     }
 
     @Test
-    public void aReplayedFrameIsRefusedAndItsConnectionCut() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            byte[] frame = peer.seal(lookup());
+    public void aReplayedFrameIsRefusedAndItsConnectionClosed() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            byte[] frame = peer.sign(lookup());
             peer.send(frame).send(frame);
-            assertTrue(peer.isCut());
-            assertCutOnce(CutReason.FORGED);
+            assertTrue(peer.isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.INVALID_MAC);
             assertEquals(mHandled.get(), 1);
         }
     }
 
     @Test
-    public void aFrameOfOneConnectionIsWorthlessOnAnother() throws IOException {
-        try (RawPeer first = new RawPeer(mVictim.self().address()).prove("x", KEY);
-                RawPeer second = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            assertTrue(second.send(first.seal(lookup())).isCut());
-            assertCutOnce(CutReason.FORGED);
+    public void aFrameOfOneConnectionIsRefusedOnAnother() throws IOException {
+        try (RawPeer first = new RawPeer(mVictim.self().address()).authenticate("x", KEY);
+                RawPeer second = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            assertTrue(second.send(first.sign(lookup())).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.INVALID_MAC);
             assertEquals(mHandled.get(), 0);
         }
     }
 
     @Test
-    public void framesThatAreLeftOutAreNoticed() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            peer.seal(lookup());
-            assertTrue(peer.send(peer.seal(lookup())).isCut());
-            assertCutOnce(CutReason.FORGED);
+    public void omittedFramesAreDetected() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            peer.sign(lookup());
+            assertTrue(peer.send(peer.sign(lookup())).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.INVALID_MAC);
         }
     }
 
     @Test
-    public void aWrongKeyIsCut() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY + "?")) {
-            assertTrue(peer.isCut());
-            assertCutOnce(CutReason.BAD_KEY);
+    public void aPeerWithAWrongKeyIsDisconnected() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY + "?")) {
+            assertTrue(peer.isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.WRONG_KEY);
         }
     }
 
     @Test
-    public void garbageInPlaceOfAHelloIsCut() throws IOException {
+    public void aMalformedHelloIsDisconnected() throws IOException {
         try (RawPeer peer = new RawPeer(mVictim.self().address())) {
-            assertTrue(peer.send("GET / HTTP/1.1\r\n\r\n".getBytes()).isCut());
-            assertCutOnce(CutReason.GARBAGE);
+            assertTrue(peer.send("GET / HTTP/1.1\r\n\r\n".getBytes()).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.MALFORMED);
         }
     }
 
     @Test
-    public void garbageUnderARightMacIsCut() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            byte[] garbage = {(byte) 0xFF, (byte) 0xFF, 1};
-            assertTrue(peer.send(peer.sealBytes(garbage)).isCut());
-            assertCutOnce(CutReason.GARBAGE);
+    public void aMalformedMessageWithAValidMacIsDisconnected() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            byte[] malformed = {(byte) 0xFF, (byte) 0xFF, 1};
+            assertTrue(peer.send(peer.signBytes(malformed)).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.MALFORMED);
         }
     }
 
     @Test
-    public void aHelloOfAnotherProtocolIsCut() throws IOException {
+    public void aHelloOfAnotherProtocolVersionIsDisconnected() throws IOException {
         try (RawPeer peer = new RawPeer(mVictim.self().address())) {
-            assertTrue(peer.send(new byte[0]).isCut());
-            assertCutOnce(CutReason.NOT_A_PEER);
+            assertTrue(peer.send(new byte[0]).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.INCOMPATIBLE);
         }
     }
 
     @Test
-    public void aLargeFrameBeforeTheProofIsCutByItsLengthAlone() throws IOException {
+    public void anOversizedFrameBeforeTheProofIsRefusedByItsLength() throws IOException {
         try (RawPeer peer = new RawPeer(mVictim.self().address())) {
-            assertTrue(peer.sendLength(Handshake.MAX_FRAME_BYTES + 1).isCut());
-            assertCutOnce(CutReason.OVERSIZED);
+            assertTrue(peer.sendLength(Handshake.MAX_FRAME_BYTES + 1).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.OVERSIZED);
         }
     }
 
     @Test
-    public void anOversizedFrameAfterTheProofIsCutByItsLengthAlone() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            assertTrue(peer.sendLength(PeerLinkLimits.usual().maxMessageBytes() + 1).isCut());
-            assertCutOnce(CutReason.OVERSIZED);
+    public void anOversizedFrameAfterTheProofIsRefusedByItsLength() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            assertTrue(
+                    peer.sendLength(PeerLinkLimits.usual().maxMessageBytes() + 1).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.OVERSIZED);
         }
     }
 
     @Test
-    public void aNegativeLengthIsCut() throws IOException {
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            assertTrue(peer.sendLength(-1).isCut());
-            assertCutOnce(CutReason.OVERSIZED);
+    public void aNegativeFrameLengthIsRefused() throws IOException {
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            assertTrue(peer.sendLength(-1).isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.OVERSIZED);
         }
     }
 
     @Test
-    public void aConnectionThatProvesNothingIsCutInTime() throws IOException {
+    public void anUnauthenticatedConnectionTimesOut() throws IOException {
         try (RawPeer peer = new RawPeer(mVictim.self().address())) {
-            assertTrue(peer.isCut());
-            assertCutOnce(CutReason.HANDSHAKE_TIMEOUT);
+            assertTrue(peer.isDisconnected());
+            assertDisconnectedOnce(DisconnectReason.HANDSHAKE_TIMEOUT);
         }
     }
 
     @Test
-    public void aFloodOfConnectionsThatProveNothingIsBounded() throws IOException {
+    public void unauthenticatedConnectionsAreLimited() throws IOException {
         awaitSees(mVictim, mHonest, MemberState.ALIVE);
-        int flood = PeerLinkLimits.usual().maxUnproved() * 2;
+        int connections = PeerLinkLimits.usual().maxUnauthenticated() * 2;
         List<RawPeer> peers = new ArrayList<>();
-        for (int i = 0; i < flood; i++) {
+        for (int i = 0; i < connections; i++) {
             peers.add(new RawPeer(mVictim.self().address()));
         }
-        await("some are cut at once", () -> mVictim.counts().cuts(CutReason.TOO_MANY) >= flood / 2);
+        await(
+                "excess connections are closed",
+                () ->
+                        mVictim.counts().disconnects(DisconnectReason.TOO_MANY_CONNECTIONS)
+                                >= connections / 2);
         for (RawPeer peer : peers) {
             peer.close();
         }
     }
 
-    /**
-     * A node's memory would fill with answers. A peer asks and asks, and never reads. Cause:
-     * answers wait in this node for as long as the peer takes nothing in.
-     */
+    /** Guards against answers that accumulate in memory for a peer that does not read. */
     @Test
-    public void aPeerThatDoesNotReadIsCut() throws IOException {
+    public void aPeerThatDoesNotReadIsDisconnected() throws IOException {
         CallerAnswer large =
                 new CallerAnswer(
                         Outcome.OK, 200, List.of(), ByteString.copyFrom(new byte[200 * 1024]));
@@ -206,22 +207,23 @@
                     mHandled.incrementAndGet();
                     return CompletableFuture.completedFuture(AnswerLookupResult.answered(large));
                 });
-        int asks = 1_000;
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            for (int i = 0; i < asks; i++) {
-                peer.send(peer.seal(lookup()));
+        int requests = 1_000;
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            for (int i = 0; i < requests; i++) {
+                peer.send(peer.sign(lookup()));
             }
-            await("the cut", () -> mVictim.counts().cuts(CutReason.SLOW_READER) == 1);
-            assertTrue(mHandled.get() < asks / 2, "answers made for nobody: " + mHandled.get());
+            await(
+                    "the disconnect",
+                    () -> mVictim.counts().disconnects(DisconnectReason.SLOW_READER) == 1);
+            assertTrue(
+                    mHandled.get() < requests / 2,
+                    "requests handled for a peer that does not read: " + mHandled.get());
         }
     }
 
-    /**
-     * An upgrade of node after node would cut the old nodes off. A newer node sends a kind of
-     * message that an older one does not know; it is refused, and the connection goes on.
-     */
+    /** Older nodes must keep their connections to newer ones during a rolling upgrade. */
     @Test
-    public void aMessageOfANewerKindIsRefusedAndItsConnectionKept() throws IOException {
+    public void anUnknownMessageKindIsRefusedAndItsConnectionKept() throws IOException {
         UnknownFieldSet.Field text =
                 UnknownFieldSet.Field.newBuilder()
                         .addLengthDelimited(ByteString.copyFromUtf8("new"))
@@ -232,17 +234,17 @@
                         .setUnknownFields(
                                 UnknownFieldSet.newBuilder().addField(NEWER_KIND, text).build())
                         .build();
-        try (RawPeer peer = new RawPeer(mVictim.self().address()).prove("x", KEY)) {
-            EnvelopeProto refusal = peer.send(peer.seal(newer)).answer();
+        try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
+            EnvelopeProto refusal = peer.send(peer.sign(newer)).receiveEnvelope();
             assertEquals(refusal.getAnswerTo(), 7);
             assertEquals(refusal.getRefusal().getReason(), RefusalProto.Reason.NOT_UNDERSTOOD);
             assertEquals(mVictim.counts().notUnderstood(), 1);
-            assertTrue(peer.send(peer.seal(lookup())).answer().hasAnswerLookupResult());
+            assertTrue(peer.send(peer.sign(lookup())).receiveEnvelope().hasAnswerLookupResult());
         }
     }
 
-    private void assertCutOnce(CutReason reason) {
-        assertEquals(mVictim.counts().cuts(reason), 1);
+    private void assertDisconnectedOnce(DisconnectReason reason) {
+        assertEquals(mVictim.counts().disconnects(reason), 1);
     }
 
     private static EnvelopeProto lookup() {
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PartitionTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PartitionTest.java
@@ -19,8 +19,8 @@
 import org.foxtailplank.membership.SeedSource;
 import org.foxtailplank.wire.AnswerLookup;
 import org.foxtailplank.wire.AnswerLookupResult;
-import org.foxtailplank.wire.CutReason;
-import org.foxtailplank.wire.HoldingProxy;
+import org.foxtailplank.wire.DisconnectReason;
+import org.foxtailplank.wire.PausableProxy;
 import org.foxtailplank.wire.PeerLink;
 import org.foxtailplank.wire.PeerLinkException;
 import org.foxtailplank.wire.PeerLinkLimits;
@@ -34,7 +34,7 @@
     private static final AnswerLookup LOOKUP =
             new AnswerLookup(ServiceId.of("claims"), "k1", ByteString.EMPTY);
 
-    private final List<HoldingProxy> mProxies = new ArrayList<>();
+    private final List<PausableProxy> mProxies = new ArrayList<>();
     private PeerNodes mNodes;
 
     @BeforeMethod
@@ -45,24 +45,21 @@
     @AfterMethod
     public void close() {
         mNodes.close();
-        mProxies.forEach(HoldingProxy::close);
+        mProxies.forEach(PausableProxy::close);
         mProxies.clear();
     }
 
-    /**
-     * An entry would be given up that is there. What it sends to one peer is lost, while it hears
-     * that peer and talks to all others; the peer hears of it through them.
-     */
+    /** A node whose messages to one peer are lost must stay alive there through other nodes. */
     @Test
-    public void aNodeThatOnePeerCannotHearStaysAMemberThroughOthers() throws Exception {
+    public void aNodeUnreachableFromOnePeerStaysAliveThroughOthers() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         PeerLink c = mNodes.start("c");
-        HoldingProxy toB = proxy(b);
-        HoldingProxy toA = proxy(a);
-        meet(a, seed(b, toB), seed(c));
-        meet(b, seed(a, toA), seed(c));
-        meet(c, seed(a), seed(b));
+        PausableProxy toB = proxy(b);
+        PausableProxy toA = proxy(a);
+        learnSeeds(a, seed(b, toB), seed(c));
+        learnSeeds(b, seed(a, toA), seed(c));
+        learnSeeds(c, seed(a), seed(b));
         awaitSees(a, b, MemberState.ALIVE);
         awaitSees(b, a, MemberState.ALIVE);
         awaitSees(c, a, MemberState.ALIVE);
@@ -74,68 +71,65 @@
                         away.set(true);
                     }
                 });
-        toB.holdForward(true);
-        toA.holdBack(true);
-        long cuts = a.counts().cuts(CutReason.SILENT);
+        toB.pauseForward(true);
+        toA.pauseBackward(true);
+        long disconnects = a.counts().disconnects(DisconnectReason.SILENT);
         await(
-                "a gives up the connection that is never confirmed",
-                () -> a.counts().cuts(CutReason.SILENT) > cuts);
-        long heard = c.counts().messagesIn();
-        await("more heartbeats", () -> c.counts().messagesIn() > heard + 100);
-        assertFalse(away.get(), "b gave a up");
+                "a closes the unconfirmed connection",
+                () -> a.counts().disconnects(DisconnectReason.SILENT) > disconnects);
+        long received = c.counts().messagesIn();
+        await("more heartbeats", () -> c.counts().messagesIn() > received + 100);
+        assertFalse(away.get(), "b must not see a as away");
         assertTrue(sees(b, a, MemberState.ALIVE));
-        toB.holdForward(false);
-        toA.holdBack(false);
+        toB.pauseForward(false);
+        toA.pauseBackward(false);
         awaitAnswer(a, b);
     }
 
-    /**
-     * Callers would see errors for long after a partition, or all nodes would be busy with each
-     * other. Two zones lose each other, each sees the other one away; then the partition heals.
-     */
+    /** Reconnecting after a partition must not exceed the connect limit. */
     @Test
-    public void aPartitionHealsWithoutAStormOfConnections() throws Exception {
+    public void aHealedPartitionReconnectsWithinTheConnectLimit() throws Exception {
         List<PeerLink> near = List.of(mNodes.start("a1"), mNodes.start("a2"), mNodes.start("a3"));
         List<PeerLink> far = List.of(mNodes.start("b1"), mNodes.start("b2"), mNodes.start("b3"));
-        meetAcross(near, far);
-        meetAcross(far, near);
+        learnSeedsAcross(near, far);
+        learnSeedsAcross(far, near);
         awaitAll(near, far, MemberState.ALIVE);
         awaitAll(far, near, MemberState.ALIVE);
         long before = connects(near);
-        long cutAt = System.nanoTime();
-        hold(true);
+        long partitionedAt = System.nanoTime();
+        pause(true);
         awaitAll(near, far, MemberState.AWAY);
         awaitAll(far, near, MemberState.AWAY);
-        await("every connection across is given up", () -> givenUp(near, far));
-        await("and from the other side", () -> givenUp(far, near));
+        await("all connections to the far zone are closed", () -> isDisconnected(near, far));
+        await("all connections to the near zone are closed", () -> isDisconnected(far, near));
         assertTrue(near.stream().allMatch(a -> near.stream().allMatch(o -> isSelfOrAlive(a, o))));
-        hold(false);
+        pause(false);
         long healedAt = System.nanoTime();
         awaitAll(near, far, MemberState.ALIVE);
         awaitAll(far, near, MemberState.ALIVE);
-        long seenAt = System.nanoTime();
+        long aliveAt = System.nanoTime();
         awaitAnswer(near.get(0), far.get(0));
-        double seconds = (System.nanoTime() - cutAt) / 1e9;
-        long tried = connects(near) - before;
+        double seconds = (System.nanoTime() - partitionedAt) / 1e9;
+        long attempts = connects(near) - before;
         System.out.printf(
-                "partition of %.1f s healed: alive after %d ms, asks after %d ms, %d connects%n",
-                (healedAt - cutAt) / 1e9,
-                Duration.ofNanos(seenAt - healedAt).toMillis(),
+                "partition of %.1f s healed: alive after %d ms, answers after %d ms, %d connects%n",
+                (healedAt - partitionedAt) / 1e9,
+                Duration.ofNanos(aliveAt - healedAt).toMillis(),
                 Duration.ofNanos(System.nanoTime() - healedAt).toMillis(),
-                tried);
-        assertTrue(tried > 0);
+                attempts);
+        assertTrue(attempts > 0);
         int perSecond = PeerLinkLimits.usual().connectsPerSecond();
         assertTrue(
-                tried <= near.size() * perSecond * (seconds + 1),
-                tried + " connections tried in " + seconds + " s");
+                attempts <= near.size() * perSecond * (seconds + 1),
+                attempts + " connections tried in " + seconds + " s");
     }
 
-    private void meetAcross(List<PeerLink> own, List<PeerLink> others) {
+    private void learnSeedsAcross(List<PeerLink> own, List<PeerLink> others) {
         for (PeerLink link : own) {
             List<Seed> seeds = new ArrayList<>();
             own.forEach(o -> seeds.add(seed(o)));
             others.forEach(o -> seeds.add(seed(o, proxy(o))));
-            meet(link, seeds.toArray(Seed[]::new));
+            learnSeeds(link, seeds.toArray(Seed[]::new));
         }
     }
 
@@ -147,19 +141,19 @@
         return link == other || sees(link, other, MemberState.ALIVE);
     }
 
-    private void hold(boolean hold) {
-        for (HoldingProxy proxy : mProxies) {
-            proxy.holdForward(hold);
-            proxy.holdBack(hold);
+    private void pause(boolean paused) {
+        for (PausableProxy proxy : mProxies) {
+            proxy.pauseForward(paused);
+            proxy.pauseBackward(paused);
         }
     }
 
-    /** Whether nothing can be sent from any of these to any of those. */
-    private static boolean givenUp(List<PeerLink> own, List<PeerLink> others) {
-        return own.stream().allMatch(o -> others.stream().noneMatch(other -> sends(o, other)));
+    /** Returns whether none of the first links can send to any of the second ones. */
+    private static boolean isDisconnected(List<PeerLink> own, List<PeerLink> others) {
+        return own.stream().allMatch(o -> others.stream().noneMatch(other -> canSend(o, other)));
     }
 
-    private static boolean sends(PeerLink from, PeerLink to) {
+    private static boolean canSend(PeerLink from, PeerLink to) {
         return from.send(to.self().node(), LOOKUP).toCompletableFuture().join();
     }
 
@@ -184,8 +178,8 @@
                 .join();
     }
 
-    private HoldingProxy proxy(PeerLink to) {
-        HoldingProxy proxy = new HoldingProxy(to.self().address());
+    private PausableProxy proxy(PeerLink to) {
+        PausableProxy proxy = new PausableProxy(to.self().address());
         mProxies.add(proxy);
         return proxy;
     }
@@ -194,11 +188,11 @@
         return new Seed(to.self().node(), to.self().address());
     }
 
-    private static Seed seed(PeerLink to, HoldingProxy proxy) {
+    private static Seed seed(PeerLink to, PausableProxy proxy) {
         return new Seed(to.self().node(), proxy.address());
     }
 
-    private static void meet(PeerLink link, Seed... seeds) {
+    private static void learnSeeds(PeerLink link, Seed... seeds) {
         link.learn(SeedSource.SETTINGS, List.of(seeds));
     }
 }
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PeerLinkTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PeerLinkTest.java
@@ -25,7 +25,7 @@
 import org.foxtailplank.wire.AnswerLookup;
 import org.foxtailplank.wire.AnswerLookupResult;
 import org.foxtailplank.wire.CallerAnswer;
-import org.foxtailplank.wire.CutReason;
+import org.foxtailplank.wire.DisconnectReason;
 import org.foxtailplank.wire.HeaderField;
 import org.foxtailplank.wire.PeerException;
 import org.foxtailplank.wire.PeerFailure;
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void anAskBringsBackTheAnswerOfItsPeer() throws Exception {
+    public void aRequestReturnsTheAnswerOfItsPeer() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         join(a, b);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    public void anAskOfAnUnknownKindIsRefusedAndCounted() throws Exception {
+    public void aRequestWithoutAHandlerIsRefusedAndCounted() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         join(a, b);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    public void anAskThatIsNotAnsweredInTimeMayHaveRun() throws Exception {
+    public void aRequestThatTimesOutMayHaveBeenExecuted() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         join(a, b);
@@ -131,11 +131,11 @@
         awaitSees(a, b, MemberState.ALIVE);
         PeerFailure failure = failure(() -> ask(a, b, Duration.ofMillis(50)));
         assertEquals(failure, PeerFailure.NO_ANSWER);
-        assertFalse(failure.isCertainlyNotRun());
+        assertFalse(failure.isDefinitelyNotExecuted());
     }
 
     @Test
-    public void anAskToNobodyWasNotSent() throws Exception {
+    public void aRequestToAnUnknownNodeIsNotSent() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b");
         assertEquals(failure(() -> ask(a, b, LONG)), PeerFailure.NOT_SENT);
@@ -153,10 +153,7 @@
         awaitSees(a, b, MemberState.LEFT);
     }
 
-    /**
-     * An ask would wait for a VM that no longer exists. The VM is killed without a word, and its
-     * successor takes the same name and address.
-     */
+    /** Guards against requests to a killed VM whose replacement has the same name and address. */
     @Test
     public void aReplacedVmWithTheSameAddressIsANewMember() throws Exception {
         PeerLink a = mNodes.start("a");
@@ -172,17 +169,17 @@
     }
 
     @Test
-    public void aNodeWithAnotherKeyIsCutAndNeverAMember() throws Exception {
+    public void aNodeWithAnotherKeyIsDisconnectedAndNeverAMember() throws Exception {
         PeerLink a = mNodes.start("a");
         PeerLink b = mNodes.start("b", "a", "another key of the same length", anyPort());
         join(a, b);
-        await("a cuts b", () -> a.counts().cuts(CutReason.BAD_KEY) > 0);
+        await("a disconnects b", () -> a.counts().disconnects(DisconnectReason.WRONG_KEY) > 0);
         assertEquals(a.members(), List.of());
         assertEquals(b.members(), List.of());
     }
 
     @Test
-    public void anAddressInUseIsSaidSo() throws PeerLinkException {
+    public void bindingAnAddressInUseFails() throws PeerLinkException {
         PeerLink a = mNodes.start("a");
         assertThrows(
                 PeerLinkException.class,
@@ -197,8 +194,8 @@
         return from.ask(to.self().node(), LOOKUP, timeout).toCompletableFuture().get();
     }
 
-    private static PeerFailure failure(ThrowingRunnable ask) {
-        ExecutionException e = expectThrows(ExecutionException.class, ask);
+    private static PeerFailure failure(ThrowingRunnable request) {
+        ExecutionException e = expectThrows(ExecutionException.class, request);
         return ((PeerException) e.getCause()).failure();
     }
 }
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/RawPeer.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/RawPeer.java
@@ -19,7 +19,7 @@
 import org.foxtailplank.wire.generated.peer.HelloProto;
 import org.foxtailplank.wire.generated.peer.ProofProto;
 
-/** A peer under the test's control, which can send anything. */
+/** Scripted peer that can send arbitrary bytes. */
 final class RawPeer implements AutoCloseable {
 
     private static final int NONCE_BYTES = 16;
@@ -28,7 +28,7 @@
     private final Socket mSocket = new Socket();
     private final DataInputStream mIn;
     private final DataOutputStream mOut;
-    private FrameSeal mSeal;
+    private FrameAuthenticator mAuthenticator;
 
     RawPeer(InetSocketAddress address) throws IOException {
         mSocket.setReceiveBufferSize(4_096);
@@ -38,16 +38,16 @@
         mOut = new DataOutputStream(mSocket.getOutputStream());
     }
 
-    /** Proves a key as a node of that name. */
-    RawPeer prove(String node, String key) throws IOException {
+    /** Completes the handshake with a key as a node of this name. */
+    RawPeer authenticate(String node, String key) throws IOException {
         byte[] hello = hello(node);
         send(hello);
-        ChallengeProto challenge = ChallengeProto.parseFrom(receive());
+        ChallengeProto challenge = ChallengeProto.parseFrom(receiveFrame());
         byte[] transcript = PeerKey.transcript(hello, challenge.getHello().toByteArray());
         PeerKey peerKey = PeerKey.of(key);
         ByteString proof = ByteString.copyFrom(peerKey.connectorProof(transcript));
         send(ProofProto.newBuilder().setProof(proof).build().toByteArray());
-        mSeal = peerKey.connectorSeal(transcript);
+        mAuthenticator = peerKey.connectorAuthenticator(transcript);
         return this;
     }
 
@@ -60,19 +60,19 @@
                         new InetSocketAddress("127.0.0.1", 1),
                         Set.of(NodeRole.ENTRY));
         return HelloProto.newBuilder()
-                .setProtocol(Handshake.PROTOCOL)
+                .setProtocol(Handshake.PROTOCOL_VERSION)
                 .setIdentity(Identities.encode(identity))
                 .setNonce(ByteString.copyFrom(new byte[NONCE_BYTES]))
                 .build()
                 .toByteArray();
     }
 
-    byte[] seal(EnvelopeProto envelope) {
-        return sealBytes(envelope.toByteArray());
+    byte[] sign(EnvelopeProto envelope) {
+        return signBytes(envelope.toByteArray());
     }
 
-    byte[] sealBytes(byte[] message) {
-        return mSeal.seal(message);
+    byte[] signBytes(byte[] message) {
+        return mAuthenticator.sign(message);
     }
 
     RawPeer send(byte[] frame) throws IOException {
@@ -88,22 +88,22 @@
         return this;
     }
 
-    /** The next message of the other side. */
-    EnvelopeProto answer() throws IOException {
-        return EnvelopeProto.parseFrom(mSeal.open(receive()).orElseThrow());
+    /** Receives and verifies the next message. */
+    EnvelopeProto receiveEnvelope() throws IOException {
+        return EnvelopeProto.parseFrom(mAuthenticator.verify(receiveFrame()).orElseThrow());
     }
 
-    byte[] receive() throws IOException {
+    byte[] receiveFrame() throws IOException {
         byte[] frame = new byte[mIn.readInt()];
         mIn.readFully(frame);
         return frame;
     }
 
-    /** Reads up to the end of the connection; true when the other side cut it. */
-    boolean isCut() {
+    /** Reads until the end of the stream; true if the other side closed the connection. */
+    boolean isDisconnected() {
         try {
             while (mIn.read() >= 0) {
-                // What is still on the way does not matter.
+                // Discards remaining data.
             }
             return true;
         } catch (SocketTimeoutException e) {
