--- a/foxtail-core/src/main/java/org/foxtailplank/job/AdviceTerms.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/AdviceTiming.java
@@ -7,4 +7,4 @@
  * @param perWorkerMs additional response time per worker in the request, in milliseconds
  * @param validMs validity period of a ticket, in milliseconds
  */
-public record AdviceTerms(long baseMs, long perWorkerMs, long validMs) {}
+public record AdviceTiming(long baseMs, long perWorkerMs, long validMs) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobDefinition.java
@@ -11,19 +11,19 @@
  * @param text opaque text passed to each task
  * @param steps steps of the job, in dependency order
  * @param timetable when the steps run
- * @param terms settings of the queue when the job was accepted
+ * @param policy settings of the queue when the job was accepted
  * @param acceptedMs when the job was accepted, in milliseconds since the epoch
  */
-public record JobOrder(
+public record JobDefinition(
         String id,
         String route,
         String service,
         String text,
         List<TaskStep> steps,
         Timetable timetable,
-        QueueTerms terms,
+        QueuePolicy policy,
         long acceptedMs) {
-    public JobOrder {
+    public JobDefinition {
         steps = List.copyOf(steps);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Whether the job contains a task of this name. */
-    public boolean has(TaskName task) {
+    public boolean contains(TaskName task) {
         return task.step() >= 0
                 && task.step() < steps.size()
                 && task.index() >= 0
@@ -78,7 +78,7 @@
     }
 
     /** Estimated work of one run, in millicore-milliseconds. */
-    public double work() {
+    public double estimatedWork() {
         double sum = 0;
         for (TaskStep s : steps) {
             sum += (double) s.tasks() * s.estimateMs() * s.demand().milliProcessors();
@@ -87,7 +87,7 @@
     }
 
     /** Estimated length of the critical path through the steps, in milliseconds. */
-    public long chainMs() {
+    public long criticalPathMs() {
         long[] ends = new long[steps.size()];
         long longest = 0;
         for (int i = 0; i < ends.length; i++) {
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobEntry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobProgress.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /** State of one job, replayed from the journal. */
-public final class JobEntry {
-    private final JobOrder mOrder;
+public final class JobProgress {
+    private final JobDefinition mOrder;
     private final BitSet mDoneTasks = new BitSet();
     private final Map<Integer, Set<Integer>> mFailedAttempts = new HashMap<>();
     private final Map<Integer, JournalRecord.StartedRun> mLastStarts = new HashMap<>();
@@ -24,23 +24,23 @@
     private boolean mFailed;
     private long mEndedMs;
 
-    JobEntry(JobOrder order) {
+    JobProgress(JobDefinition order) {
         mOrder = order;
         mSnapshotMs = order.acceptedMs();
         mTaskCount = order.tasksPerRun() * order.timetable().runs();
     }
 
-    public JobOrder order() {
+    public JobDefinition definition() {
         return mOrder;
     }
 
     /** When the last snapshot was taken, in milliseconds since the epoch. */
-    public long statedMs() {
+    public long snapshotMs() {
         return mSnapshotMs;
     }
 
     /** Takes a snapshot of the complete state as one record. */
-    public JournalRecord.JobRestated restate(long nowMs) {
+    public JournalRecord.JobSnapshot snapshot(long nowMs) {
         mSnapshotMs = nowMs;
         List<JournalRecord.EndedRun> ends = new ArrayList<>();
         mDoneTasks.stream().forEach(p -> ends.add(endedRun(mOrder.task(p), 0, RunOutcome.DONE)));
@@ -48,7 +48,7 @@
                 (p, attempts) ->
                         attempts.forEach(
                                 a -> ends.add(endedRun(mOrder.task(p), a, RunOutcome.FAILED))));
-        return new JournalRecord.JobRestated(
+        return new JournalRecord.JobSnapshot(
                 mOrder, List.copyOf(mLastStarts.values()), ends, mCancelledMs);
     }
 
@@ -97,7 +97,7 @@
      * the start order may never arrive.
      */
     void recordStart(JournalRecord.StartedRun run) {
-        if (mOrder.has(run.task())) {
+        if (mOrder.contains(run.task())) {
             mLastStarts.merge(
                     mOrder.position(run.task()), run, (a, b) -> a.attempt() > b.attempt() ? a : b);
         }
@@ -109,7 +109,7 @@
     }
 
     /** Whether a worker has reported the start of a task. */
-    public boolean hasBegun() {
+    public boolean hasStarted() {
         return mStarted;
     }
 
@@ -128,7 +128,7 @@
     }
 
     void recordEnd(JournalRecord.EndedRun run) {
-        if (!mOrder.has(run.task()) || phase().isFinal()) {
+        if (!mOrder.contains(run.task()) || phase().isFinal()) {
             return;
         }
         mStarted = true;
@@ -159,15 +159,15 @@
 
     private void countFailure(JournalRecord.EndedRun run) {
         // A gang fails as a whole, so its failures are counted for its first task.
-        TaskName task = counted(run.task());
+        TaskName task = failureTask(run.task());
         Set<Integer> attempts =
                 mFailedAttempts.computeIfAbsent(mOrder.position(task), p -> new HashSet<>());
         attempts.add(run.attempt());
-        mFailed |= attempts.size() >= mOrder.terms().maxAttempts();
+        mFailed |= attempts.size() >= mOrder.policy().maxAttempts();
     }
 
     /** The task that failures of a task are counted for: the first one of its gang, or itself. */
-    public TaskName counted(TaskName task) {
+    public TaskName failureTask(TaskName task) {
         boolean gang = mOrder.steps().get(task.step()).placement().gang();
         return gang ? new TaskName(task.job(), task.run(), task.step(), 0) : task;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobBook.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobRegistry.java
@@ -12,10 +12,10 @@
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobRestated;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.JobSnapshot;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
@@ -30,7 +30,7 @@
  * before the record that introduces the job. They are buffered until the job is known; otherwise a
  * new owner could miss a start and run the task a second time.
  */
-public final class JobBook {
+public final class JobRegistry {
     /**
      * Maximum number of unknown jobs with buffered records; the oldest are evicted. Large enough
      * for all jobs of a partition outage of two minutes, since a new owner would repeat a lost
@@ -38,7 +38,7 @@
      */
     private static final int MAX_BUFFERED_JOBS = 10_000;
 
-    private final Map<String, JobEntry> mJobs = new LinkedHashMap<>();
+    private final Map<String, JobProgress> mJobs = new LinkedHashMap<>();
     private final Map<Long, Set<String>> mRebootedVms = new HashMap<>();
     private final Map<Long, Long> mWaveDueMs = new HashMap<>();
     private final Set<Long> mCompletedWaves = new HashSet<>();
@@ -50,16 +50,16 @@
      *
      * @param endedRetentionMs how long an ended job can be queried, in milliseconds
      */
-    public JobBook(long endedRetentionMs) {
+    public JobRegistry(long endedRetentionMs) {
         mEndedRetentionMs = endedRetentionMs;
     }
 
     /** Applies one record and returns the job it introduces, if any. */
-    public Optional<JobEntry> apply(JournalRecord record) {
+    public Optional<JobProgress> apply(JournalRecord record) {
         if (record instanceof JobAccepted r) {
-            return applyAccepted(r.order());
+            return applyAccepted(r.definition());
         }
-        if (record instanceof JobRestated r) {
+        if (record instanceof JobSnapshot r) {
             return applySnapshot(r);
         }
         if (record instanceof JobCancelled r) {
@@ -78,11 +78,11 @@
                                 j -> j.recordStart(run),
                                 () -> buffer(id, new RunsStarted(List.of(run))));
             }
-        } else if (record instanceof JobsBegun r) {
+        } else if (record instanceof JobsStarted r) {
             for (String id : r.jobs()) {
                 job(id).ifPresentOrElse(
-                                JobEntry::markStarted,
-                                () -> buffer(id, new JobsBegun(List.of(id))));
+                                JobProgress::markStarted,
+                                () -> buffer(id, new JobsStarted(List.of(id))));
             }
         } else if (record instanceof VmRebooted r) {
             mRebootedVms.computeIfAbsent(r.wave(), w -> new HashSet<>()).add(r.vm());
@@ -90,21 +90,21 @@
             mWaveDueMs.merge(r.wave(), r.dueMs(), Math::min);
         } else if (record instanceof WaveCompleted r) {
             mCompletedWaves.add(r.wave());
-        } else if (!(record instanceof OwnerAlive || record instanceof OwnerLeft)) {
+        } else if (!(record instanceof OwnerHeartbeat || record instanceof OwnerResigned)) {
             throw new IllegalStateException("unsupported journal record " + record.getClass());
         }
         return Optional.empty();
     }
 
-    private Optional<JobEntry> applyAccepted(JobOrder order) {
+    private Optional<JobProgress> applyAccepted(JobDefinition order) {
         if (mJobs.containsKey(order.id())) {
             return Optional.empty();
         }
-        return Optional.of(add(new JobEntry(order)));
+        return Optional.of(add(new JobProgress(order)));
     }
 
-    private JobEntry add(JobEntry entry) {
-        String id = entry.order().id();
+    private JobProgress add(JobProgress entry) {
+        String id = entry.definition().id();
         mJobs.put(id, entry);
         List<JournalRecord> buffered = mBufferedRecords.remove(id);
         if (buffered != null) {
@@ -121,10 +121,10 @@
         }
     }
 
-    private Optional<JobEntry> applySnapshot(JobRestated record) {
-        Optional<JobEntry> known = job(record.order().id());
+    private Optional<JobProgress> applySnapshot(JobSnapshot record) {
+        Optional<JobProgress> known = job(record.definition().id());
         // After a gap in the journal, a known job may lack records that the snapshot contains.
-        JobEntry entry = known.orElseGet(() -> new JobEntry(record.order()));
+        JobProgress entry = known.orElseGet(() -> new JobProgress(record.definition()));
         record.starts().forEach(entry::recordStart);
         record.ends().forEach(entry::recordEnd);
         if (record.cancelledMs() > 0) {
@@ -134,7 +134,7 @@
     }
 
     /** Takes a snapshot of the state of all waves as records to be written to the journal. */
-    public List<JournalRecord> restateWaves() {
+    public List<JournalRecord> snapshotWaves() {
         List<JournalRecord> records = new ArrayList<>();
         mCompletedWaves.forEach(w -> records.add(new WaveCompleted(w)));
         mRebootedVms.forEach(
@@ -157,11 +157,11 @@
         return Optional.ofNullable(mWaveDueMs.get(wave));
     }
 
-    public Optional<JobEntry> job(String id) {
+    public Optional<JobProgress> job(String id) {
         return Optional.ofNullable(mJobs.get(id));
     }
 
-    public Collection<JobEntry> jobs() {
+    public Collection<JobProgress> jobs() {
         return mJobs.values();
     }
 
@@ -178,8 +178,8 @@
     /** Number of accepted jobs of a queue of which no task has started. */
     public int pending(String route) {
         int count = 0;
-        for (JobEntry j : mJobs.values()) {
-            if (j.phase() == JobPhase.QUEUED && j.order().route().equals(route)) {
+        for (JobProgress j : mJobs.values()) {
+            if (j.phase() == JobPhase.QUEUED && j.definition().route().equals(route)) {
                 count++;
             }
         }
@@ -187,7 +187,7 @@
     }
 
     /** Removes ended jobs whose retention period is over. */
-    public void forgetEnded(long nowMs) {
+    public void removeExpired(long nowMs) {
         mJobs.values().removeIf(j -> j.endedMs() > 0 && j.endedMs() + mEndedRetentionMs < nowMs);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
@@ -6,21 +6,24 @@
 public sealed interface JournalRecord {
 
     /** A job was accepted; further records with the same job ID are ignored. */
-    record JobAccepted(JobOrder order) implements JournalRecord {}
+    record JobAccepted(JobDefinition definition) implements JournalRecord {}
 
     /**
      * Snapshot of a job's state, written before the platform's retention drops the original
      * records.
      *
-     * @param order the job
+     * @param definition the job
      * @param starts the last start of each started task
      * @param ends ends of tasks that are done and of failed attempts
      * @param cancelledMs when it was cancelled, in milliseconds since the epoch; 0 if it was not
      */
-    record JobRestated(
-            JobOrder order, List<StartedRun> starts, List<EndedRun> ends, long cancelledMs)
+    record JobSnapshot(
+            JobDefinition definition,
+            List<StartedRun> starts,
+            List<EndedRun> ends,
+            long cancelledMs)
             implements JournalRecord {
-        public JobRestated {
+        public JobSnapshot {
             starts = List.copyOf(starts);
             ends = List.copyOf(ends);
         }
@@ -50,8 +53,8 @@
     }
 
     /** Workers have reported the start of a task of each of these jobs. */
-    record JobsBegun(List<String> jobs) implements JournalRecord {
-        public JobsBegun {
+    record JobsStarted(List<String> jobs) implements JournalRecord {
+        public JobsStarted {
             jobs = List.copyOf(jobs);
         }
     }
@@ -72,17 +75,18 @@
      * @param address address for other nodes, as {@code ip:port}
      * @param ownedMs time since it took over, by its own monotonic clock, in milliseconds
      */
-    record OwnerAlive(long token, String address, long ownedMs) implements JournalRecord {}
+    record OwnerHeartbeat(long token, String address, long ownedMs) implements JournalRecord {}
 
     /**
      * An owner has given up ownership.
      *
      * @param token its fencing token
      * @param node name of its node
-     * @param callsOver whether no call to the VM service by it or an earlier owner can still be in
-     *     flight
+     * @param vmCallsFinished whether no call to the VM service by it or an earlier owner can still
+     *     be in flight
      */
-    record OwnerLeft(long token, String node, boolean callsOver) implements JournalRecord {}
+    record OwnerResigned(long token, String node, boolean vmCallsFinished)
+            implements JournalRecord {}
 
     /** The reboot of a VM for a wave has begun. */
     record VmRebooted(long wave, String vm) implements JournalRecord {}
--- a/foxtail-core/src/main/java/org/foxtailplank/job/PlacementRule.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/PlacementConstraints.java
@@ -9,7 +9,8 @@
  * @param dataRack rack that holds the input data; empty if there is none
  * @param maxPerWorker maximum number of tasks of the step on one worker; 0 for no limit
  */
-public record PlacementRule(
+public record PlacementConstraints(
         boolean gang, boolean sameRack, String requiredLabel, String dataRack, int maxPerWorker) {
-    public static final PlacementRule ANYWHERE = new PlacementRule(false, false, "", "", 0);
+    public static final PlacementConstraints ANYWHERE =
+            new PlacementConstraints(false, false, "", "", 0);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/QueueTerms.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/QueuePolicy.java
@@ -11,5 +11,5 @@
  * @param sloMs constant added to the objective, in milliseconds
  * @param advice settings of the queue's placement advice service, if it has one
  */
-public record QueueTerms(
-        int priority, int maxAttempts, double stretch, long sloMs, Optional<AdviceTerms> advice) {}
+public record QueuePolicy(
+        int priority, int maxAttempts, double stretch, long sloMs, Optional<AdviceTiming> advice) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/job/RunMode.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/RunMode.java
@@ -6,16 +6,16 @@
  * @param speculative whether redundant copies of a task may run concurrently
  * @param standing whether the tasks run until the job is cancelled
  * @param checkpoints whether a task can resume from a checkpoint
- * @param fills whether the tasks use only processor time that other tasks leave idle
- * @param targetMs tail latency objective of a serving task, in milliseconds; 0 for none
- * @param mayMiss maximum number of tasks of the step that may be unavailable at a time
+ * @param opportunistic whether the tasks use only processor time that other tasks leave idle
+ * @param latencyObjectiveMs tail latency objective of a serving task, in milliseconds; 0 for none
+ * @param maxUnavailable maximum number of tasks of the step that may be unavailable at a time
  */
 public record RunMode(
         boolean speculative,
         boolean standing,
         boolean checkpoints,
-        boolean fills,
-        long targetMs,
-        int mayMiss) {
+        boolean opportunistic,
+        long latencyObjectiveMs,
+        int maxUnavailable) {
     public static final RunMode PLAIN = new RunMode(false, false, false, false, 0, 0);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/RunView.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/RunStatus.java
@@ -10,7 +10,7 @@
  * @param gauge tail latency in milliseconds for a serving task, otherwise processor use in
  *     millicores; measured over the last half second
  */
-public record RunView(TaskName task, int attempt, String checkpoint, double percent, long gauge) {
+public record RunStatus(TaskName task, int attempt, String checkpoint, double percent, long gauge) {
     /** Progress at which a standing task counts as ready. */
-    public static final double AT_WORK = 100;
+    public static final double READY_PERCENT = 100;
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/TaskStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/TaskStep.java
@@ -18,7 +18,7 @@
         Resources demand,
         long estimateMs,
         List<Integer> dependsOn,
-        PlacementRule placement,
+        PlacementConstraints placement,
         RunMode mode) {
     public TaskStep {
         dependsOn = List.copyOf(dependsOn);
@@ -26,7 +26,7 @@
 
     /** Resources that one task reserves on its worker; tasks on idle time reserve no processor. */
     public Resources reserved() {
-        return mode.fills()
+        return mode.opportunistic()
                 ? new Resources(0, demand.memoryBytes(), demand.accelerators())
                 : demand;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/CallerBodies.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/CallerCodec.java
@@ -6,10 +6,10 @@
 import org.foxtailplank.job.Timetable;
 
 /** Format of the requests and responses of callers. */
-public interface CallerBodies {
+public interface CallerCodec {
 
     /** Parses the body of a job submission. */
-    Submission read(byte[] body) throws BadBodyException;
+    Submission read(byte[] body) throws InvalidBodyException;
 
     /** Name of the request header with the caller's timeout in milliseconds. */
     String deadlineHeader();
@@ -34,10 +34,10 @@
     }
 
     /** Thrown for a body that isn't a valid submission; the message gives the reason. */
-    final class BadBodyException extends Exception {
+    final class InvalidBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public BadBodyException(String message) {
+        public InvalidBodyException(String message) {
             super(message);
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/Feed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/ChangeFeed.java
@@ -9,10 +9,10 @@
  *
  * @param <T> type of the values
  */
-public interface Feed<T> {
+public interface ChangeFeed<T> {
 
     /** Reads the latest value of each key. */
-    void newest(Consumer<Result<T>> then);
+    void latest(Consumer<Result<T>> then);
 
     /** Reads the changes from a position on; waits up to {@code waitMs} for the first one. */
     void changes(long position, long waitMs, Consumer<Result<T>> then);
--- a/foxtail-core/src/main/java/org/foxtailplank/port/OrderOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/CommandOutcome.java
@@ -1,7 +1,7 @@
 package org.foxtailplank.port;
 
 /** Outcome of a command to a worker. */
-public enum OrderOutcome {
+public enum CommandOutcome {
     /** Executed, by this or an earlier request. */
     DONE,
     /** Rejected: the worker has seen a higher fencing token. */
--- a/foxtail-core/src/main/java/org/foxtailplank/port/FleetConfig.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/FleetConfig.java
@@ -12,7 +12,7 @@
  * @param maxBodyBytes maximum size of a caller's request body, in bytes
  */
 public record FleetConfig(
-        long version, List<RouteSettings> routes, List<PoolService> services, int maxBodyBytes) {
+        long version, List<RouteSettings> routes, List<ServiceConfig> services, int maxBodyBytes) {
     public FleetConfig {
         routes = List.copyOf(routes);
         services = List.copyOf(services);
@@ -32,12 +32,12 @@
         return Optional.ofNullable(match);
     }
 
-    public Optional<PoolService> service(String name) {
+    public Optional<ServiceConfig> service(String name) {
         return services.stream().filter(s -> s.name().equals(name)).findFirst();
     }
 
     /** Whether a service is a standby, whose VMs are switched off; false for an unknown one. */
     public boolean isStandby(String name) {
-        return service(name).map(PoolService::standby).orElse(false);
+        return service(name).map(ServiceConfig::standby).orElse(false);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WaveOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/MaintenanceWave.java
@@ -8,10 +8,10 @@
  * @param number number of the wave
  * @param vms the VMs
  * @param durationMs time within which all VMs must be rebooted, in milliseconds
- * @param atOnce maximum number of VMs of the wave that may be down at a time
+ * @param maxConcurrent maximum number of VMs of the wave that may be down at a time
  */
-public record WaveOrder(long number, List<String> vms, long durationMs, int atOnce) {
-    public WaveOrder {
+public record MaintenanceWave(long number, List<String> vms, long durationMs, int maxConcurrent) {
+    public MaintenanceWave {
         vms = List.copyOf(vms);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvice.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvisor.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Client of the service that decides which workers may run the steps of some queues. */
-public interface PlacementAdvice {
+public interface PlacementAdvisor {
 
     /** Requests tickets for those of the workers that may run a step of one run of a job. */
     void ask(String job, int run, int step, List<String> workers, Consumer<Advice> then);
--- a/foxtail-core/src/main/java/org/foxtailplank/port/RouteSettings.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/RouteSettings.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.port;
 
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.QueuePolicy;
 
 /**
  * Configuration of a queue that callers submit jobs to.
@@ -9,7 +9,7 @@
  * @param host value of the {@code Host} header of its requests
  * @param pathPrefix path prefix of its requests
  * @param service service whose workers run the tasks
- * @param terms scheduling settings of the queue
+ * @param policy scheduling settings of the queue
  */
 public record RouteSettings(
-        String name, String host, String pathPrefix, String service, QueueTerms terms) {}
+        String name, String host, String pathPrefix, String service, QueuePolicy policy) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/port/PoolService.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/ServiceConfig.java
@@ -7,4 +7,4 @@
  * @param enforcesCapacity whether its workers reject tasks that exceed their free resources
  * @param standby whether its VMs are switched off and incur no cost
  */
-public record PoolService(String name, boolean enforcesCapacity, boolean standby) {}
+public record ServiceConfig(String name, boolean enforcesCapacity, boolean standby) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/port/VmActions.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/VmClient.java
@@ -6,7 +6,7 @@
 import org.foxtailplank.fleet.Resources;
 
 /** Client of the platform's VM service. */
-public interface VmActions {
+public interface VmClient {
 
     /** Lists all VMs. */
     void list(Consumer<Optional<List<VmInfo>>> then);
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WorkerOrders.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WorkerClient.java
@@ -3,23 +3,24 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.foxtailplank.job.RunEnd;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.foxtailplank.job.TaskName;
 
 /** Client for commands to workers; each command carries the ID of the addressed worker. */
-public interface WorkerOrders {
+public interface WorkerClient {
 
     /** Starts a run of a task; idempotent. */
-    void start(WorkerAddress worker, StartOrder order, Consumer<OrderAnswer> then);
+    void start(WorkerAddress worker, StartCommand order, Consumer<CommandResponse> then);
 
     /** Stops a run; a start of the same run that arrives later is rejected. */
-    void stop(WorkerAddress worker, RunOrder order, Consumer<OrderAnswer> then);
+    void stop(WorkerAddress worker, RunCommand order, Consumer<CommandResponse> then);
 
     /** Throttles a run to a percentage of its speed. */
-    void pace(WorkerAddress worker, RunOrder order, int percent, Consumer<OrderAnswer> then);
+    void throttle(
+            WorkerAddress worker, RunCommand order, int percent, Consumer<CommandResponse> then);
 
     /** Acknowledges ends, renews the lease of all runs, and lists running and ended runs. */
-    void look(WorkerAddress worker, LookOrder order, Consumer<LookAnswer> then);
+    void poll(WorkerAddress worker, PollCommand order, Consumer<PollResponse> then);
 
     /**
      * Address of a worker.
@@ -38,8 +39,8 @@
      * @param ticket ticket of the placement advice service; empty if none is needed
      * @param leaseUntilMs end of the lease, by the worker's clock
      */
-    record StartOrder(
-            RunOrder run, String text, String checkpoint, String ticket, long leaseUntilMs) {}
+    record StartCommand(
+            RunCommand run, String text, String checkpoint, String ticket, long leaseUntilMs) {}
 
     /**
      * Identifies a run, with the fencing token of the owner that sends the command.
@@ -48,7 +49,7 @@
      * @param attempt number of the attempt
      * @param token fencing token of the owner
      */
-    record RunOrder(TaskName task, int attempt, long token) {}
+    record RunCommand(TaskName task, int attempt, long token) {}
 
     /**
      * Command to list the runs of a worker.
@@ -58,15 +59,15 @@
      * @param leaseUntilMs new end of the lease, by the worker's clock; 0 to keep the current one
      * @param waitMs how long to wait for an end, in milliseconds
      */
-    record LookOrder(long token, long acknowledged, long leaseUntilMs, long waitMs) {}
+    record PollCommand(long token, long acknowledged, long leaseUntilMs, long waitMs) {}
 
     /** Result of a command, with the worker's clock in milliseconds, or -1 if it is unknown. */
-    record OrderAnswer(OrderOutcome outcome, long clockMs) {}
+    record CommandResponse(CommandOutcome outcome, long clockMs) {}
 
-    /** Result of {@link #look}. */
-    record LookAnswer(
-            OrderOutcome outcome, long clockMs, List<RunView> running, List<RunEnd> ended) {
-        public LookAnswer {
+    /** Result of {@link #poll}. */
+    record PollResponse(
+            CommandOutcome outcome, long clockMs, List<RunStatus> running, List<RunEnd> ended) {
+        public PollResponse {
             running = List.copyOf(running);
             ended = List.copyOf(ended);
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
@@ -3,34 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.TaskName;
 
 /** A job that has not ended, with the runs of its steps. */
 public final class ActiveJob {
-    private final JobEntry mEntry;
+    private final JobProgress mEntry;
     private final List<ActiveRun> mRuns = new ArrayList<>();
     private boolean mEnding;
     private boolean mStarted;
 
-    ActiveJob(JobEntry entry) {
+    ActiveJob(JobProgress entry) {
         mEntry = entry;
-        for (int r = 0; r < entry.order().timetable().runs(); r++) {
+        for (int r = 0; r < entry.definition().timetable().runs(); r++) {
             mRuns.add(new ActiveRun(this, r));
         }
     }
 
     public String id() {
-        return mEntry.order().id();
+        return mEntry.definition().id();
     }
 
-    public JobEntry entry() {
+    public JobProgress entry() {
         return mEntry;
     }
 
-    public JobOrder order() {
-        return mEntry.order();
+    public JobDefinition order() {
+        return mEntry.definition();
     }
 
     List<ActiveRun> runs() {
@@ -38,7 +38,7 @@
     }
 
     Optional<ActiveTask> task(TaskName name) {
-        if (!order().has(name)) {
+        if (!order().contains(name)) {
             return Optional.empty();
         }
         ActiveStep step = mRuns.get(name.run()).steps().get(name.step());
@@ -47,7 +47,7 @@
 
     /** Marks the job as started; returns whether the journal doesn't say so yet. */
     boolean markStarted() {
-        boolean isNew = !mStarted && !mEntry.hasBegun();
+        boolean isNew = !mStarted && !mEntry.hasStarted();
         mStarted = true;
         return isNew;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 
@@ -17,20 +17,20 @@
     ActiveRun(ActiveJob job, int number) {
         mJob = job;
         mNumber = number;
-        JobEntry entry = job.entry();
-        JobOrder order = entry.order();
+        JobProgress entry = job.entry();
+        JobDefinition order = entry.definition();
         mDueWallMs = order.timetable().dueMs(number);
         for (int s = 0; s < order.steps().size(); s++) {
             mSteps.add(step(entry, s));
         }
     }
 
-    private ActiveStep step(JobEntry entry, int number) {
-        TaskStep spec = entry.order().steps().get(number);
+    private ActiveStep step(JobProgress entry, int number) {
+        TaskStep spec = entry.definition().steps().get(number);
         ActiveStep step = new ActiveStep(this, number, spec);
         List<ActiveTask> tasks = new ArrayList<>(spec.tasks());
         for (int i = 0; i < spec.tasks(); i++) {
-            TaskName name = new TaskName(entry.order().id(), mNumber, number, i);
+            TaskName name = new TaskName(entry.definition().id(), mNumber, number, i);
             tasks.add(new ActiveTask(name, step, entry.isDone(name)));
         }
         step.setTasks(tasks);
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveStep.java
@@ -75,7 +75,7 @@
     int runsOn(WorkerState worker) {
         int count = 0;
         for (TaskRun r : worker.runs()) {
-            count += r.slot().step() == this ? 1 : 0;
+            count += r.task().step() == this ? 1 : 0;
         }
         return count;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/AdviceRequests.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/AdviceRequests.java
@@ -29,7 +29,7 @@
                         .anyMatch(w -> w.isUsable(nowMs) && step.ticket(w.id(), nowMs).isPresent());
         if (!canGoOn && !unknown.isEmpty()) {
             step.markAdvicePending();
-            out.asks().add(new Decisions.Ask(step, unknown));
+            out.adviceRequests().add(new Decisions.AdviceRequest(step, unknown));
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.schedule;
 
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 
 /**
  * Computes the capacity that jobs need to meet their objectives, in thousandths of a core.
@@ -23,17 +23,17 @@
             return (double) run.remainingWork() / Math.max(LATE_MS, criticalPathMs);
         }
         long periodMs =
-                run.hasWaitingTask() ? criticalPathMs : Urgency.objectiveMs(run) - nowWallMs;
+                run.hasWaitingTask() ? criticalPathMs : UrgencyOrder.objectiveMs(run) - nowWallMs;
         return (double) run.remainingWork() / Math.max(criticalPathMs, periodMs);
     }
 
     /** Whether a run can no longer meet its objective. */
     static boolean isLate(ActiveRun run, long nowWallMs) {
-        return Urgency.slackMs(run, nowWallMs) < 0;
+        return UrgencyOrder.slackMs(run, nowWallMs) < 0;
     }
 
     /** Capacity that a new job needs if none of its tasks has to wait. */
-    static double of(JobOrder order) {
-        return order.work() / Math.max(1, Urgency.objectiveLengthMs(order));
+    static double of(JobDefinition order) {
+        return order.estimatedWork() / Math.max(1, UrgencyOrder.objectiveLengthMs(order));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
@@ -9,7 +9,7 @@
     private final List<Start> mStarts = new ArrayList<>();
     private final List<TaskRun> mStops = new ArrayList<>();
     private final List<Pace> mPaces = new ArrayList<>();
-    private final List<Ask> mAsks = new ArrayList<>();
+    private final List<AdviceRequest> mAsks = new ArrayList<>();
 
     /** A start order to send, for the first time or again. */
     public record Start(TaskRun run, String ticket) {}
@@ -18,8 +18,8 @@
     public record Pace(TaskRun run, int percent) {}
 
     /** A request for placement advice on a step. */
-    public record Ask(ActiveStep step, List<String> workers) {
-        public Ask {
+    public record AdviceRequest(ActiveStep step, List<String> workers) {
+        public AdviceRequest {
             workers = List.copyOf(workers);
         }
 
@@ -49,7 +49,7 @@
         return mPaces;
     }
 
-    public List<Ask> asks() {
+    public List<AdviceRequest> adviceRequests() {
         return mAsks;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/DueWave.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/DueWave.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.schedule;
 
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
 
 /**
  * A maintenance wave with its deadline.
@@ -8,4 +8,4 @@
  * @param order the operator's order
  * @param dueMs time by which all VMs should be rebooted, on this process's monotonic clock
  */
-public record DueWave(WaveOrder order, long dueMs) {}
+public record DueWave(MaintenanceWave order, long dueMs) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ListedLives.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ListedIncarnations.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.foxtailplank.port.VmActions.VmInfo;
+import org.foxtailplank.port.VmClient.VmInfo;
 
 /**
  * The incarnations of workers that a list of VMs names.
@@ -12,11 +12,11 @@
  * would start its tasks a second time. A list with such an entry doesn't prove that any incarnation
  * has ended.
  */
-public final class ListedLives {
+public final class ListedIncarnations {
     private final Set<String> mIncarnations = new HashSet<>();
     private final boolean mComplete;
 
-    public ListedLives(List<VmInfo> vms) {
+    public ListedIncarnations(List<VmInfo> vms) {
         vms.forEach(v -> mIncarnations.add(v.worker()));
         mComplete = !vms.isEmpty() && vms.stream().allMatch(VmInfo::isReadable);
     }
@@ -31,7 +31,7 @@
     }
 
     /** Whether an incarnation that existed before the list was requested has certainly ended. */
-    public boolean isOver(String incarnation) {
+    public boolean hasEnded(String incarnation) {
         return mComplete && !mIncarnations.contains(incarnation);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ManagedVm.java
@@ -1,19 +1,19 @@
 package org.foxtailplank.schedule;
 
 import java.util.Optional;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmPhase;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmPhase;
 
 /** A VM and the action that the owner plans for it. */
-public final class VmState {
+public final class ManagedVm {
     private VmInfo mInfo;
-    private Optional<VmAction> mPlanned = Optional.empty();
+    private Optional<PlannedVmAction> mPlanned = Optional.empty();
     private boolean mCallPending;
     private long mPlannedMs;
     private String mPreviousWorker = "";
     private long mLastMoveMs = Long.MIN_VALUE / 2;
 
-    VmState(VmInfo info) {
+    ManagedVm(VmInfo info) {
         mInfo = info;
     }
 
@@ -36,15 +36,15 @@
 
     /** Whether the VM is being rebooted or a reboot is planned. */
     boolean isRebooting() {
-        boolean chosen = mPlanned.isPresent() && mPlanned.get() instanceof VmAction.Reboot;
+        boolean chosen = mPlanned.isPresent() && mPlanned.get() instanceof PlannedVmAction.Reboot;
         return chosen || mInfo.phase() == VmPhase.REBOOTING;
     }
 
-    Optional<VmAction> planned() {
+    Optional<PlannedVmAction> planned() {
         return mPlanned;
     }
 
-    void plan(VmAction action, long nowMs) {
+    void plan(PlannedVmAction action, long nowMs) {
         mPlanned = Optional.of(action);
         mPlannedMs = nowMs;
         mCallPending = false;
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ManagedVms.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmOutcome;
-import org.foxtailplank.port.VmActions.VmPhase;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmOutcome;
+import org.foxtailplank.port.VmClient.VmPhase;
 
 /** All VMs, as listed by the platform and changed by the owner since. */
-public final class VmTable {
-    private final Map<String, VmState> mVms = new LinkedHashMap<>();
+public final class ManagedVms {
+    private final Map<String, ManagedVm> mVms = new LinkedHashMap<>();
     private boolean mComplete = true;
 
     /**
@@ -29,7 +29,7 @@
             names.add(info.id());
             if (info.isReadable()
                     && lastActionMs.getOrDefault(info.id(), Long.MIN_VALUE) < askedMs) {
-                mVms.computeIfAbsent(info.id(), id -> new VmState(info)).updateInfo(info);
+                mVms.computeIfAbsent(info.id(), id -> new ManagedVm(info)).updateInfo(info);
             }
         }
         if (mComplete) {
@@ -46,7 +46,7 @@
     Set<String> replacedIncarnations(List<VmInfo> infos) {
         Set<String> replaced = new HashSet<>();
         for (VmInfo info : infos) {
-            VmState known = mVms.get(info.id());
+            ManagedVm known = mVms.get(info.id());
             boolean changed = known != null && !known.info().worker().equals(info.worker());
             if (changed && info.isReadable()) {
                 replaced.add(known.info().worker());
@@ -56,16 +56,16 @@
         return replaced;
     }
 
-    Collection<VmState> all() {
+    Collection<ManagedVm> all() {
         return mVms.values();
     }
 
-    Optional<VmState> vm(String id) {
+    Optional<ManagedVm> vm(String id) {
         return Optional.ofNullable(mVms.get(id));
     }
 
-    Optional<VmState> ofWorker(String worker) {
-        for (VmState v : mVms.values()) {
+    Optional<ManagedVm> ofWorker(String worker) {
+        for (ManagedVm v : mVms.values()) {
             if (v.info().worker().equals(worker)) {
                 return Optional.of(v);
             }
@@ -74,10 +74,10 @@
     }
 
     /** Applies the platform's answer to an action. */
-    static void applyOutcome(VmState vm, VmAction action, VmOutcome outcome, long nowMs) {
+    static void applyOutcome(ManagedVm vm, PlannedVmAction action, VmOutcome outcome, long nowMs) {
         vm.setCallPending(false);
         VmInfo info = vm.info();
-        if (outcome == VmOutcome.DONE && action instanceof VmAction.Move move) {
+        if (outcome == VmOutcome.DONE && action instanceof PlannedVmAction.Move move) {
             vm.applyAction(new VmInfo(info.id(), move.pool(), VmPhase.MOVING, "", info.capacity()));
             vm.recordMove(nowMs);
         } else if (outcome == VmOutcome.DONE) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Reach.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/OwnerReachability.java
@@ -10,7 +10,7 @@
  * The owner is cut off if the VM service has not answered for some time and many workers are
  * unresponsive; either alone also has causes that another owner would not cure.
  */
-public final class Reach {
+public final class OwnerReachability {
     /** Time without an answer of the VM service, in milliseconds; spans several lists. */
     private static final long UNANSWERED_MS = 1800;
 
@@ -21,7 +21,7 @@
      */
     private static final double UNRESPONSIVE_SHARE = 0.45;
 
-    private Reach() {}
+    private OwnerReachability() {}
 
     /** Whether another node could probably reach more. */
     public static boolean isCutOff(
@@ -30,7 +30,8 @@
             return false;
         }
         long listed = workers.stream().filter(WorkerState::isListed).count();
-        long unresponsive = workers.stream().filter(w -> w.isListed() && w.isSilent()).count();
+        long unresponsive =
+                workers.stream().filter(w -> w.isListed() && w.isUnresponsive()).count();
         return unresponsive > UNRESPONSIVE_SHARE * listed;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
@@ -32,8 +32,8 @@
         boolean serves = false;
         boolean fills = false;
         for (TaskRun r : worker.runs()) {
-            serves |= r.slot().spec().mode().targetMs() > 0;
-            fills |= r.slot().spec().mode().fills();
+            serves |= r.task().spec().mode().latencyObjectiveMs() > 0;
+            fills |= r.task().spec().mode().opportunistic();
         }
         return serves && fills;
     }
@@ -50,7 +50,7 @@
         }
         List<Decisions.Pace> changes = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            boolean fills = r.slot().spec().mode().fills();
+            boolean fills = r.task().spec().mode().opportunistic();
             if (fills && r.phase() == RunPhase.RUNNING && r.pace() != pace) {
                 r.setPace(pace);
                 changes.add(new Decisions.Pace(r, pace));
@@ -71,7 +71,7 @@
     private static double worstTailRatio(WorkerState worker) {
         double worst = 0;
         for (TaskRun r : worker.runs()) {
-            long target = r.slot().spec().mode().targetMs();
+            long target = r.task().spec().mode().latencyObjectiveMs();
             if (target > 0 && r.isReady()) {
                 worst = Math.max(worst, (double) r.tailLatencyMs() / target);
             }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/LookEffects.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PollResult.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.foxtailplank.job.RunEnd;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 
 /**
  * Results of polling a worker.
@@ -11,8 +11,8 @@
  * @param lost runs that the worker should have but doesn't list
  * @param orphans runs that must be stopped since their jobs are unknown or have ended
  */
-public record LookEffects(List<RunEnd> toStore, List<TaskRun> lost, List<RunView> orphans) {
-    public LookEffects {
+public record PollResult(List<RunEnd> toStore, List<TaskRun> lost, List<RunStatus> orphans) {
+    public PollResult {
         toStore = List.copyOf(toStore);
         lost = List.copyOf(lost);
         orphans = List.copyOf(orphans);
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolBalance.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolBalancer.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Optional;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.PoolService;
-import org.foxtailplank.port.VmActions.VmPhase;
+import org.foxtailplank.port.ServiceConfig;
+import org.foxtailplank.port.VmClient.VmPhase;
 
 /**
  * Moves VMs to pools with long queues, and idle VMs to the standby pool.
@@ -23,7 +23,7 @@
  * <p>Late jobs, as in the backlog after an outage, only get VMs that no other pool needs, and lose
  * them as soon as another queue's jobs can meet their objectives with them.
  */
-final class PoolBalance {
+final class PoolBalancer {
     /** Factor on the demand, since tasks don't fill workers completely. */
     private static final double HEADROOM = 1.1;
 
@@ -46,11 +46,11 @@
     private static final int MIN_SPARE_VMS = 1;
 
     private final Scheduler mScheduler;
-    private final VmTable mVms;
+    private final ManagedVms mVms;
     private final PoolDemand mDemand;
     private final Map<String, Long> mSpareSinceMs = new HashMap<>();
 
-    PoolBalance(Scheduler scheduler, VmTable vms) {
+    PoolBalancer(Scheduler scheduler, ManagedVms vms) {
         mScheduler = scheduler;
         mVms = vms;
         mDemand = new PoolDemand(scheduler);
@@ -58,7 +58,7 @@
 
     private static final class Pool {
         final String mName;
-        final List<VmState> mMovable = new ArrayList<>();
+        final List<ManagedVm> mMovable = new ArrayList<>();
         final long mVmMilliCores;
         double mMissingMilliCores;
         double mLateMilliCores;
@@ -113,13 +113,13 @@
             long nowMs,
             long nowWallMs) {
         Map<String, Pool> pools = new LinkedHashMap<>();
-        for (PoolService s : config.services()) {
+        for (ServiceConfig s : config.services()) {
             if (!s.standby()) {
                 pools.put(s.name(), new Pool(s.name(), largestVm()));
             }
         }
-        List<VmState> standby = new ArrayList<>();
-        for (VmState vm : mVms.all()) {
+        List<ManagedVm> standby = new ArrayList<>();
+        for (ManagedVm vm : mVms.all()) {
             countPlanned(pools, vm);
             Pool pool = pools.get(vm.info().pool());
             if (pool != null) {
@@ -143,7 +143,7 @@
     /** Capacity of the largest VM, in thousandths of a core. */
     private long largestVm() {
         long largest = 1;
-        for (VmState vm : mVms.all()) {
+        for (ManagedVm vm : mVms.all()) {
             largest = Math.max(largest, vm.info().capacity().milliProcessors());
         }
         return largest;
@@ -153,8 +153,8 @@
      * Counts a VM that is to move for its target pool, even while its last runs continue. Without
      * this every decision would select further VMs until the first one has moved.
      */
-    private static void countPlanned(Map<String, Pool> pools, VmState vm) {
-        if (vm.planned().isPresent() && vm.planned().get() instanceof VmAction.Move move) {
+    private static void countPlanned(Map<String, Pool> pools, ManagedVm vm) {
+        if (vm.planned().isPresent() && vm.planned().get() instanceof PlannedVmAction.Move move) {
             Pool pool = pools.get(move.pool());
             if (pool != null) {
                 pool.addIncoming(vm.info().capacity().milliProcessors());
@@ -163,7 +163,7 @@
     }
 
     /** Counts the VM's batch capacity, and notes whether it can move. */
-    private void addVm(Pool pool, VmState vm, long nowMs) {
+    private void addVm(Pool pool, ManagedVm vm, long nowMs) {
         long vmMilliCores = vm.info().capacity().milliProcessors();
         Optional<WorkerState> worker = mScheduler.worker(vm.info().worker());
         boolean moving = vm.info().phase() == VmPhase.MOVING;
@@ -194,7 +194,7 @@
         return HEADROOM * (mDemand.onTimeMilliCores(service, nowWallMs) + arriving);
     }
 
-    private void assignVms(Map<String, Pool> pools, List<VmState> standby, long nowMs) {
+    private void assignVms(Map<String, Pool> pools, List<ManagedVm> standby, long nowMs) {
         List<Pool> byNeed = new ArrayList<>(pools.values());
         byNeed.sort(
                 Comparator.comparing(Pool::needsVmForStanding)
@@ -202,7 +202,7 @@
                         .reversed());
         for (Pool pool : byNeed) {
             while (pool.missingVms() > MIN_MISSING_SHARE) {
-                Optional<VmState> vm =
+                Optional<ManagedVm> vm =
                         standby.isEmpty()
                                 ? takeSpareVm(pools, pool)
                                 : Optional.of(standby.remove(0));
@@ -212,25 +212,25 @@
                 if (vm.isEmpty()) {
                     break;
                 }
-                vm.get().plan(new VmAction.Move(pool.mName, "the pool lacks VMs"), nowMs);
+                vm.get().plan(new PlannedVmAction.Move(pool.mName, "the pool lacks VMs"), nowMs);
                 pool.addIncoming(vm.get().info().capacity().milliProcessors());
             }
         }
     }
 
     /** Assigns standby VMs to pools with late jobs. */
-    private void assignVmsForLateJobs(Collection<Pool> pools, List<VmState> standby, long nowMs) {
+    private void assignVmsForLateJobs(Collection<Pool> pools, List<ManagedVm> standby, long nowMs) {
         for (Pool pool : pools) {
             while (!standby.isEmpty() && pool.missingVmsWithLate() > MIN_MISSING_SHARE) {
-                VmState vm = standby.remove(0);
-                vm.plan(new VmAction.Move(pool.mName, "late jobs are waiting"), nowMs);
+                ManagedVm vm = standby.remove(0);
+                vm.plan(new PlannedVmAction.Move(pool.mName, "late jobs are waiting"), nowMs);
                 pool.addIncoming(vm.info().capacity().milliProcessors());
             }
         }
     }
 
     /** Capacity reserved on a VM, in thousandths of a core. */
-    private long used(VmState vm) {
+    private long used(ManagedVm vm) {
         return mScheduler
                 .worker(vm.info().worker())
                 .map(w -> w.used().milliProcessors())
@@ -238,7 +238,7 @@
     }
 
     /** Takes the least used VM of the pool with the most spare VMs. */
-    private static Optional<VmState> takeSpareVm(Map<String, Pool> pools, Pool to) {
+    private static Optional<ManagedVm> takeSpareVm(Map<String, Pool> pools, Pool to) {
         Pool from = null;
         for (Pool p : pools.values()) {
             boolean spare =
@@ -247,14 +247,14 @@
                 from = p;
             }
         }
-        return Optional.ofNullable(from).map(PoolBalance::removeMovable);
+        return Optional.ofNullable(from).map(PoolBalancer::removeMovable);
     }
 
     /**
      * Takes the least used VM of the pool with the most movable VMs. Standing tasks have
      * precedence: without this they would wait, and delay a wave, as long as all pools are busy.
      */
-    private static Optional<VmState> takeBusyVm(Map<String, Pool> pools, Pool to) {
+    private static Optional<ManagedVm> takeBusyVm(Map<String, Pool> pools, Pool to) {
         Pool from = null;
         for (Pool p : pools.values()) {
             boolean candidate =
@@ -263,18 +263,18 @@
                 from = p;
             }
         }
-        return Optional.ofNullable(from).map(PoolBalance::removeMovable);
+        return Optional.ofNullable(from).map(PoolBalancer::removeMovable);
     }
 
-    private static VmState removeMovable(Pool pool) {
-        VmState vm = pool.mMovable.remove(0);
+    private static ManagedVm removeMovable(Pool pool) {
+        ManagedVm vm = pool.mMovable.remove(0);
         pool.mMissingMilliCores += vm.info().capacity().milliProcessors();
         return vm;
     }
 
     private void releaseSpareVms(FleetConfig config, Map<String, Pool> pools, long nowMs) {
-        Optional<PoolService> standby =
-                config.services().stream().filter(PoolService::standby).findFirst();
+        Optional<ServiceConfig> standby =
+                config.services().stream().filter(ServiceConfig::standby).findFirst();
         if (standby.isEmpty()) {
             return;
         }
@@ -287,8 +287,10 @@
             while (nowMs - since > SPARE_DELAY_MS
                     && pool.missingVmsWithLate() <= -1 - MIN_SPARE_VMS
                     && !pool.mMovable.isEmpty()) {
-                VmState vm = removeMovable(pool);
-                vm.plan(new VmAction.Move(standby.get().name(), "the pool has spare VMs"), nowMs);
+                ManagedVm vm = removeMovable(pool);
+                vm.plan(
+                        new PlannedVmAction.Move(standby.get().name(), "the pool has spare VMs"),
+                        nowMs);
             }
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolDemand.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolDemand.java
@@ -100,7 +100,7 @@
         if (toMove == 0) {
             return 0;
         }
-        int maxConcurrent = Math.max(1, step.spec().mode().mayMiss());
+        int maxConcurrent = Math.max(1, step.spec().mode().maxUnavailable());
         int needed =
                 (Math.min(toMove, PLACES_PER_CONCURRENT_MOVE * maxConcurrent)
                                 + tasksPerWorker(step)
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
@@ -46,7 +46,7 @@
             Resources room = w.free();
             for (TaskRun r : w.runs()) {
                 if (r.phase() == RunPhase.STOPPING) {
-                    room = room.plus(r.slot().spec().reserved());
+                    room = room.plus(r.task().spec().reserved());
                 }
             }
             boolean fits = task.spec().reserved().fitsIn(room);
@@ -58,17 +58,17 @@
     }
 
     private static Optional<List<TaskRun>> victims(ActiveTask task, WorkerState worker) {
-        int priority = task.step().job().order().terms().priority();
+        int priority = task.step().job().order().policy().priority();
         List<TaskRun> candidates = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            boolean lowerPriority = r.slot().step().job().order().terms().priority() > priority;
-            boolean standing = r.slot().spec().mode().standing();
+            boolean lowerPriority = r.task().step().job().order().policy().priority() > priority;
+            boolean standing = r.task().spec().mode().standing();
             if (lowerPriority && !standing && r.phase() == RunPhase.RUNNING) {
                 candidates.add(r);
             }
         }
         candidates.sort(
-                Comparator.comparing((TaskRun r) -> !r.slot().spec().mode().checkpoints())
+                Comparator.comparing((TaskRun r) -> !r.task().spec().mode().checkpoints())
                         .thenComparing(TaskRun::startedMs, Comparator.reverseOrder()));
         Resources room = worker.free();
         List<TaskRun> chosen = new ArrayList<>();
@@ -76,7 +76,7 @@
             if (task.spec().reserved().fitsIn(room)) {
                 break;
             }
-            room = room.plus(r.slot().spec().reserved());
+            room = room.plus(r.task().spec().reserved());
             chosen.add(r);
         }
         return task.spec().reserved().fitsIn(room) ? Optional.of(chosen) : Optional.empty();
@@ -87,8 +87,8 @@
         double sum = 0;
         for (TaskRun r : runs) {
             double ageMs = nowMs - r.startedMs();
-            double lostShare = r.slot().spec().mode().checkpoints() ? 0.1 : 1;
-            sum += lostShare * ageMs * r.slot().spec().demand().milliProcessors();
+            double lostShare = r.task().spec().mode().checkpoints() ? 0.1 : 1;
+            sum += lostShare * ageMs * r.task().spec().demand().milliProcessors();
         }
         return sum;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.foxtailplank.job.JobEntry;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.JournalRecord.StartedRun;
 import org.foxtailplank.job.RunEnd;
 import org.foxtailplank.job.RunOutcome;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.foxtailplank.job.TaskName;
-import org.foxtailplank.port.WorkerOrders.LookAnswer;
+import org.foxtailplank.port.WorkerClient.PollResponse;
 
 /** Tracks active jobs and the runs of their tasks, and applies the workers' reports. */
 final class RunTable {
     /** Most ends in one answer; if it is full, a missing run may have ended in a later one. */
     private static final int MAX_ENDS_PER_POLL = 500;
 
-    private final UsualTimes mUsualTimes = new UsualTimes();
+    private final RunTimeRatios mUsualTimes = new RunTimeRatios();
     private final Map<String, ActiveJob> mJobs = new LinkedHashMap<>();
     private final Map<TaskName, Set<Integer>> mFailures = new HashMap<>();
     private final List<String> mStartedJobs = new ArrayList<>();
@@ -36,10 +36,10 @@
     }
 
     /** Adds a job unless it is known or final; returns whether it was added. */
-    boolean add(JobEntry entry) {
-        boolean isNew = !entry.phase().isFinal() && !mJobs.containsKey(entry.order().id());
+    boolean add(JobProgress entry) {
+        boolean isNew = !entry.phase().isFinal() && !mJobs.containsKey(entry.definition().id());
         if (isNew) {
-            mJobs.put(entry.order().id(), new ActiveJob(entry));
+            mJobs.put(entry.definition().id(), new ActiveJob(entry));
         }
         return isNew;
     }
@@ -82,12 +82,12 @@
     }
 
     void addRun(TaskRun run) {
-        run.slot().runs().add(run);
+        run.task().runs().add(run);
         run.worker().add(run);
     }
 
     void removeRun(TaskRun run) {
-        run.slot().runs().remove(run);
+        run.task().runs().remove(run);
         run.worker().remove(run);
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** Applies a worker's answer to a poll that was sent at {@code sentMs}. */
-    LookEffects applyPoll(WorkerState worker, LookAnswer answer, long sentMs, long nowMs) {
+    PollResult applyPoll(WorkerState worker, PollResponse answer, long sentMs, long nowMs) {
         List<RunEnd> toStore = new ArrayList<>();
         long lastSequence = 0;
         for (RunEnd end : answer.ended()) {
@@ -145,14 +145,14 @@
         }
         worker.setSeenEnds(lastSequence);
         Set<TaskRun> listed = new HashSet<>();
-        List<RunView> orphans = new ArrayList<>();
-        for (RunView view : answer.running()) {
+        List<RunStatus> orphans = new ArrayList<>();
+        for (RunStatus view : answer.running()) {
             updateRun(worker, view, nowMs).ifPresentOrElse(listed::add, () -> orphans.add(view));
         }
         boolean allEnds = answer.ended().size() < MAX_ENDS_PER_POLL;
         List<TaskRun> lost = allEnds ? findLostRuns(worker, listed, sentMs) : List.of();
         lost.forEach(this::removeRun);
-        return new LookEffects(toStore, lost, orphans);
+        return new PollResult(toStore, lost, orphans);
     }
 
     /** Notes that a worker confirmed a run of the job. */
@@ -169,11 +169,11 @@
         return started;
     }
 
-    private Optional<TaskRun> updateRun(WorkerState worker, RunView view, long nowMs) {
+    private Optional<TaskRun> updateRun(WorkerState worker, RunStatus view, long nowMs) {
         Optional<TaskRun> known = worker.run(view.task(), view.attempt());
         if (known.isPresent()) {
             known.get().update(view, nowMs);
-            recordJobStarted(known.get().slot().step().job());
+            recordJobStarted(known.get().task().step().job());
             return known;
         }
         Optional<ActiveTask> task = job(view.task().job()).flatMap(j -> j.task(view.task()));
@@ -184,7 +184,7 @@
     }
 
     /** Adds a run started by a previous owner; stops it if the task doesn't need it. */
-    private TaskRun adopt(ActiveTask task, WorkerState worker, RunView view, long nowMs) {
+    private TaskRun adopt(ActiveTask task, WorkerState worker, RunStatus view, long nowMs) {
         boolean needed = task.isWaiting() && !task.step().job().isEnding();
         TaskRun run = new TaskRun(task, worker, view.attempt(), nowMs);
         task.recordAttempt(view.attempt());
@@ -239,8 +239,8 @@
 
     private void recordRunTime(TaskRun run, long nowMs) {
         double elapsedMs = nowMs - run.firstSeenMs();
-        double ratio = elapsedMs / Math.max(1, run.slot().spec().estimateMs());
-        mUsualTimes.recordRun(run.slot().step().job().order().service(), ratio);
+        double ratio = elapsedMs / Math.max(1, run.task().spec().estimateMs());
+        mUsualTimes.recordRun(run.task().step().job().order().service(), ratio);
     }
 
     /** Typical ratio of actual to estimated run time in a service. */
@@ -285,11 +285,11 @@
         }
         // A stored end may be reported again to a new owner. Counting distinct attempt numbers
         // keeps it from counting twice.
-        TaskName counted = job.entry().counted(end.task());
+        TaskName counted = job.entry().failureTask(end.task());
         Set<Integer> attempts = mFailures.computeIfAbsent(counted, t -> new HashSet<>());
         attempts.addAll(job.entry().failedAttempts(counted));
         attempts.add(end.attempt());
-        if (attempts.size() >= job.order().terms().maxAttempts()) {
+        if (attempts.size() >= job.order().policy().maxAttempts()) {
             endJob(job, "a task reached its maximum number of attempts", nowMs);
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/UsualTimes.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTimeRatios.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Tracks the ratio of actual to estimated run time by service, as a moving average. */
-final class UsualTimes {
+final class RunTimeRatios {
     /** Weight of the newest run in the average. */
     private static final double NEWEST_WEIGHT = 0.05;
 
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ScheduleLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ScheduleLimits.java
@@ -14,7 +14,7 @@
     private static final long CLOCK_READING_MS = 200;
 
     /** Time after which a lease has certainly expired, counted from when it was granted. */
-    public long surelyLapsedMs() {
+    public long leaseExpiryMs() {
         return (long) (leaseMs * (1 + 2 * CLOCK_DRIFT)) + CLOCK_READING_MS;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.JournalRecord.StartedRun;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskName;
+import org.foxtailplank.port.CommandOutcome;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.PlacementAdvice.Advice;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.PlacementAdvisor.Advice;
+import org.foxtailplank.port.ServiceConfig;
+import org.foxtailplank.port.WorkerClient.PollResponse;
 import org.foxtailplank.port.WorkerInfo;
-import org.foxtailplank.port.WorkerOrders.LookAnswer;
 
 /**
  * Tracks jobs and workers for the owner and decides which runs to start and stop.
@@ -53,7 +53,7 @@
     }
 
     /** Adds a worker or updates what is known of it. */
-    public void worker(WorkerInfo info, long nowMs) {
+    public void updateWorker(WorkerInfo info, long nowMs) {
         WorkerState known = mWorkers.get(info.id());
         if (known == null) {
             mWorkers.put(info.id(), new WorkerState(info, nowMs));
@@ -66,12 +66,12 @@
      * Handles the removal of a worker from the directory. Its runs continue until they end or its
      * lease expires.
      */
-    public void workerUnlisted(String id) {
+    public void unlistWorker(String id) {
         worker(id).ifPresent(WorkerState::markUnlisted);
     }
 
     /** Removes a worker whose incarnation has ended and returns the runs that ended with it. */
-    public List<TaskRun> workerOver(String id) {
+    public List<TaskRun> removeWorker(String id) {
         WorkerState worker = mWorkers.remove(id);
         if (worker == null) {
             return List.of();
@@ -98,8 +98,8 @@
     }
 
     /** Adds an accepted job, unless it is known or final. */
-    public void job(JobEntry entry, long nowMs) {
-        JobOrder order = entry.order();
+    public void addJob(JobProgress entry, long nowMs) {
+        JobDefinition order = entry.definition();
         boolean isNew = mRuns.add(entry);
         if (isNew && !order.isStanding() && !order.timetable().isTimed()) {
             mArrivals.recordArrival(order.service(), CoreDemand.of(order), nowMs);
@@ -115,19 +115,21 @@
      * end counts as running until its worker has been polled, its incarnation has ended or its
      * lease has expired, so that no task is started twice.
      */
-    public void inherit(JobEntry entry, Predicate<String> isOver, long nowMs) {
+    public void addInheritedJob(JobProgress entry, Predicate<String> isOver, long nowMs) {
         if (!mRuns.add(entry)) {
             return;
         }
         for (StartedRun start : entry.lastStarts()) {
-            mRuns.job(entry.order().id())
+            mRuns.job(entry.definition().id())
                     .flatMap(j -> j.task(start.task()))
                     .ifPresent(s -> s.recordAttempt(start.attempt()));
             if (!entry.hasEnded(start) && !isOver.test(start.worker())) {
                 WorkerState worker =
                         mWorkers.computeIfAbsent(
                                 start.worker(),
-                                id -> WorkerState.withoutInfo(id, entry.order().service(), nowMs));
+                                id ->
+                                        WorkerState.withoutInfo(
+                                                id, entry.definition().service(), nowMs));
                 mRuns.inherit(start, worker, nowMs);
             }
         }
@@ -139,10 +141,11 @@
     }
 
     /** Applies a worker's answer to a poll. */
-    public LookEffects looked(WorkerState worker, LookAnswer answer, long sentMs, long nowMs) {
+    public PollResult pollAnswered(
+            WorkerState worker, PollResponse answer, long sentMs, long nowMs) {
         worker.recordAnswer(answer.clockMs(), nowMs);
         worker.markPolled();
-        LookEffects effects = mRuns.applyPoll(worker, answer, sentMs, nowMs);
+        PollResult effects = mRuns.applyPoll(worker, answer, sentMs, nowMs);
         if (effects.toStore().isEmpty()) {
             worker.updateStoredEnds();
         } else {
@@ -150,21 +153,21 @@
         }
         mPaceChanges.addAll(PaceControl.adjust(worker, nowMs));
         for (TaskRun r :
-                SlowWorkers.find(worker, mRuns.usualRatio(worker.info().service()), nowMs)) {
+                SlowWorkerDetector.find(worker, mRuns.usualRatio(worker.info().service()), nowMs)) {
             if (hasBetterWorker(r, nowMs)) {
-                r.requestStop(SlowWorkers.describe(r, nowMs), nowMs);
+                r.requestStop(SlowWorkerDetector.describe(r, nowMs), nowMs);
             }
         }
         return effects;
     }
 
     /** Releases starts for sending once the journal has them; drops those no longer needed. */
-    public void recorded(List<TaskRun> starts) {
+    public void startsRecorded(List<TaskRun> starts) {
         for (TaskRun r : starts) {
-            if (r.phase() != RunPhase.PLANNED || !r.slot().runs().contains(r)) {
+            if (r.phase() != RunPhase.PLANNED || !r.task().runs().contains(r)) {
                 continue;
             }
-            if (r.slot().isDone() || r.slot().step().job().isEnding()) {
+            if (r.task().isDone() || r.task().step().job().isEnding()) {
                 mRuns.removeRun(r);
             } else {
                 r.markRecorded();
@@ -173,12 +176,12 @@
     }
 
     /** Returns the jobs whose first task has started since the last call. */
-    public List<String> takeBegun() {
+    public List<String> takeStartedJobs() {
         return mRuns.takeStartedJobs();
     }
 
     /** Applies the end of a run that the journal reports. */
-    public void recorded(TaskName name, RunOutcome outcome, long nowMs) {
+    public void runEndRecorded(TaskName name, RunOutcome outcome, long nowMs) {
         mRuns.recordEnd(name, outcome, nowMs);
     }
 
@@ -186,7 +189,7 @@
     private boolean hasBetterWorker(TaskRun run, long nowMs) {
         for (WorkerState w : workersOf(run.worker().info().service())) {
             boolean suitable = w != run.worker() && !w.isSlow(nowMs);
-            if (suitable && WorkerChooser.canRunNow(run.slot(), w, nowMs)) {
+            if (suitable && WorkerChooser.canRunNow(run.task(), w, nowMs)) {
                 return true;
             }
         }
@@ -194,22 +197,22 @@
     }
 
     /** Marks a worker that didn't answer a poll as unresponsive. */
-    public void lookFailed(WorkerState worker) {
+    public void pollFailed(WorkerState worker) {
         worker.markUnresponsive();
     }
 
     /** Queues a start again that could not be sent yet. */
-    public void startDelayed(TaskRun run) {
+    public void retryStart(TaskRun run) {
         run.setOrderDue(true);
     }
 
     /** Applies a worker's answer to a start order. */
-    public void startAnswered(TaskRun run, OrderOutcome outcome, long nowMs) {
+    public void startAnswered(TaskRun run, CommandOutcome outcome, long nowMs) {
         WorkerState worker = run.worker();
         switch (outcome) {
             case DONE -> {
                 run.confirm(nowMs);
-                mRuns.recordJobStarted(run.slot().step().job());
+                mRuns.recordJobStarted(run.task().step().job());
             }
             case NO_ROOM -> {
                 worker.markFullUntil(nowMs + NO_ROOM_PAUSE_MS);
@@ -220,7 +223,7 @@
                 dropRefusedRun(run, nowMs);
             }
             case NO_TICKET -> {
-                run.slot().step().removeTicket(worker.id());
+                run.task().step().removeTicket(worker.id());
                 dropRefusedRun(run, nowMs);
             }
             case NOT_SENT -> {
@@ -255,8 +258,8 @@
     }
 
     /** Applies a worker's answer to a stop order. */
-    public void stopAnswered(TaskRun run, OrderOutcome outcome, long nowMs) {
-        if (outcome == OrderOutcome.DONE) {
+    public void stopAnswered(TaskRun run, CommandOutcome outcome, long nowMs) {
+        if (outcome == CommandOutcome.DONE) {
             run.recordStopAccepted(nowMs);
         } else {
             run.setOrderDue(true);
@@ -264,7 +267,7 @@
     }
 
     /** Applies the answer to an advice request, or its failure. */
-    public void advised(Decisions.Ask ask, Advice advice, long nowMs) {
+    public void adviceAnswered(Decisions.AdviceRequest ask, Advice advice, long nowMs) {
         if (advice.answered()) {
             ask.step().recordAdvice(ask.workers(), advice.tickets(), nowMs + advice.validMs());
         } else {
@@ -281,12 +284,12 @@
     }
 
     /** Removes and returns the runs of unresponsive workers whose leases have certainly expired. */
-    public List<TaskRun> takeLapsed(long nowMs) {
+    public List<TaskRun> removeExpiredRuns(long nowMs) {
         List<TaskRun> lapsed = new ArrayList<>();
         for (WorkerState w : mWorkers.values()) {
-            long renewedMs = Math.max(w.grantedMs(), mOthersRenewedUntilMs);
-            boolean expired = nowMs > renewedMs + mLimits.surelyLapsedMs();
-            if (w.isSilent() && expired) {
+            long renewedMs = Math.max(w.leaseRenewedMs(), mOthersRenewedUntilMs);
+            boolean expired = nowMs > renewedMs + mLimits.leaseExpiryMs();
+            if (w.isUnresponsive() && expired) {
                 lapsed.addAll(w.runs());
             }
         }
@@ -295,10 +298,10 @@
     }
 
     /** Removes and returns unresponsive workers that are unlisted and have no runs. */
-    public List<WorkerState> takeForgotten() {
+    public List<WorkerState> removeStaleWorkers() {
         List<WorkerState> stale = new ArrayList<>();
         for (WorkerState w : mWorkers.values()) {
-            if (!w.isListed() && w.isSilent() && w.runs().isEmpty()) {
+            if (!w.isListed() && w.isUnresponsive() && w.runs().isEmpty()) {
                 stale.add(w);
             }
         }
@@ -310,7 +313,7 @@
     public List<PoolLoad> loads(FleetConfig config, long nowMs, long nowWallMs) {
         Map<String, List<ActiveRun>> due = dueRunsByService(nowWallMs);
         List<PoolLoad> loads = new ArrayList<>();
-        for (PoolService s : config.services()) {
+        for (ServiceConfig s : config.services()) {
             List<ActiveRun> runs = due.getOrDefault(s.name(), List.of());
             loads.add(PoolLoadCalculator.of(s.name(), workersOf(s.name()), runs, nowMs));
         }
@@ -326,7 +329,7 @@
         resendOrders(out, nowMs);
         for (Map.Entry<String, List<ActiveRun>> e : dueRunsByService(nowWallMs).entrySet()) {
             List<ActiveRun> sorted =
-                    Urgency.sort(e.getValue(), batchCores(e.getKey(), nowMs), nowWallMs);
+                    UrgencyOrder.sort(e.getValue(), batchCores(e.getKey(), nowMs), nowWallMs);
             mPlacer.place(sorted, workersOf(e.getKey()), out, nowMs);
         }
         return out;
@@ -364,7 +367,7 @@
     }
 
     private static String ticket(TaskRun run, long nowMs) {
-        return run.slot().step().ticket(run.worker().id(), nowMs).orElse("");
+        return run.task().step().ticket(run.worker().id(), nowMs).orElse("");
     }
 
     private Map<String, List<ActiveRun>> dueRunsByService(long nowWallMs) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/SlowWorkers.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/SlowWorkerDetector.java
@@ -11,7 +11,7 @@
  * single slow run may just be a long one, so a worker counts as slow only if the mean of its runs
  * exceeds their estimates several times.
  */
-final class SlowWorkers {
+final class SlowWorkerDetector {
     /** A run without progress for this time is stalled, in milliseconds. */
     private static final long STALLED_MS = 1800;
 
@@ -44,7 +44,7 @@
 
     private static final double FULL_PERCENT = 100;
 
-    private SlowWorkers() {}
+    private SlowWorkerDetector() {}
 
     /**
      * Returns the runs to stop and start elsewhere.
@@ -83,13 +83,13 @@
                 isStalled(run, nowMs) ? "stalled" : "slow",
                 run.progress(),
                 nowMs - run.firstSeenMs(),
-                run.slot().spec().estimateMs());
+                run.task().spec().estimateMs());
     }
 
     private static void addSlowRuns(
             WorkerState worker, double usualRatio, long nowMs, List<TaskRun> found) {
         for (TaskRun r : worker.runs()) {
-            boolean batch = !r.slot().spec().mode().standing();
+            boolean batch = !r.task().spec().mode().standing();
             if (batch
                     && r.phase() == RunPhase.RUNNING
                     && !found.contains(r)
@@ -103,24 +103,24 @@
     private static boolean endsSoonerElsewhere(TaskRun run, double usualRatio, long nowMs) {
         double ageMs = nowMs - run.firstSeenMs();
         double leftMs = ageMs / Math.max(1, run.progress()) * (FULL_PERCENT - run.progress());
-        double restartMs = usualRatio * run.slot().spec().estimateMs();
+        double restartMs = usualRatio * run.task().spec().estimateMs();
         return ageMs > MIN_AGE_MS && leftMs > MIN_SPEEDUP * restartMs;
     }
 
     private static boolean isStalled(TaskRun run, long nowMs) {
-        if (run.slot().spec().mode().standing()) {
+        if (run.task().spec().mode().standing()) {
             return run.progress() < FULL_PERCENT && nowMs - run.progressChangedMs() > STARTUP_MS;
         }
-        boolean gang = run.slot().spec().placement().gang();
+        boolean gang = run.task().spec().placement().gang();
         return !gang
                 && run.progress() < FULL_PERCENT
                 && nowMs - run.progressChangedMs() > STALLED_MS;
     }
 
     private static boolean isRepresentative(TaskRun run, long nowMs) {
-        return !run.slot().spec().mode().standing()
-                && !run.slot().spec().mode().fills()
-                && !WorkerChooser.isRemote(run.slot(), run.worker())
+        return !run.task().spec().mode().standing()
+                && !run.task().spec().mode().opportunistic()
+                && !WorkerChooser.isRemote(run.task(), run.worker())
                 && run.progress() > MIN_PERCENT
                 && nowMs - run.firstSeenMs() > MIN_AGE_MS;
     }
@@ -128,6 +128,6 @@
     /** Ratio of the projected run time to the estimate. */
     static double ratio(TaskRun run, long nowMs) {
         double expected = (nowMs - run.firstSeenMs()) * FULL_PERCENT / run.progress();
-        return expected / Math.max(1, run.slot().spec().estimateMs());
+        return expected / Math.max(1, run.task().spec().estimateMs());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingMoves.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingMoves.java
@@ -40,9 +40,9 @@
      *
      * @param remaining VMs whose reboot has not begun
      */
-    StandingMoves(List<VmState> remaining, Scheduler scheduler) {
+    StandingMoves(List<ManagedVm> remaining, Scheduler scheduler) {
         mScheduler = scheduler;
-        for (VmState v : remaining) {
+        for (ManagedVm v : remaining) {
             Map<ActiveStep, Integer> tasks = tasks(v);
             tasks.forEach((step, count) -> step(step).mTasks += count);
             mMaxTasksOnOneVm =
@@ -54,29 +54,29 @@
     }
 
     private StepMoves step(ActiveStep step) {
-        int maxConcurrent = Math.max(1, step.spec().mode().mayMiss());
+        int maxConcurrent = Math.max(1, step.spec().mode().maxUnavailable());
         return mSteps.computeIfAbsent(step, s -> new StepMoves(maxConcurrent));
     }
 
-    private Map<ActiveStep, Integer> tasks(VmState vm) {
+    private Map<ActiveStep, Integer> tasks(ManagedVm vm) {
         Map<ActiveStep, Integer> tasks = new LinkedHashMap<>();
         worker(vm).ifPresent(w -> w.addStandingCounts(tasks));
         return tasks;
     }
 
-    private Optional<WorkerState> worker(VmState vm) {
+    private Optional<WorkerState> worker(ManagedVm vm) {
         return mScheduler.worker(vm.info().worker());
     }
 
     /** Records that a VM was selected, so that its tasks move as soon as their budget allows. */
-    void recordChosen(VmState vm) {
+    void recordChosen(ManagedVm vm) {
         worker(vm)
                 .ifPresent(
                         w -> {
                             for (TaskRun r : w.runs()) {
-                                boolean standing = r.slot().spec().mode().standing();
+                                boolean standing = r.task().spec().mode().standing();
                                 if (standing && r.phase() != RunPhase.STOPPING) {
-                                    step(r.slot().step()).mChosenTasks++;
+                                    step(r.task().step()).mChosenTasks++;
                                 }
                             }
                         });
@@ -101,12 +101,12 @@
     }
 
     /** Whether a VM has a task of a step whose moves need more than the given time. */
-    boolean isCritical(VmState vm, long timeMs) {
+    boolean isCritical(ManagedVm vm, long timeMs) {
         return tasks(vm).keySet().stream().anyMatch(s -> isCritical(step(s), timeMs));
     }
 
     /** Whether such a step has too few tasks on selected VMs to keep its moves going. */
-    boolean isNeededNow(VmState vm, long timeMs) {
+    boolean isNeededNow(ManagedVm vm, long timeMs) {
         return tasks(vm).keySet().stream()
                 .map(this::step)
                 .anyMatch(s -> isCritical(s, timeMs) && s.mChosenTasks < s.mMaxConcurrent);
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingPlaces.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingTaskReservations.java
@@ -15,18 +15,18 @@
  * capacity as soon as it is freed, so workers that admit the task get no new batch tasks until it
  * has moved.
  */
-final class StandingPlaces {
+final class StandingTaskReservations {
     /** Workers reserved for each concurrent move, to cover the next move too. */
     private static final int RESERVED_PER_CONCURRENT_MOVE = 2;
 
     private final Scheduler mScheduler;
 
-    StandingPlaces(Scheduler scheduler) {
+    StandingTaskReservations(Scheduler scheduler) {
         mScheduler = scheduler;
     }
 
     /** Selects the workers to reserve from now on and releases all others. */
-    void reserve(Iterable<VmState> vms, long nowMs) {
+    void reserve(Iterable<ManagedVm> vms, long nowMs) {
         Map<ActiveStep, List<ActiveTask>> tasksByStep = tasksToMove(vms);
         Set<WorkerState> reservedBefore = new HashSet<>();
         for (WorkerState w : mScheduler.workers()) {
@@ -39,9 +39,9 @@
     }
 
     /** Standing tasks that have to move, by step. */
-    private Map<ActiveStep, List<ActiveTask>> tasksToMove(Iterable<VmState> vms) {
+    private Map<ActiveStep, List<ActiveTask>> tasksToMove(Iterable<ManagedVm> vms) {
         Map<ActiveStep, List<ActiveTask>> tasksByStep = new LinkedHashMap<>();
-        for (VmState v : vms) {
+        for (ManagedVm v : vms) {
             boolean leaving = v.planned().isPresent() && v.isRebooting();
             if (leaving) {
                 mScheduler.worker(v.info().worker()).ifPresent(w -> addStanding(w, tasksByStep));
@@ -53,8 +53,8 @@
     private static void addStanding(
             WorkerState worker, Map<ActiveStep, List<ActiveTask>> tasksByStep) {
         for (TaskRun r : worker.runs()) {
-            if (r.slot().spec().mode().standing() && r.phase() != RunPhase.STOPPING) {
-                tasksByStep.computeIfAbsent(r.slot().step(), s -> new ArrayList<>()).add(r.slot());
+            if (r.task().spec().mode().standing() && r.phase() != RunPhase.STOPPING) {
+                tasksByStep.computeIfAbsent(r.task().step(), s -> new ArrayList<>()).add(r.task());
             }
         }
     }
@@ -62,7 +62,7 @@
     private void reserve(List<ActiveTask> tasks, Set<WorkerState> reservedBefore, long nowMs) {
         ActiveTask task = tasks.get(0);
         int tasksPerWorker = Math.max(1, task.spec().placement().maxPerWorker());
-        int maxConcurrent = Math.max(1, task.spec().mode().mayMiss());
+        int maxConcurrent = Math.max(1, task.spec().mode().maxUnavailable());
         int needed =
                 Math.min(
                         (tasks.size() + tasksPerWorker - 1) / tasksPerWorker,
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.schedule;
 
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 
 /** One run of a task on a worker. */
 public final class TaskRun {
@@ -45,7 +45,7 @@
         mConfirmedMs = nowMs;
     }
 
-    public ActiveTask slot() {
+    public ActiveTask task() {
         return mTask;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Why the run is being stopped. */
-    public String reason() {
+    public String stopReason() {
         return mStopReason;
     }
 
@@ -72,7 +72,7 @@
 
     /** Whether the run of a standing task is ready to serve. */
     public boolean isReady() {
-        return mPhase == RunPhase.RUNNING && mProgress >= RunView.AT_WORK;
+        return mPhase == RunPhase.RUNNING && mProgress >= RunStatus.READY_PERCENT;
     }
 
     /** Time of the worker's first confirmation, or else of the start. */
@@ -166,7 +166,7 @@
         mLastOrderMs = Long.MIN_VALUE / 2;
     }
 
-    void update(RunView view, long nowMs) {
+    void update(RunStatus view, long nowMs) {
         confirm(nowMs);
         if (view.percent() != mProgress) {
             mProgress = view.percent();
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Urgency.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/UrgencyOrder.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 
 /**
  * Orders jobs by urgency when there is too little capacity for all.
@@ -21,14 +21,14 @@
  * order makes all jobs of an overloaded queue slightly late. Deferred jobs follow, the shortest
  * first, and then late jobs, which have little value left.
  */
-final class Urgency {
+final class UrgencyOrder {
     private static final Comparator<Ranked> ORDER =
             Comparator.comparingInt((Ranked r) -> r.priority())
                     .thenComparing(Ranked::group)
                     .thenComparingLong(Ranked::key)
                     .thenComparing(r -> r.run().job().id());
 
-    private Urgency() {}
+    private UrgencyOrder() {}
 
     private enum Group {
         STANDING,
@@ -58,7 +58,7 @@
 
     private static Ranked rank(ActiveRun run, Set<ActiveRun> inTime, long nowWallMs) {
         ActiveJob job = run.job();
-        int priority = job.order().terms().priority();
+        int priority = job.order().policy().priority();
         if (job.order().isStanding()) {
             return new Ranked(run, priority, Group.STANDING, job.order().acceptedMs());
         }
@@ -80,7 +80,7 @@
                 workByRun.put(r, r.remainingWork());
             }
         }
-        candidates.sort(Comparator.comparingLong(Urgency::objectiveMs));
+        candidates.sort(Comparator.comparingLong(UrgencyOrder::objectiveMs));
         PriorityQueue<ActiveRun> largest =
                 new PriorityQueue<>(
                         Comparator.comparingLong((ActiveRun r) -> workByRun.get(r)).reversed());
@@ -105,13 +105,13 @@
 
     /** Deadline set by the run's objective, in milliseconds since 1970. */
     static long objectiveMs(ActiveRun run) {
-        JobOrder order = run.job().order();
+        JobDefinition order = run.job().order();
         long begin = run.dueWallMs() > 0 ? run.dueWallMs() : order.acceptedMs();
         return begin + objectiveLengthMs(order);
     }
 
     /** Time that the objective allows for one run of the steps, in milliseconds. */
-    static long objectiveLengthMs(JobOrder order) {
-        return (long) (order.terms().stretch() * order.chainMs()) + order.terms().sloMs();
+    static long objectiveLengthMs(JobDefinition order) {
+        return (long) (order.policy().stretch() * order.criticalPathMs()) + order.policy().sloMs();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.foxtailplank.job.JobBook;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmOutcome;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmOutcome;
 
 /** Decides which VMs are rebooted or moved, and evacuates their workers first. */
 public final class VmPlanner {
@@ -20,10 +20,10 @@
     private static final long JOIN_LEAD_MS = 2000;
 
     private final Scheduler mScheduler;
-    private final VmTable mVms = new VmTable();
-    private final WaveKeeper mWaves = new WaveKeeper();
-    private final PoolBalance mBalance;
-    private final StandingPlaces mReservations;
+    private final ManagedVms mVms = new ManagedVms();
+    private final WaveRebootSelector mWaves = new WaveRebootSelector();
+    private final PoolBalancer mBalance;
+    private final StandingTaskReservations mReservations;
     private final Map<String, Long> mLastActionMs = new HashMap<>();
     private final Map<Long, Set<String>> mRebooted = new HashMap<>();
     private final Set<Long> mReportedWaves = new HashSet<>();
@@ -32,8 +32,8 @@
     /** Creates a planner for the VMs of a scheduler's workers. */
     public VmPlanner(Scheduler scheduler) {
         mScheduler = scheduler;
-        mBalance = new PoolBalance(scheduler, mVms);
-        mReservations = new StandingPlaces(scheduler);
+        mBalance = new PoolBalancer(scheduler, mVms);
+        mReservations = new StandingTaskReservations(scheduler);
     }
 
     /**
@@ -50,7 +50,7 @@
     }
 
     /** A call to the platform. */
-    public record Call(VmState vm, VmAction action) {}
+    public record Call(ManagedVm vm, PlannedVmAction action) {}
 
     /**
      * Returns the incarnations of workers that have ended according to a list of VMs: a complete
@@ -61,14 +61,14 @@
      * may move between them. If an entry is unreadable, an incarnation has ended only if its VM is
      * listed with another one or with none.
      */
-    public List<WorkerState> overLives(List<VmInfo> vms, long askedMs) {
-        ListedLives listed = new ListedLives(vms);
+    public List<WorkerState> endedIncarnations(List<VmInfo> vms, long askedMs) {
+        ListedIncarnations listed = new ListedIncarnations(vms);
         Set<String> replaced = mVms.replacedIncarnations(vms);
         List<WorkerState> ended = new ArrayList<>();
         for (WorkerState w : mScheduler.workers()) {
             boolean listable =
                     mSeenIncarnations.contains(w.id()) || w.firstSeenMs() + JOIN_LEAD_MS < askedMs;
-            boolean missing = listed.isOver(w.id()) || replaced.contains(w.id());
+            boolean missing = listed.hasEnded(w.id()) || replaced.contains(w.id());
             if (listable && missing && !w.hasAnsweredSince(askedMs)) {
                 ended.add(w);
             }
@@ -81,15 +81,15 @@
     }
 
     /** Applies a list of all VMs that was requested at {@code askedMs}. */
-    public void listed(List<VmInfo> vms, long askedMs) {
+    public void applyList(List<VmInfo> vms, long askedMs) {
         mVms.update(vms, askedMs, mLastActionMs);
     }
 
     /** Applies the platform's answer to a call. */
-    public void answered(Call call, VmOutcome outcome, long nowMs) {
+    public void callAnswered(Call call, VmOutcome outcome, long nowMs) {
         mLastActionMs.put(call.vm().id(), nowMs);
-        VmTable.applyOutcome(call.vm(), call.action(), outcome, nowMs);
-        if (outcome == VmOutcome.DONE && call.action() instanceof VmAction.Reboot reboot) {
+        ManagedVms.applyOutcome(call.vm(), call.action(), outcome, nowMs);
+        if (outcome == VmOutcome.DONE && call.action() instanceof PlannedVmAction.Reboot reboot) {
             mRebooted.computeIfAbsent(reboot.wave(), w -> new HashSet<>()).add(call.vm().id());
         }
         if (call.vm().planned().isEmpty()) {
@@ -106,14 +106,14 @@
     public VmDecisions decide(
             FleetConfig config,
             Collection<DueWave> waves,
-            JobBook book,
+            JobRegistry book,
             boolean mayCall,
             long nowMs,
             long nowWallMs) {
         List<Long> completed = new ArrayList<>();
         mWaves.reset();
         for (DueWave due : waves) {
-            WaveOrder wave = due.order();
+            MaintenanceWave wave = due.order();
             if (mVms.all().isEmpty() || book.isCompleted(wave.number())) {
                 continue;
             }
@@ -131,12 +131,12 @@
     /**
      * Describes the VMs of a wave whose reboot has not begun, and what delays each, for the log.
      */
-    public List<String> left(WaveOrder wave, JobBook book, long nowMs) {
+    public List<String> describeRemaining(MaintenanceWave wave, JobRegistry book, long nowMs) {
         WaveReport report = new WaveReport(mScheduler, nowMs);
         Set<String> rebooted = rebooted(wave, book);
         List<String> left = new ArrayList<>();
         for (String id : wave.vms()) {
-            Optional<VmState> vm = mVms.vm(id);
+            Optional<ManagedVm> vm = mVms.vm(id);
             if (vm.isPresent() && !rebooted.contains(id)) {
                 left.add(report.describe(vm.get()));
             }
@@ -145,21 +145,21 @@
     }
 
     /** VMs of a wave whose reboot has begun, including those not yet in the journal. */
-    private Set<String> rebooted(WaveOrder wave, JobBook book) {
+    private Set<String> rebooted(MaintenanceWave wave, JobRegistry book) {
         Set<String> rebooted = new HashSet<>(book.rebooted(wave.number()));
         rebooted.addAll(mRebooted.getOrDefault(wave.number(), Set.of()));
         return rebooted;
     }
 
     /** Schedules the report of a completed wave again after it could not be stored. */
-    public void notReported(long wave) {
+    public void retryReport(long wave) {
         mReportedWaves.remove(wave);
     }
 
     private List<Call> executePlans(
             FleetConfig config, boolean mayCall, long nowMs, long nowWallMs) {
         List<Call> calls = new ArrayList<>();
-        for (VmState vm : mVms.all()) {
+        for (ManagedVm vm : mVms.all()) {
             if (vm.planned().isEmpty() || vm.isCallPending()) {
                 continue;
             }
@@ -176,17 +176,17 @@
     }
 
     private void evacuate(
-            VmState vm, WorkerState worker, FleetConfig config, long nowMs, long nowWallMs) {
+            ManagedVm vm, WorkerState worker, FleetConfig config, long nowMs, long nowWallMs) {
         worker.setEvacuating(true);
         List<WorkerState> others = mScheduler.workersOf(worker.info().service());
-        if (vm.planned().get() instanceof VmAction.Reboot) {
-            Vacating.stopRuns(worker, others, vm.plannedMs(), nowMs);
-        } else if (!config.isStandby(((VmAction.Move) vm.planned().get()).pool())) {
-            Vacating.stopLateRuns(worker, nowMs, nowWallMs);
+        if (vm.planned().get() instanceof PlannedVmAction.Reboot) {
+            WorkerEvacuation.stopRuns(worker, others, vm.plannedMs(), nowMs);
+        } else if (!config.isStandby(((PlannedVmAction.Move) vm.planned().get()).pool())) {
+            WorkerEvacuation.stopLateRuns(worker, nowMs, nowWallMs);
         }
     }
 
-    private Optional<WorkerState> worker(VmState vm) {
+    private Optional<WorkerState> worker(ManagedVm vm) {
         return mScheduler.worker(vm.info().worker());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveKeeper.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveRebootSelector.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.VmActions.VmPhase;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmPhase;
 
 /**
  * Selects the VMs of maintenance waves to reboot next.
@@ -20,7 +20,7 @@
  * all others. No more VMs are selected than the wave allows to be down at a time, so that none is
  * evacuated long before its reboot.
  */
-final class WaveKeeper {
+final class WaveRebootSelector {
     /** Time to evacuate and reboot one batch of VMs, in milliseconds. */
     private static final long ROUND_MS = 5000;
 
@@ -49,23 +49,23 @@
     boolean advance(
             DueWave due,
             Set<String> rebooted,
-            VmTable vms,
+            ManagedVms vms,
             Scheduler scheduler,
             FleetConfig config,
             long nowMs) {
-        WaveOrder wave = due.order();
-        List<VmState> remaining = new ArrayList<>();
+        MaintenanceWave wave = due.order();
+        List<ManagedVm> remaining = new ArrayList<>();
         int down = 0;
         int planned = 0;
         boolean maybeUnlisted = false;
         for (String id : wave.vms()) {
-            Optional<VmState> vm = vms.vm(id);
+            Optional<ManagedVm> vm = vms.vm(id);
             if (vm.isEmpty()) {
                 // The VM may be the one with the unreadable entry, so it may still lack its reboot.
                 maybeUnlisted |= !vms.isComplete() && !rebooted.contains(id);
                 continue;
             }
-            VmState v = vm.get();
+            ManagedVm v = vm.get();
             // Only reboots count: a VM that was rebooted may be moving or down for other reasons.
             down += v.info().phase() == VmPhase.REBOOTING ? 1 : 0;
             if (rebooted.contains(id)) {
@@ -74,19 +74,19 @@
             remaining.add(v);
             planned += v.planned().isPresent() ? 1 : 0;
         }
-        int budget = wave.atOnce() - down - planned;
-        List<VmState> candidates = new ArrayList<>(remaining);
+        int budget = wave.maxConcurrent() - down - planned;
+        List<ManagedVm> candidates = new ArrayList<>(remaining);
         candidates.removeIf(v -> !v.isFree() || isHalfOfPoolDown(v, vms, scheduler));
         candidates.sort(Comparator.comparingDouble(v -> cost(v, scheduler, config)));
-        long rounds = (remaining.size() + wave.atOnce() - 1) / wave.atOnce();
+        long rounds = (remaining.size() + wave.maxConcurrent() - 1) / wave.maxConcurrent();
         StandingMoves moves = new StandingMoves(remaining, scheduler);
         long neededMs = rounds * ROUND_MS + moves.minDurationMs();
         long leftMs = due.dueMs() - nowMs;
         boolean hasAmpleTime = leftMs - neededMs > AMPLE_TIME_MS;
-        VmAction reboot = new VmAction.Reboot(wave.number());
+        PlannedVmAction reboot = new PlannedVmAction.Reboot(wave.number());
         long criticalMs = leftMs - ROUND_MS - AMPLE_TIME_MS;
         moves.criticalSteps(criticalMs).forEach((s, n) -> mCriticalMoves.merge(s, n, Integer::sum));
-        for (VmState v : candidates) {
+        for (ManagedVm v : candidates) {
             if (budget > 0 && moves.isNeededNow(v, criticalMs)) {
                 v.plan(reboot, nowMs);
                 moves.recordChosen(v);
@@ -106,10 +106,10 @@
     }
 
     /** Whether the VM has a worker and half of its pool is being rebooted or evacuated for it. */
-    private static boolean isHalfOfPoolDown(VmState vm, VmTable vms, Scheduler scheduler) {
+    private static boolean isHalfOfPoolDown(ManagedVm vm, ManagedVms vms, Scheduler scheduler) {
         int total = 0;
         int down = 0;
-        for (VmState v : vms.all()) {
+        for (ManagedVm v : vms.all()) {
             if (v.info().pool().equals(vm.info().pool())) {
                 total++;
                 down += v.isRebooting() ? 1 : 0;
@@ -119,7 +119,7 @@
         return hasWorker && 2 * down >= total;
     }
 
-    private static double cost(VmState vm, Scheduler scheduler, FleetConfig config) {
+    private static double cost(ManagedVm vm, Scheduler scheduler, FleetConfig config) {
         if (config.isStandby(vm.info().pool())) {
             return -1;
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveReport.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveReport.java
@@ -18,7 +18,7 @@
     }
 
     /** Describes the VM's phase, runs and planned action, and what its standing tasks wait for. */
-    String describe(VmState vm) {
+    String describe(ManagedVm vm) {
         Optional<WorkerState> worker = mScheduler.worker(vm.info().worker());
         StringBuilder text = new StringBuilder(vm.id()).append(' ').append(vm.info().phase());
         text.append(worker.map(w -> ", " + w.runs().size() + " runs").orElse(", no worker"));
@@ -27,14 +27,14 @@
         return text.toString();
     }
 
-    private String plannedAge(VmState vm) {
+    private String plannedAge(ManagedVm vm) {
         return " for " + (mNowMs - vm.plannedMs()) + " ms";
     }
 
     private List<String> describeStanding(WorkerState worker) {
         List<String> tasks = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            if (r.slot().spec().mode().standing() && tasks.size() < MAX_TASKS) {
+            if (r.task().spec().mode().standing() && tasks.size() < MAX_TASKS) {
                 tasks.add(describe(r));
             }
         }
@@ -42,7 +42,7 @@
     }
 
     private String describe(TaskRun run) {
-        ActiveTask task = run.slot();
+        ActiveTask task = run.task();
         int admitting = 0;
         int withRoom = 0;
         for (WorkerState w : mScheduler.workersOf(run.worker().info().service())) {
@@ -54,7 +54,7 @@
                 task.name(),
                 run.phase(),
                 task.step().unavailableTasks(),
-                task.spec().mode().mayMiss(),
+                task.spec().mode().maxUnavailable(),
                 admitting,
                 withRoom);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerChooser.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerChooser.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import java.util.Optional;
-import org.foxtailplank.job.PlacementRule;
+import org.foxtailplank.job.PlacementConstraints;
 
 /**
  * Selects a worker for a task.
@@ -56,7 +56,7 @@
         if (worker.isReservedForStanding() && !task.spec().mode().standing()) {
             return false;
         }
-        PlacementRule rule = task.spec().placement();
+        PlacementConstraints rule = task.spec().placement();
         if (!rule.requiredLabel().isEmpty()
                 && !worker.info().labels().contains(rule.requiredLabel())) {
             return false;
@@ -65,7 +65,7 @@
     }
 
     private static boolean hasTicket(ActiveTask task, WorkerState worker, long nowMs) {
-        return task.step().job().order().terms().advice().isEmpty()
+        return task.step().job().order().policy().advice().isEmpty()
                 || task.step().ticket(worker.id(), nowMs).isPresent();
     }
 
@@ -85,7 +85,7 @@
     }
 
     static boolean isRemote(ActiveTask task, WorkerState worker) {
-        PlacementRule rule = task.spec().placement();
+        PlacementConstraints rule = task.spec().placement();
         if (!rule.dataRack().isEmpty()) {
             return !rule.dataRack().equals(worker.info().rack());
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Vacating.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerEvacuation.java
@@ -14,20 +14,20 @@
  * pool. Otherwise a backlog would hold the VM while it is needed by jobs that can still meet their
  * objectives.
  */
-final class Vacating {
+final class WorkerEvacuation {
     /** Longest wait for runs that lose their work when stopped, in milliseconds. */
     private static final long MAX_WAIT_MS = 6000;
 
     /** A late job's run that should end within this time is not stopped, in milliseconds. */
     private static final long MAX_LATE_WAIT_MS = 800;
 
-    private Vacating() {}
+    private WorkerEvacuation() {}
 
     /** Stops runs of late jobs on a worker whose VM moves to another pool. */
     static void stopLateRuns(WorkerState worker, long nowMs, long nowWallMs) {
         for (TaskRun run : worker.runs()) {
             if (run.phase() == RunPhase.RUNNING && isLate(run, nowWallMs)) {
-                long leftMs = run.slot().spec().estimateMs() - (nowMs - run.startedMs());
+                long leftMs = run.task().spec().estimateMs() - (nowMs - run.startedMs());
                 if (leftMs > MAX_LATE_WAIT_MS) {
                     run.requestStop("its job is late and its VM moves to another pool", nowMs);
                 }
@@ -36,7 +36,7 @@
     }
 
     private static boolean isLate(TaskRun run, long nowWallMs) {
-        ActiveTask task = run.slot();
+        ActiveTask task = run.task();
         boolean exempt = task.spec().mode().standing() || task.spec().placement().gang();
         return !exempt && CoreDemand.isLate(task.step().run(), nowWallMs);
     }
@@ -52,7 +52,7 @@
 
     private static boolean mayStop(
             TaskRun run, List<WorkerState> others, long sinceMs, long nowMs) {
-        ActiveTask task = run.slot();
+        ActiveTask task = run.task();
         if (task.spec().mode().standing()) {
             return isWithinBudget(task) && hasPlace(task, others, nowMs);
         }
@@ -62,7 +62,7 @@
 
     /** Whether the step's availability budget allows the task to be stopped. */
     static boolean isWithinBudget(ActiveTask task) {
-        int budget = Math.max(1, task.spec().mode().mayMiss());
+        int budget = Math.max(1, task.spec().mode().maxUnavailable());
         int unavailable = 0;
         for (ActiveTask other : task.step().tasks()) {
             unavailable += other != task && !other.isReady() ? 1 : 0;
@@ -77,8 +77,8 @@
         for (WorkerState w : others) {
             for (TaskRun r : w.runs()) {
                 boolean stopped = r.phase() == RunPhase.STOPPING && w.isEvacuating();
-                if (stopped && r.slot().spec().mode().standing()) {
-                    removePlace(r.slot(), places, nowMs);
+                if (stopped && r.task().spec().mode().standing()) {
+                    removePlace(r.task(), places, nowMs);
                 }
             }
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.job.TaskName;
+import org.foxtailplank.port.WorkerClient.WorkerAddress;
 import org.foxtailplank.port.WorkerInfo;
-import org.foxtailplank.port.WorkerOrders.WorkerAddress;
 
 /** One incarnation of a worker, as known to the owner. */
 public final class WorkerState {
@@ -81,12 +81,12 @@
 
     void add(TaskRun run) {
         mRuns.add(run);
-        mUsed = mUsed.plus(run.slot().spec().reserved());
+        mUsed = mUsed.plus(run.task().spec().reserved());
     }
 
     void remove(TaskRun run) {
         if (mRuns.remove(run)) {
-            mUsed = mUsed.minus(run.slot().spec().reserved());
+            mUsed = mUsed.minus(run.task().spec().reserved());
         }
     }
 
@@ -102,8 +102,8 @@
     long standingMilliCores() {
         long sum = 0;
         for (TaskRun r : mRuns) {
-            if (r.slot().spec().mode().standing()) {
-                sum += r.slot().spec().reserved().milliProcessors();
+            if (r.task().spec().mode().standing()) {
+                sum += r.task().spec().reserved().milliProcessors();
             }
         }
         return sum;
@@ -113,8 +113,8 @@
     Resources freeWithoutBatch() {
         Resources free = mInfo.capacity();
         for (TaskRun r : mRuns) {
-            if (r.slot().spec().mode().standing()) {
-                free = free.minus(r.slot().spec().reserved());
+            if (r.task().spec().mode().standing()) {
+                free = free.minus(r.task().spec().reserved());
             }
         }
         return free;
@@ -128,7 +128,7 @@
     int standingRuns() {
         int count = 0;
         for (TaskRun r : mRuns) {
-            count += r.slot().spec().mode().standing() ? 1 : 0;
+            count += r.task().spec().mode().standing() ? 1 : 0;
         }
         return count;
     }
@@ -136,16 +136,16 @@
     /** Adds the number of standing runs here to the count of each step. */
     void addStandingCounts(Map<ActiveStep, Integer> tasks) {
         for (TaskRun r : mRuns) {
-            if (r.slot().spec().mode().standing()) {
-                tasks.merge(r.slot().step(), 1, Integer::sum);
+            if (r.task().spec().mode().standing()) {
+                tasks.merge(r.task().step(), 1, Integer::sum);
             }
         }
     }
 
     /** Whether a standing task here is not ready yet; a reboot elsewhere may wait for it. */
-    public boolean hasStandingToCome() {
+    public boolean hasStartingStandingRun() {
         for (TaskRun r : mRuns) {
-            if (r.slot().spec().mode().standing() && !r.isReady()) {
+            if (r.task().spec().mode().standing() && !r.isReady()) {
                 return true;
             }
         }
@@ -154,7 +154,7 @@
 
     Optional<TaskRun> run(TaskName name, int attempt) {
         for (TaskRun r : mRuns) {
-            if (r.attempt() == attempt && r.slot().name().equals(name)) {
+            if (r.attempt() == attempt && r.task().name().equals(name)) {
                 return Optional.of(r);
             }
         }
@@ -204,7 +204,7 @@
     }
 
     /** Whether the last poll went unanswered. */
-    public boolean isSilent() {
+    public boolean isUnresponsive() {
         return mUnresponsive;
     }
 
@@ -241,7 +241,7 @@
      *
      * @return end of the lease on the worker's clock; 0 for none
      */
-    public long renew(long nowMs, long leaseMs) {
+    public long renewLease(long nowMs, long leaseMs) {
         if (leaseMs <= 0) {
             return 0;
         }
@@ -274,7 +274,7 @@
     }
 
     /** Time of the last lease renewal, or else the time at which the worker was first known. */
-    public long grantedMs() {
+    public long leaseRenewedMs() {
         return mGrantedMs;
     }
 
@@ -297,7 +297,7 @@
     }
 
     /** Records that a store of ends has succeeded. */
-    public void stored() {
+    public void endStore() {
         mPendingStores--;
         updateStoredEnds();
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmJoined.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmJoined.java
@@ -8,7 +8,7 @@
  * A drained VM leaves its pool and joins the other one in a single step.
  *
  * <p>Its writer has the word of the backend server or of the platform that it is drained. The
- * service of the new pool is started by {@link VmAction#REASSIGN}.
+ * service of the new pool is started by {@link PlannedVmAction#REASSIGN}.
  *
  * @param vm the VM
  * @param to pool that it joins
--- a/foxtail-core/src/test/java/org/foxtailplank/job/JobBookTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/job/JobRegistryTest.java
@@ -10,7 +10,7 @@
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
@@ -20,31 +20,32 @@
 import org.testng.annotations.Test;
 
 /** Tests how journal records change the state of jobs and waves. */
-public class JobBookTest {
+public class JobRegistryTest {
     private static final long RETENTION_MS = 120_000;
     private static final long NOW_MS = 5_000_000;
 
-    private JobBook mBook;
+    private JobRegistry mBook;
 
     @BeforeMethod
     public void setUp() {
-        mBook = new JobBook(RETENTION_MS);
+        mBook = new JobRegistry(RETENTION_MS);
     }
 
-    private static JobOrder order(String id, int tasks, boolean gang) {
+    private static JobDefinition order(String id, int tasks, boolean gang) {
         TaskStep step =
                 new TaskStep(
                         tasks,
                         Resources.of(1, 1, 0),
                         100,
                         List.of(),
-                        new PlacementRule(gang, false, "", "", 0),
+                        new PlacementConstraints(gang, false, "", "", 0),
                         RunMode.PLAIN);
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
-        return new JobOrder(id, "q", "s", "t", List.of(step), Timetable.AT_ONCE, terms, NOW_MS);
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        return new JobDefinition(
+                id, "q", "s", "t", List.of(step), Timetable.AT_ONCE, terms, NOW_MS);
     }
 
-    private JobEntry accept(int tasks) {
+    private JobProgress accept(int tasks) {
         return mBook.apply(new JobAccepted(order("aa", tasks, false))).orElseThrow();
     }
 
@@ -61,7 +62,7 @@
         StartedRun start = new StartedRun(task, 3, "w1");
         mBook.apply(new RunsStarted(List.of(start)));
         end(0, 2, RunOutcome.FAILED);
-        JobEntry entry = accept(1);
+        JobProgress entry = accept(1);
 
         assertEquals(List.copyOf(entry.lastStarts()), List.of(start));
         assertEquals(entry.failedAttempts(task), Set.of(2));
@@ -72,16 +73,16 @@
         accept(1);
 
         assertTrue(mBook.apply(new JobAccepted(order("aa", 5, false))).isEmpty());
-        assertEquals(mBook.job("aa").orElseThrow().order().tasksPerRun(), 1);
+        assertEquals(mBook.job("aa").orElseThrow().definition().tasksPerRun(), 1);
     }
 
     @Test
     public void aJobIsCompletedOnlyWhenEveryTaskIsDone() {
-        JobEntry job = accept(2);
+        JobProgress job = accept(2);
         assertEquals(job.phase(), JobPhase.QUEUED);
         mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
         assertEquals(job.phase(), JobPhase.QUEUED);
-        mBook.apply(new JobsBegun(List.of("aa")));
+        mBook.apply(new JobsStarted(List.of("aa")));
         assertEquals(job.phase(), JobPhase.RUNNING);
         end(0, 1, RunOutcome.DONE);
         end(0, 1, RunOutcome.DONE);
@@ -92,7 +93,7 @@
 
     @Test
     public void onlyRunsThatFailedCountAsAttempts() {
-        JobEntry job = accept(1);
+        JobProgress job = accept(1);
         end(0, 1, RunOutcome.FAILED);
         end(0, 2, RunOutcome.STOPPED);
         end(0, 3, RunOutcome.LAPSED);
@@ -104,7 +105,7 @@
 
     @Test
     public void oneSuccessfulMemberCompletesTheGang() {
-        JobEntry job = mBook.apply(new JobAccepted(order("aa", 4, true))).orElseThrow();
+        JobProgress job = mBook.apply(new JobAccepted(order("aa", 4, true))).orElseThrow();
         end(2, 1, RunOutcome.DONE);
 
         assertEquals(job.phase(), JobPhase.COMPLETED);
@@ -112,7 +113,7 @@
 
     @Test
     public void aJobThatHasEndedIsNotCancelled() {
-        JobEntry job = accept(1);
+        JobProgress job = accept(1);
         end(0, 1, RunOutcome.DONE);
         mBook.apply(new JobCancelled("aa", NOW_MS));
 
@@ -123,28 +124,28 @@
     public void aJobIsRestoredFromItsSnapshotAlone() {
         // Guards against a node that starts after the original records have expired and doesn't
         // know a standing job.
-        JobEntry job = accept(3);
+        JobProgress job = accept(3);
         mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 1), 7, "w"))));
         end(0, 1, RunOutcome.DONE);
         end(1, 2, RunOutcome.FAILED);
-        JobBook replica = new JobBook(RETENTION_MS);
+        JobRegistry replica = new JobRegistry(RETENTION_MS);
 
-        JobEntry restored = replica.apply(job.restate(NOW_MS)).orElseThrow();
+        JobProgress restored = replica.apply(job.snapshot(NOW_MS)).orElseThrow();
 
         assertTrue(restored.isDone(new TaskName("aa", 0, 0, 0)));
         assertEquals(restored.failedAttempts(new TaskName("aa", 0, 0, 1)).size(), 1);
         assertEquals(restored.lastStarts().iterator().next().attempt(), 7);
         assertEquals(restored.phase(), JobPhase.RUNNING);
-        assertEquals(job.statedMs(), NOW_MS);
+        assertEquals(job.snapshotMs(), NOW_MS);
     }
 
     @Test
     public void anEndedJobIsRetainedUntilItExpires() {
         accept(1);
         end(0, 1, RunOutcome.DONE);
-        mBook.forgetEnded(NOW_MS + RETENTION_MS);
+        mBook.removeExpired(NOW_MS + RETENTION_MS);
         assertTrue(mBook.job("aa").isPresent());
-        mBook.forgetEnded(NOW_MS + RETENTION_MS + 1);
+        mBook.removeExpired(NOW_MS + RETENTION_MS + 1);
         assertTrue(mBook.job("aa").isEmpty());
     }
 
@@ -152,7 +153,7 @@
     public void onlyUnstartedJobsOfTheQueueArePending() {
         accept(1);
         mBook.apply(new JobAccepted(order("bb", 1, false)));
-        mBook.apply(new JobsBegun(List.of("bb")));
+        mBook.apply(new JobsStarted(List.of("bb")));
 
         assertEquals(mBook.pending("q"), 1);
         assertEquals(mBook.pending("other"), 0);
@@ -170,7 +171,7 @@
 
     @Test
     public void aStartReportMayPrecedeTheJob() {
-        mBook.apply(new JobsBegun(List.of("aa")));
+        mBook.apply(new JobsStarted(List.of("aa")));
 
         assertEquals(accept(1).phase(), JobPhase.RUNNING);
     }
@@ -180,8 +181,8 @@
         mBook.apply(new VmRebooted(1, "vm1"));
         mBook.apply(new VmRebooted(2, "vm2"));
         mBook.apply(new WaveCompleted(2));
-        JobBook replica = new JobBook(RETENTION_MS);
-        mBook.restateWaves().forEach(replica::apply);
+        JobRegistry replica = new JobRegistry(RETENTION_MS);
+        mBook.snapshotWaves().forEach(replica::apply);
 
         assertEquals(replica.rebooted(1), Set.of("vm1"));
         assertTrue(replica.isCompleted(2));
@@ -191,16 +192,16 @@
     public void aJobSnapshotSuppliesMissedRecords() {
         // Guards against a lagging node that missed expired records and ignores the snapshot of
         // a known job: as the owner it would run finished tasks again.
-        JobBook complete = new JobBook(RETENTION_MS);
-        JobEntry known = complete.apply(new JobAccepted(order("aa", 2, false))).orElseThrow();
+        JobRegistry complete = new JobRegistry(RETENTION_MS);
+        JobProgress known = complete.apply(new JobAccepted(order("aa", 2, false))).orElseThrow();
         TaskName task = new TaskName("aa", 0, 0, 0);
         EndedRun end = new EndedRun(task, 1, RunOutcome.DONE, NOW_MS);
         StartedRun start = new StartedRun(new TaskName("aa", 0, 0, 1), 1, "w1");
         complete.apply(new RunsEnded(List.of(end)));
         complete.apply(new RunsStarted(List.of(start)));
 
-        JobEntry entry = accept(2);
-        mBook.apply(known.restate(NOW_MS + 100_000));
+        JobProgress entry = accept(2);
+        mBook.apply(known.snapshot(NOW_MS + 100_000));
 
         assertTrue(entry.isDone(task));
         assertEquals(List.copyOf(entry.lastStarts()), List.of(start));
--- a/foxtail-core/src/test/java/org/foxtailplank/lease/RenewalWindowTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/lease/RenewalWindowTest.java
@@ -49,7 +49,7 @@
         // A former owner's clock and a worker's are 2% slow, and the successor's is 2% fast. The
         // former owner gives leases as late and as long as it may, and the worker holds each to its
         // end; the successor must not take the worker's runs as over before that.
-        double waited = (RenewalWindow.WAIT_MS + LIMITS.surelyLapsedMs()) / (1 + DRIFT);
+        double waited = (RenewalWindow.WAIT_MS + LIMITS.leaseExpiryMs()) / (1 + DRIFT);
         for (long ms = 0; ms < 20_000; ms += 50) {
             double over = (ms + leaseMs(at(10_000 + ms))) / (1 - DRIFT);
             boolean given = leaseMs(at(10_000 + ms)) > 0;
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/TurnReplayTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/BurstSimulationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Simulates bursts, in which queues receive several times their mean load for some seconds. */
-public class TurnReplayTest {
+public class BurstSimulationTest {
     private static final int SEEDS = 6;
     private static final double QUICK_JOBS_PER_S = 25;
     private static final double LARGE_JOBS_PER_S = 6;
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/CoreDemandTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/CoreDemandTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.testng.annotations.Test;
 
 /** Tests how much capacity the jobs of a queue need from its pool. */
@@ -19,7 +19,7 @@
     /** Time from the decision to move a VM until it can work, in milliseconds. */
     private static final double JOIN_MS = 2000;
 
-    private static JobOrder order(String id) {
+    private static JobDefinition order(String id) {
         return OwnerHarness.order(
                 id,
                 "surveys",
@@ -33,7 +33,7 @@
         // Guards against idle VMs in a steady queue, where jobs of two steps arrive every 200 ms
         // and start at once.
         OwnerHarness owner = new OwnerHarness();
-        double rate = order("rate").work() / 200;
+        double rate = order("rate").estimatedWork() / 200;
         for (int i = 0; i < 40; i++) {
             owner.accept(order("job" + i));
         }
@@ -73,7 +73,7 @@
         double atOnce = CoreDemand.of(run, OwnerHarness.WALL_MS);
         double waited = CoreDemand.of(run, OwnerHarness.WALL_MS + 2000);
 
-        assertEquals(atOnce, order("job").work() / (2 * TASK_MS), 1e-6);
+        assertEquals(atOnce, order("job").estimatedWork() / (2 * TASK_MS), 1e-6);
         assertEquals(waited, atOnce, 1e-6);
     }
 
@@ -86,11 +86,13 @@
         owner.accept(order("job"));
         owner.placeTasks();
         ActiveRun run = owner.mScheduler.runs().job("job").orElseThrow().runs().get(0);
-        long objective = Urgency.objectiveLengthMs(order("job"));
+        long objective = UrgencyOrder.objectiveLengthMs(order("job"));
 
         assertEquals(
-                CoreDemand.of(run, OwnerHarness.WALL_MS), order("job").work() / objective, 1e-6);
-        assertEquals(CoreDemand.of(order("job")), order("job").work() / objective, 1e-6);
+                CoreDemand.of(run, OwnerHarness.WALL_MS),
+                order("job").estimatedWork() / objective,
+                1e-6);
+        assertEquals(CoreDemand.of(order("job")), order("job").estimatedWork() / objective, 1e-6);
     }
 
     @Test
@@ -102,6 +104,6 @@
         ActiveRun run = owner.mScheduler.runs().job("job").orElseThrow().runs().get(0);
         double late = CoreDemand.of(run, OwnerHarness.WALL_MS + 60_000);
 
-        assertTrue(late <= order("job").work() / 3000);
+        assertTrue(late <= order("job").estimatedWork() / 3000);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/FleetSimulation.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/FleetSimulation.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Optional;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobOrder;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmOutcome;
-import org.foxtailplank.port.VmActions.VmPhase;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmOutcome;
+import org.foxtailplank.port.VmClient.VmPhase;
 
 /**
  * Simulates a fleet under load with the real decisions: jobs arrive, VMs move, and tasks take time.
@@ -36,7 +36,7 @@
     final VmPlanner mPlanner = new VmPlanner(mOwner.mScheduler);
 
     private final List<Vm> mVms = new ArrayList<>();
-    private final Map<String, JobOrder> mJobs = new LinkedHashMap<>();
+    private final Map<String, JobDefinition> mJobs = new LinkedHashMap<>();
     private final Map<String, Double> mSlowdowns = new HashMap<>();
     private final Map<String, Long> mDoneMs = new HashMap<>();
     private final long mStartMs = mOwner.mNowMs;
@@ -84,10 +84,10 @@
 
     /** Adds a job whose tasks take a multiple of their estimated time. */
     void addJob(String service, double slowdown, TaskStep... steps) {
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         String id = "job" + mJobs.size();
-        JobOrder order =
-                new JobOrder(
+        JobDefinition order =
+                new JobDefinition(
                         id,
                         "queue",
                         service,
@@ -135,7 +135,7 @@
         for (WorkerState worker : List.copyOf(mOwner.mScheduler.workers())) {
             for (TaskRun run : List.copyOf(worker.runs())) {
                 double durationMs =
-                        run.slot().spec().estimateMs() * mSlowdowns.get(run.slot().name().job());
+                        run.task().spec().estimateMs() * mSlowdowns.get(run.task().name().job());
                 if (run.phase() == RunPhase.STOPPING) {
                     mLastSequence++;
                     mOwner.endRun(run, RunOutcome.STOPPED, mLastSequence);
@@ -144,7 +144,7 @@
                 if (run.phase() == RunPhase.RUNNING && mClockMs - run.startedMs() >= durationMs) {
                     mLastSequence++;
                     mOwner.endRun(run, RunOutcome.DONE, mLastSequence);
-                    noteDone(run.slot().step().job());
+                    noteDone(run.task().step().job());
                 }
             }
         }
@@ -169,7 +169,7 @@
                             hasWorker ? vm.worker() : "",
                             Resources.of(CORES, 1L << 40, 0)));
         }
-        mPlanner.listed(infos, mClockMs);
+        mPlanner.applyList(infos, mClockMs);
         VmPlanner.VmDecisions decisions =
                 mPlanner.decide(mOwner.mConfig, List.of(), mOwner.mBook, true, mClockMs, wallMs());
         decisions.actions().forEach(this::carryOut);
@@ -177,9 +177,9 @@
 
     private void carryOut(VmPlanner.Call call) {
         Vm vm = mVms.stream().filter(v -> v.mId.equals(call.vm().id())).findAny().orElseThrow();
-        mPlanner.answered(call, VmOutcome.DONE, mClockMs);
-        mOwner.mScheduler.workerOver(vm.worker());
-        vm.mPool = ((VmAction.Move) call.action()).pool();
+        mPlanner.callAnswered(call, VmOutcome.DONE, mClockMs);
+        mOwner.mScheduler.removeWorker(vm.worker());
+        vm.mPool = ((PlannedVmAction.Move) call.action()).pool();
         vm.mIncarnation++;
         vm.mUpMs = mClockMs + MOVE_MS;
         vm.mJoined = false;
@@ -198,8 +198,8 @@
                 .count();
     }
 
-    private boolean isOnTime(JobOrder order) {
-        long objective = order.acceptedMs() + Urgency.objectiveLengthMs(order);
+    private boolean isOnTime(JobDefinition order) {
+        long objective = order.acceptedMs() + UrgencyOrder.objectiveLengthMs(order);
         return mDoneMs.getOrDefault(order.id(), Long.MAX_VALUE) <= objective;
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.foxtailplank.job.JobEntry;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.RunEnd;
 import org.foxtailplank.job.RunOutcome;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.testng.annotations.Test;
 
 /** Tests how a new owner handles the runs that a previous owner started. */
@@ -21,7 +21,7 @@
         // keeps running until its lease expires.
         OwnerHarness first = new OwnerHarness();
         first.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 first.accept(
                         OwnerHarness.order(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
@@ -29,13 +29,13 @@
 
         OwnerHarness second = new OwnerHarness(first.mBook);
         second.addWorker("w2", "surveys", 8);
-        second.mScheduler.inherit(job, w -> false, second.mNowMs);
+        second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
 
         assertTrue(second.placeTasks().isEmpty());
         second.mNowMs += OwnerHarness.LIMITS.leaseMs();
-        assertTrue(second.mScheduler.takeLapsed(second.mNowMs).isEmpty());
-        second.mNowMs += OwnerHarness.LIMITS.surelyLapsedMs() - OwnerHarness.LIMITS.leaseMs() + 1;
-        assertEquals(second.mScheduler.takeLapsed(second.mNowMs).size(), 1);
+        assertTrue(second.mScheduler.removeExpiredRuns(second.mNowMs).isEmpty());
+        second.mNowMs += OwnerHarness.LIMITS.leaseExpiryMs() - OwnerHarness.LIMITS.leaseMs() + 1;
+        assertEquals(second.mScheduler.removeExpiredRuns(second.mNowMs).size(), 1);
         List<TaskRun> again = second.placeTasks();
         assertEquals(again.size(), 1);
         assertEquals(again.get(0).attempt(), 2);
@@ -46,7 +46,7 @@
         // If the list of VMs shows that the incarnation has ended, there is no lease to wait for.
         OwnerHarness first = new OwnerHarness();
         first.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 first.accept(
                         OwnerHarness.order(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
@@ -54,7 +54,7 @@
 
         OwnerHarness second = new OwnerHarness(first.mBook);
         second.addWorker("w2", "surveys", 8);
-        second.mScheduler.inherit(job, w -> w.equals("w1"), second.mNowMs);
+        second.mScheduler.addInheritedJob(job, w -> w.equals("w1"), second.mNowMs);
 
         assertEquals(second.placeTasks().size(), 1);
     }
@@ -64,20 +64,20 @@
         // Guards against an interruption of standing tasks by a change of owner.
         OwnerHarness first = new OwnerHarness();
         first.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 first.accept(OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.standing(2, 1, 1)));
         List<TaskRun> runs = first.placeTasks();
 
         OwnerHarness second = new OwnerHarness(first.mBook);
-        second.mScheduler.worker(OwnerHarness.info("w1", "surveys", 8), second.mNowMs);
+        second.mScheduler.updateWorker(OwnerHarness.info("w1", "surveys", 8), second.mNowMs);
         WorkerState worker = second.mScheduler.worker("w1").get();
-        second.mScheduler.inherit(job, w -> false, second.mNowMs);
+        second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
         second.mNowMs++;
         second.pollListing(
                 worker,
                 List.of(
-                        new RunView(runs.get(0).slot().name(), 1, "", 100, 0),
-                        new RunView(runs.get(1).slot().name(), 1, "", 100, 0)),
+                        new RunStatus(runs.get(0).task().name(), 1, "", 100, 0),
+                        new RunStatus(runs.get(1).task().name(), 1, "", 100, 0)),
                 List.of());
 
         Decisions decisions = second.decide();
@@ -92,7 +92,7 @@
         // crashed before acknowledging it.
         OwnerHarness first = new OwnerHarness();
         WorkerState worker = first.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 first.accept(
                         OwnerHarness.order(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
@@ -100,9 +100,9 @@
         first.endRun(run, RunOutcome.FAILED, 1);
 
         OwnerHarness second = new OwnerHarness(first.mBook);
-        second.mScheduler.inherit(job, w -> false, second.mNowMs);
-        second.mScheduler.worker(worker.info(), second.mNowMs);
-        RunEnd listed = new RunEnd(1, run.slot().name(), 1, RunOutcome.FAILED, "");
+        second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
+        second.mScheduler.updateWorker(worker.info(), second.mNowMs);
+        RunEnd listed = new RunEnd(1, run.task().name(), 1, RunOutcome.FAILED, "");
         second.pollListing(second.mScheduler.worker("w1").get(), List.of(), List.of(listed));
 
         assertEquals(second.placeTasks().size(), 1);
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerHarness.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerHarness.java
@@ -5,27 +5,27 @@
 import java.util.Optional;
 import java.util.Set;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobProgress;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunEnd;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
+import org.foxtailplank.port.CommandOutcome;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.ServiceConfig;
+import org.foxtailplank.port.WorkerClient.PollResponse;
 import org.foxtailplank.port.WorkerInfo;
-import org.foxtailplank.port.WorkerOrders.LookAnswer;
 
 /** Runs the real scheduler for tests, with a clock and workers controlled by the test. */
 final class OwnerHarness {
@@ -33,25 +33,25 @@
     static final long CORE = 1000;
     static final long WALL_MS = 1_000_000;
 
-    final JobBook mBook;
+    final JobRegistry mBook;
     final Scheduler mScheduler = new Scheduler(LIMITS);
     final FleetConfig mConfig =
             new FleetConfig(
                     1,
                     List.of(),
                     List.of(
-                            new PoolService("surveys", true, false),
-                            new PoolService("reports", true, false),
-                            new PoolService("off", true, true)),
+                            new ServiceConfig("surveys", true, false),
+                            new ServiceConfig("reports", true, false),
+                            new ServiceConfig("off", true, true)),
                     1000);
     long mNowMs = 10_000;
 
     OwnerHarness() {
-        this(new JobBook(120_000));
+        this(new JobRegistry(120_000));
     }
 
     /** Creates an owner that takes over with the state of the journal. */
-    OwnerHarness(JobBook book) {
+    OwnerHarness(JobRegistry book) {
         mBook = book;
     }
 
@@ -63,7 +63,7 @@
 
     /** Adds a worker that answers polls and has no runs. */
     WorkerState addWorker(String id, String service, int cores) {
-        mScheduler.worker(info(id, service, cores), mNowMs);
+        mScheduler.updateWorker(info(id, service, cores), mNowMs);
         WorkerState worker = mScheduler.worker(id).get();
         poll(worker);
         return worker;
@@ -75,7 +75,7 @@
                 Resources.of(cores, 1, 0),
                 estimateMs,
                 dependsOn,
-                PlacementRule.ANYWHERE,
+                PlacementConstraints.ANYWHERE,
                 RunMode.PLAIN);
     }
 
@@ -85,19 +85,19 @@
                 Resources.of(cores, 1, 0),
                 500,
                 List.of(),
-                PlacementRule.ANYWHERE,
+                PlacementConstraints.ANYWHERE,
                 new RunMode(false, true, false, false, 0, mayMiss));
     }
 
-    static JobOrder order(String id, String service, int priority, TaskStep... steps) {
-        QueueTerms terms = new QueueTerms(priority, 2, 1.6, 600, Optional.empty());
-        return new JobOrder(
+    static JobDefinition order(String id, String service, int priority, TaskStep... steps) {
+        QueuePolicy terms = new QueuePolicy(priority, 2, 1.6, 600, Optional.empty());
+        return new JobDefinition(
                 id, "queue", service, "text", List.of(steps), Timetable.AT_ONCE, terms, WALL_MS);
     }
 
-    JobEntry accept(JobOrder order) {
-        JobEntry entry = mBook.apply(new JobAccepted(order)).orElseThrow();
-        mScheduler.job(entry, mNowMs);
+    JobProgress accept(JobDefinition order) {
+        JobProgress entry = mBook.apply(new JobAccepted(order)).orElseThrow();
+        mScheduler.addJob(entry, mNowMs);
         return entry;
     }
 
@@ -110,7 +110,7 @@
         List<TaskRun> planned = decide().planned();
         recordStarts(planned);
         for (Decisions.Start s : decide().starts()) {
-            mScheduler.startAnswered(s.run(), OrderOutcome.DONE, mNowMs);
+            mScheduler.startAnswered(s.run(), CommandOutcome.DONE, mNowMs);
         }
         return planned;
     }
@@ -118,39 +118,39 @@
     void recordStarts(List<TaskRun> planned) {
         List<StartedRun> starts = new ArrayList<>();
         for (TaskRun r : planned) {
-            starts.add(new StartedRun(r.slot().name(), r.attempt(), r.worker().id()));
+            starts.add(new StartedRun(r.task().name(), r.attempt(), r.worker().id()));
         }
         mBook.apply(new RunsStarted(starts));
-        mScheduler.recorded(planned);
+        mScheduler.startsRecorded(planned);
     }
 
     /** Polls a worker that lists all of its runs and these ends. */
-    LookEffects poll(WorkerState worker, RunEnd... ends) {
-        List<RunView> views = new ArrayList<>();
+    PollResult poll(WorkerState worker, RunEnd... ends) {
+        List<RunStatus> views = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            boolean ended = List.of(ends).stream().anyMatch(e -> e.task().equals(r.slot().name()));
+            boolean ended = List.of(ends).stream().anyMatch(e -> e.task().equals(r.task().name()));
             if (!ended) {
-                views.add(new RunView(r.slot().name(), r.attempt(), "", 100, 0));
+                views.add(new RunStatus(r.task().name(), r.attempt(), "", 100, 0));
             }
         }
         return pollListing(worker, views, List.of(ends));
     }
 
-    LookEffects pollListing(WorkerState worker, List<RunView> running, List<RunEnd> ends) {
-        LookAnswer answer = new LookAnswer(OrderOutcome.DONE, 5000 + mNowMs, running, ends);
+    PollResult pollListing(WorkerState worker, List<RunStatus> running, List<RunEnd> ends) {
+        PollResponse answer = new PollResponse(CommandOutcome.DONE, 5000 + mNowMs, running, ends);
         worker.recordLeaseGrant(mNowMs);
         long sentMs = mNowMs;
         mNowMs++;
-        return mScheduler.looked(worker, answer, sentMs, mNowMs);
+        return mScheduler.pollAnswered(worker, answer, sentMs, mNowMs);
     }
 
     /** Ends a run and stores its end. */
     void endRun(TaskRun run, RunOutcome outcome, long sequence) {
-        RunEnd end = new RunEnd(sequence, run.slot().name(), run.attempt(), outcome, "");
-        LookEffects effects = poll(run.worker(), end);
+        RunEnd end = new RunEnd(sequence, run.task().name(), run.attempt(), outcome, "");
+        PollResult effects = poll(run.worker(), end);
         if (!effects.toStore().isEmpty()) {
             storeEnds(effects.toStore());
-            run.worker().stored();
+            run.worker().endStore();
         }
     }
 
@@ -160,6 +160,6 @@
             ended.add(new EndedRun(e.task(), e.attempt(), e.outcome(), WALL_MS));
         }
         mBook.apply(new RunsEnded(ended));
-        ended.forEach(e -> mScheduler.recorded(e.task(), e.outcome(), mNowMs));
+        ended.forEach(e -> mScheduler.runEndRecorded(e.task(), e.outcome(), mNowMs));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/ReachTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerReachabilityTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** Tests when an owner gives up because it is cut off. */
-public class ReachTest {
+public class OwnerReachabilityTest {
     private static final long NOW_MS = 100_000;
     private static final long LONG_AGO_MS = NOW_MS - 3000;
 
@@ -27,23 +27,23 @@
     @Test
     public void anOwnerInAPartitionedZoneIsCutOff() {
         // Guards against an owner that only the store can reach, which no other node would replace.
-        assertTrue(Reach.isCutOff(workers(20, 10), LONG_AGO_MS, NOW_MS));
+        assertTrue(OwnerReachability.isCutOff(workers(20, 10), LONG_AGO_MS, NOW_MS));
     }
 
     @Test
     public void anOwnerThatMissesAnotherZoneIsNotCutOff() {
         // The zone of the VM service is cut off; no other node would reach more.
-        assertFalse(Reach.isCutOff(workers(10, 20), LONG_AGO_MS, NOW_MS));
+        assertFalse(OwnerReachability.isCutOff(workers(10, 20), LONG_AGO_MS, NOW_MS));
     }
 
     @Test
     public void unresponsiveWorkersAloneDoNotCutOffAnOwner() {
         // A rack has crashed; another owner would see the same.
-        assertFalse(Reach.isCutOff(workers(10, 20), NOW_MS - 100, NOW_MS));
+        assertFalse(OwnerReachability.isCutOff(workers(10, 20), NOW_MS - 100, NOW_MS));
     }
 
     @Test
     public void anUnavailableVmServiceAloneDoesNotCutOffAnOwner() {
-        assertFalse(Reach.isCutOff(workers(1, 29), LONG_AGO_MS, NOW_MS));
+        assertFalse(OwnerReachability.isCutOff(workers(1, 29), LONG_AGO_MS, NOW_MS));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/SchedulerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/SchedulerTest.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Set;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobEntry;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.PlacementRule;
+import org.foxtailplank.job.PlacementConstraints;
 import org.foxtailplank.job.RunEnd;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.foxtailplank.job.TaskStep;
-import org.foxtailplank.port.OrderOutcome;
+import org.foxtailplank.port.CommandOutcome;
 import org.foxtailplank.port.WorkerInfo;
 import org.testng.annotations.Test;
 
@@ -35,16 +35,16 @@
         owner.accept(
                 OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         TaskRun run = owner.placeTasks().get(0);
-        RunEnd end = new RunEnd(1, run.slot().name(), 1, RunOutcome.DONE, "");
+        RunEnd end = new RunEnd(1, run.task().name(), 1, RunOutcome.DONE, "");
 
-        LookEffects first = owner.poll(worker, end);
-        LookEffects second = owner.poll(worker, end);
+        PollResult first = owner.poll(worker, end);
+        PollResult second = owner.poll(worker, end);
 
         assertEquals(first.toStore(), List.of(end));
         assertTrue(second.toStore().isEmpty());
         assertEquals(worker.storedEnds(), 0);
         assertTrue(worker.hasUnstoredEnds());
-        worker.stored();
+        worker.endStore();
         assertEquals(worker.storedEnds(), 1);
     }
 
@@ -77,13 +77,13 @@
         owner.placeTasks();
         owner.addWorker("w2", "surveys", 8);
 
-        owner.mScheduler.lookFailed(unresponsive);
+        owner.mScheduler.pollFailed(unresponsive);
         owner.mNowMs += OwnerHarness.LIMITS.leaseMs();
-        assertTrue(owner.mScheduler.takeLapsed(owner.mNowMs).isEmpty());
+        assertTrue(owner.mScheduler.removeExpiredRuns(owner.mNowMs).isEmpty());
         assertTrue(owner.placeTasks().isEmpty());
 
-        owner.mNowMs += OwnerHarness.LIMITS.surelyLapsedMs();
-        assertEquals(owner.mScheduler.takeLapsed(owner.mNowMs).size(), 1);
+        owner.mNowMs += OwnerHarness.LIMITS.leaseExpiryMs();
+        assertEquals(owner.mScheduler.removeExpiredRuns(owner.mNowMs).size(), 1);
         List<TaskRun> again = owner.placeTasks();
         assertEquals(again.get(0).worker().id(), "w2");
         assertEquals(again.get(0).attempt(), 2);
@@ -104,7 +104,7 @@
                 worker.leaseUntilMs(owner.mNowMs, lease) - (atContact - lease) - elapsedOnWorker;
 
         assertTrue(
-                remaining / 0.98 <= OwnerHarness.LIMITS.surelyLapsedMs(),
+                remaining / 0.98 <= OwnerHarness.LIMITS.leaseExpiryMs(),
                 "lasts " + remaining / 0.98 + " ms");
     }
 
@@ -119,14 +119,14 @@
                 OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         owner.recordStarts(owner.decide().planned());
         TaskRun run = owner.decide().starts().get(0).run();
-        owner.mScheduler.startAnswered(run, OrderOutcome.UNANSWERED, owner.mNowMs);
+        owner.mScheduler.startAnswered(run, CommandOutcome.UNANSWERED, owner.mNowMs);
         owner.mNowMs += 300;
 
         Decisions decisions = owner.decide();
 
         assertTrue(decisions.planned().isEmpty());
         assertEquals(decisions.starts().get(0).run(), run);
-        owner.mScheduler.startAnswered(run, OrderOutcome.NO_ROOM, owner.mNowMs);
+        owner.mScheduler.startAnswered(run, CommandOutcome.NO_ROOM, owner.mNowMs);
         assertEquals(owner.decide().stops(), List.of(run), "the run may begin until it is stopped");
     }
 
@@ -151,14 +151,14 @@
         assertEquals(first.size(), 2);
         assertTrue(between.isEmpty());
         assertEquals(second.size(), 1);
-        assertEquals(second.get(0).slot().name().step(), 1);
+        assertEquals(second.get(0).task().name().step(), 1);
     }
 
     @Test
     public void aTaskThatUsesUpItsAttemptsFailsItsJob() {
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 owner.accept(
                         OwnerHarness.order(
                                 JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
@@ -199,7 +199,7 @@
                         Resources.of(1, 1, 0),
                         1000,
                         List.of(),
-                        new PlacementRule(true, false, "", "", 0),
+                        new PlacementConstraints(true, false, "", "", 0),
                         RunMode.PLAIN);
         owner.accept(OwnerHarness.order(JOB, "surveys", 0, gang));
 
@@ -215,7 +215,7 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState worker = owner.addWorker("w1", "surveys", 8);
         WorkerInfo i = worker.info();
-        owner.mScheduler.worker(
+        owner.mScheduler.updateWorker(
                 new WorkerInfo(
                         i.id(),
                         i.service(),
@@ -243,7 +243,7 @@
                         Resources.of(1, 1, 0),
                         1000,
                         List.of(),
-                        new PlacementRule(false, false, "b", "", 0),
+                        new PlacementConstraints(false, false, "b", "", 0),
                         RunMode.PLAIN);
         TaskStep spread =
                 new TaskStep(
@@ -251,7 +251,7 @@
                         Resources.of(1, 1, 0),
                         1000,
                         List.of(),
-                        new PlacementRule(false, false, "", "", 1),
+                        new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
         owner.accept(OwnerHarness.order(JOB, "surveys", 0, labelled));
         owner.accept(OwnerHarness.order(OTHER, "surveys", 0, spread));
@@ -259,7 +259,7 @@
         List<TaskRun> placed = owner.placeTasks();
 
         assertEquals(placed.size(), 1);
-        assertEquals(placed.get(0).slot().name().job(), OTHER);
+        assertEquals(placed.get(0).task().name().job(), OTHER);
         assertEquals(placed.get(0).worker().id(), "w1");
     }
 
@@ -289,14 +289,14 @@
         owner.endRun(first, RunOutcome.FAILED, 1);
         TaskRun second = owner.placeTasks().get(0);
         long sequence = 2;
-        if (second.slot().name().job().equals(first.slot().name().job())) {
+        if (second.task().name().job().equals(first.task().name().job())) {
             owner.endRun(second, RunOutcome.FAILED, sequence++);
             second = owner.placeTasks().get(0);
         }
         owner.endRun(second, RunOutcome.FAILED, sequence);
 
         assertTrue(owner.placeTasks().isEmpty());
-        assertNotEquals(first.slot().name().job(), second.slot().name().job());
+        assertNotEquals(first.task().name().job(), second.task().name().job());
     }
 
     @Test
@@ -308,7 +308,7 @@
                 OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         TaskRun run = owner.placeTasks().get(0);
         owner.addWorker("w2", "surveys", 1);
-        RunView view = new RunView(run.slot().name(), 1, "", 10, 0);
+        RunStatus view = new RunStatus(run.task().name(), 1, "", 10, 0);
 
         owner.pollListing(stalled, List.of(view), List.of());
         assertEquals(run.phase(), RunPhase.RUNNING);
@@ -330,7 +330,7 @@
         owner.placeTasks();
         owner.mNowMs++;
 
-        LookEffects effects = owner.pollListing(worker, List.of(), List.of());
+        PollResult effects = owner.pollListing(worker, List.of(), List.of());
 
         assertEquals(effects.lost().size(), 1);
         assertEquals(owner.placeTasks().get(0).attempt(), 2);
@@ -362,15 +362,25 @@
         RunMode fills = new RunMode(false, false, false, true, 0, 0);
         TaskStep serving =
                 new TaskStep(
-                        1, Resources.of(1, 1, 0), 500, List.of(), PlacementRule.ANYWHERE, serves);
+                        1,
+                        Resources.of(1, 1, 0),
+                        500,
+                        List.of(),
+                        PlacementConstraints.ANYWHERE,
+                        serves);
         TaskStep filling =
                 new TaskStep(
-                        1, Resources.of(4, 1, 0), 900, List.of(), PlacementRule.ANYWHERE, fills);
+                        1,
+                        Resources.of(4, 1, 0),
+                        900,
+                        List.of(),
+                        PlacementConstraints.ANYWHERE,
+                        fills);
         owner.accept(OwnerHarness.order(JOB, "surveys", 0, serving));
         owner.accept(OwnerHarness.order(OTHER, "surveys", 1, filling));
         List<TaskRun> runs = owner.placeTasks();
-        RunView tail = new RunView(runs.get(0).slot().name(), 1, "", 100, 150);
-        RunView work = new RunView(runs.get(1).slot().name(), 1, "", 20, 4000);
+        RunStatus tail = new RunStatus(runs.get(0).task().name(), 1, "", 100, 150);
+        RunStatus work = new RunStatus(runs.get(1).task().name(), 1, "", 20, 4000);
 
         owner.pollListing(worker, List.of(tail, work), List.of());
         List<Decisions.Pace> paces = owner.decide().paces();
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/WaveStandingTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/StandingTaskWaveTest.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmPhase;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmPhase;
 import org.testng.annotations.Test;
 
 /**
@@ -17,7 +17,7 @@
  * <p>Guards against a wave that misses its deadline because it treats the moves as independent,
  * while the step's availability budget serializes them.
  */
-public class WaveStandingTest {
+public class StandingTaskWaveTest {
     private static final int CORES = 8;
 
     /** More than half a VM, so that each VM runs one task. */
@@ -53,8 +53,8 @@
         }
 
         VmPlanner planner = new VmPlanner(owner.mScheduler);
-        planner.listed(vms, owner.mNowMs);
-        WaveOrder order = new WaveOrder(1, wave, LEFT_MS, TASKS);
+        planner.applyList(vms, owner.mNowMs);
+        MaintenanceWave order = new MaintenanceWave(1, wave, LEFT_MS, TASKS);
         DueWave due = new DueWave(order, owner.mNowMs + LEFT_MS);
         planner.decide(
                 owner.mConfig, List.of(due), owner.mBook, true, owner.mNowMs, OwnerHarness.WALL_MS);
@@ -94,8 +94,8 @@
         List.copyOf(owner.mScheduler.workers()).forEach(owner::poll);
 
         VmPlanner planner = new VmPlanner(owner.mScheduler);
-        planner.listed(vms, owner.mNowMs);
-        WaveOrder order = new WaveOrder(1, wave, tasks * MOVE_MS + REBOOT_MS, maxDown);
+        planner.applyList(vms, owner.mNowMs);
+        MaintenanceWave order = new MaintenanceWave(1, wave, tasks * MOVE_MS + REBOOT_MS, maxDown);
         DueWave due = new DueWave(order, owner.mNowMs + order.durationMs());
         planner.decide(
                 owner.mConfig, List.of(due), owner.mBook, true, owner.mNowMs, OwnerHarness.WALL_MS);
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/BegunJobsTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/StartedJobsTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.port.OrderOutcome;
+import org.foxtailplank.job.JobProgress;
+import org.foxtailplank.port.CommandOutcome;
 import org.testng.annotations.Test;
 
 /**
@@ -13,7 +13,7 @@
  * <p>Guards against jobs that are reported as started because their starts are in the journal,
  * although the orders never arrived.
  */
-public class BegunJobsTest {
+public class StartedJobsTest {
     private static final String JOB = "00000000000000aa";
 
     @Test
@@ -24,16 +24,16 @@
                 OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
         owner.recordStarts(owner.decide().planned());
         List<Decisions.Start> starts = owner.decide().starts();
-        List<String> written = owner.mScheduler.takeBegun();
-        owner.mScheduler.startAnswered(starts.get(0).run(), OrderOutcome.NOT_SENT, owner.mNowMs);
-        List<String> notSent = owner.mScheduler.takeBegun();
-        owner.mScheduler.startAnswered(starts.get(1).run(), OrderOutcome.DONE, owner.mNowMs);
-        List<String> taken = owner.mScheduler.takeBegun();
+        List<String> written = owner.mScheduler.takeStartedJobs();
+        owner.mScheduler.startAnswered(starts.get(0).run(), CommandOutcome.NOT_SENT, owner.mNowMs);
+        List<String> notSent = owner.mScheduler.takeStartedJobs();
+        owner.mScheduler.startAnswered(starts.get(1).run(), CommandOutcome.DONE, owner.mNowMs);
+        List<String> taken = owner.mScheduler.takeStartedJobs();
 
         assertEquals(written, List.of());
         assertEquals(notSent, List.of());
         assertEquals(taken, List.of(JOB));
-        assertEquals(owner.mScheduler.takeBegun(), List.of(), "reported only once");
+        assertEquals(owner.mScheduler.takeStartedJobs(), List.of(), "reported only once");
     }
 
     @Test
@@ -41,19 +41,19 @@
         // The answer to the order was lost; the run shows up in the next poll.
         OwnerHarness first = new OwnerHarness();
         WorkerState worker = first.addWorker("w1", "surveys", 8);
-        JobEntry job =
+        JobProgress job =
                 first.accept(
                         OwnerHarness.order(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         first.recordStarts(first.decide().planned());
 
         OwnerHarness second = new OwnerHarness(first.mBook);
-        second.mScheduler.inherit(job, w -> false, second.mNowMs);
-        List<String> inherited = second.mScheduler.takeBegun();
-        second.mScheduler.worker(worker.info(), second.mNowMs);
+        second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
+        List<String> inherited = second.mScheduler.takeStartedJobs();
+        second.mScheduler.updateWorker(worker.info(), second.mNowMs);
         second.poll(second.mScheduler.worker("w1").get());
 
         assertEquals(inherited, List.of());
-        assertEquals(second.mScheduler.takeBegun(), List.of(JOB));
+        assertEquals(second.mScheduler.takeStartedJobs(), List.of(JOB));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/ForeignVmEntriesTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/UnreadableVmEntriesTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.job.JournalRecord.VmRebooted;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmPhase;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmPhase;
 import org.foxtailplank.schedule.VmPlanner.VmDecisions;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -20,7 +20,7 @@
  * <p>Guards against tasks that run twice: an incarnation that a complete list doesn't name has
  * ended, and its tasks are restarted at once, but an unreadable entry may hide it.
  */
-public class ForeignVmEntriesTest {
+public class UnreadableVmEntriesTest {
     private static final int CORES = 8;
 
     /** Long enough after the workers were first seen for the list to name them. */
@@ -48,8 +48,10 @@
         mOwner.mNowMs += 400;
         List<VmInfo> list = List.of(vms);
         List<String> ended =
-                mPlanner.overLives(list, mOwner.mNowMs).stream().map(WorkerState::id).toList();
-        mPlanner.listed(list, mOwner.mNowMs);
+                mPlanner.endedIncarnations(list, mOwner.mNowMs).stream()
+                        .map(WorkerState::id)
+                        .toList();
+        mPlanner.applyList(list, mOwner.mNowMs);
         return ended;
     }
 
@@ -64,7 +66,7 @@
     }
 
     private DueWave wave(String... vms) {
-        return new DueWave(new WaveOrder(1, List.of(vms), 5000, 1), mOwner.mNowMs + 5000);
+        return new DueWave(new MaintenanceWave(1, List.of(vms), 5000, 1), mOwner.mNowMs + 5000);
     }
 
     @DataProvider
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
@@ -7,8 +7,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.testng.annotations.Test;
 
@@ -27,7 +27,7 @@
     public void urgencyOrderMeetsMoreObjectivesThanArrivalOrder() {
         // In an overload of five times the capacity, arrival order makes every job slightly late.
         int byUrgency =
-                countOnTime((runs, now) -> Urgency.sort(runs, CORES * OwnerHarness.CORE, now));
+                countOnTime((runs, now) -> UrgencyOrder.sort(runs, CORES * OwnerHarness.CORE, now));
         int byArrival =
                 countOnTime(
                         (runs, now) -> {
@@ -58,7 +58,7 @@
             ActiveRun next = order.sort(waiting, now).get(0);
             waiting.remove(next);
             now += next.remainingWork() / (CORES * OwnerHarness.CORE);
-            onTime += now <= Urgency.objectiveMs(next) ? 1 : 0;
+            onTime += now <= UrgencyOrder.objectiveMs(next) ? 1 : 0;
         }
         return onTime;
     }
@@ -69,23 +69,23 @@
         for (int i = 0; i < JOBS; i++) {
             int tasks = 1 + random.nextInt(12);
             long estimate = 400 + random.nextInt(1200);
-            JobOrder order =
+            JobDefinition order =
                     OwnerHarness.order(
                             "job" + i,
                             "surveys",
                             0,
                             OwnerHarness.step(tasks, 3, estimate, List.of()));
-            JobOrder timed =
-                    new JobOrder(
+            JobDefinition timed =
+                    new JobDefinition(
                             order.id(),
                             order.route(),
                             order.service(),
                             order.text(),
                             order.steps(),
                             order.timetable(),
-                            order.terms(),
+                            order.policy(),
                             OwnerHarness.WALL_MS + i * TURN_MS / JOBS);
-            JobBook book = new JobBook(1000);
+            JobRegistry book = new JobRegistry(1000);
             runs.add(new ActiveJob(book.apply(new JobAccepted(timed)).get()).runs().get(0));
         }
         return runs;
@@ -101,7 +101,8 @@
         owner.mScheduler.runs().jobs().forEach(j -> runs.add(j.runs().get(0)));
 
         List<String> ids = new ArrayList<>();
-        for (ActiveRun r : Urgency.sort(runs, CORES * OwnerHarness.CORE, OwnerHarness.WALL_MS)) {
+        for (ActiveRun r :
+                UrgencyOrder.sort(runs, CORES * OwnerHarness.CORE, OwnerHarness.WALL_MS)) {
             ids.add(r.job().id());
         }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/VmPlannerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/VmPlannerTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.job.JournalRecord.VmRebooted;
-import org.foxtailplank.job.PlacementRule;
+import org.foxtailplank.job.PlacementConstraints;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskStep;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmOutcome;
-import org.foxtailplank.port.VmActions.VmPhase;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmOutcome;
+import org.foxtailplank.port.VmClient.VmPhase;
 import org.foxtailplank.schedule.VmPlanner.Call;
 import org.foxtailplank.schedule.VmPlanner.VmDecisions;
 import org.testng.annotations.BeforeMethod;
@@ -46,7 +46,7 @@
 
     private VmDecisions decide(DueWave... waves) {
         mOwner.mNowMs += 10;
-        mPlanner.listed(mVms, mOwner.mNowMs);
+        mPlanner.applyList(mVms, mOwner.mNowMs);
         return mPlanner.decide(
                 mOwner.mConfig,
                 List.of(waves),
@@ -57,7 +57,7 @@
     }
 
     private DueWave wave(int atOnce, long leftMs, String... vms) {
-        WaveOrder order = new WaveOrder(1, List.of(vms), leftMs, atOnce);
+        MaintenanceWave order = new MaintenanceWave(1, List.of(vms), leftMs, atOnce);
         return new DueWave(order, mOwner.mNowMs + leftMs);
     }
 
@@ -69,7 +69,7 @@
         DueWave wave = wave(1, 30_000, "vm1", "vm2", "vm3");
 
         List<Call> first = decide(wave).actions();
-        mPlanner.answered(first.get(0), VmOutcome.DONE, mOwner.mNowMs);
+        mPlanner.callAnswered(first.get(0), VmOutcome.DONE, mOwner.mNowMs);
         String vm = first.get(0).vm().id();
         mOwner.mBook.apply(new VmRebooted(1, vm));
         mVms.removeIf(v -> v.id().equals(vm));
@@ -98,7 +98,7 @@
         // Guards against a second reboot while the journal lacks the first one.
         addServingVm("1", "surveys");
         Call call = decide(wave(1, 5_000, "vm1")).actions().get(0);
-        mPlanner.answered(call, VmOutcome.DONE, mOwner.mNowMs);
+        mPlanner.callAnswered(call, VmOutcome.DONE, mOwner.mNowMs);
         mVms.clear();
         addServingVm("1", "surveys");
 
@@ -150,7 +150,7 @@
     public void aVmIsNotRebootedBeforeItsWorkerWasPolled() {
         // A new owner doesn't know yet what runs on the worker.
         addVm("vm1", "surveys", VmPhase.UP, "w1");
-        mOwner.mScheduler.worker(OwnerHarness.info("w1", "surveys", CORES), mOwner.mNowMs);
+        mOwner.mScheduler.updateWorker(OwnerHarness.info("w1", "surveys", CORES), mOwner.mNowMs);
 
         assertTrue(decide(wave(1, 5_000, "vm1")).actions().isEmpty());
         mOwner.poll(mOwner.mScheduler.worker("w1").get());
@@ -181,7 +181,7 @@
         List<Call> calls = decide().actions();
 
         assertEquals(calls.size(), 2);
-        assertTrue(calls.stream().allMatch(c -> c.action() instanceof VmAction.Move));
+        assertTrue(calls.stream().allMatch(c -> c.action() instanceof PlannedVmAction.Move));
     }
 
     @Test
@@ -195,7 +195,9 @@
         List<Call> calls = decide().actions();
 
         assertEquals(calls.size(), 3);
-        assertTrue(calls.stream().allMatch(c -> ((VmAction.Move) c.action()).pool().equals("off")));
+        assertTrue(
+                calls.stream()
+                        .allMatch(c -> ((PlannedVmAction.Move) c.action()).pool().equals("off")));
     }
 
     @Test
@@ -209,7 +211,7 @@
                         Resources.of(1, 1, 0),
                         1000,
                         List.of(),
-                        new PlacementRule(false, false, "", "", 1),
+                        new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
         mOwner.accept(OwnerHarness.order("aa", "surveys", 0, spread));
         List<TaskRun> runs = mOwner.placeTasks();
@@ -239,7 +241,7 @@
                         Resources.of(1, 1, 0),
                         1000,
                         List.of(),
-                        new PlacementRule(false, false, "", "", 1),
+                        new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
         mOwner.accept(OwnerHarness.order("aa", "surveys", 0, spread));
         return mOwner.placeTasks();
@@ -267,11 +269,11 @@
     @Test
     public void aVmListedWithoutItsIncarnationEndsIt() {
         WorkerState worker = addServingVm("1", "surveys");
-        mPlanner.overLives(mVms, mOwner.mNowMs);
+        mPlanner.endedIncarnations(mVms, mOwner.mNowMs);
         List<VmInfo> down = new ArrayList<>();
         down.add(new VmInfo("vm1", "surveys", VmPhase.DOWN, "", Resources.of(CORES, 1L << 40, 0)));
 
-        assertEquals(mPlanner.overLives(down, mOwner.mNowMs), List.of(worker));
+        assertEquals(mPlanner.endedIncarnations(down, mOwner.mNowMs), List.of(worker));
     }
 
     @Test
@@ -280,12 +282,12 @@
         // while it was read.
         WorkerState worker = addServingVm("1", "surveys");
         addServingVm("2", "surveys");
-        mPlanner.overLives(mVms, mOwner.mNowMs);
+        mPlanner.endedIncarnations(mVms, mOwner.mNowMs);
         long asked = mOwner.mNowMs;
         mVms.removeIf(v -> v.id().equals("vm1"));
         mOwner.mNowMs += 10;
         mOwner.poll(worker);
 
-        assertEquals(mPlanner.overLives(mVms, asked), List.of());
+        assertEquals(mPlanner.endedIncarnations(mVms, asked), List.of());
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/WavePlacesTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/WaveCapacityTest.java
@@ -6,18 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.PlacementRule;
+import org.foxtailplank.job.PlacementConstraints;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskStep;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmPhase;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmPhase;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Tests how capacity is provided for standing tasks whose VMs a wave reboots. */
-public class WavePlacesTest {
+public class WaveCapacityTest {
     private static final int CORES = 8;
     private static final int TASK_CORES = 5;
     private static final long LEFT_MS = 10_000;
@@ -45,7 +45,7 @@
                 Resources.of(TASK_CORES, 1, 0),
                 500,
                 List.of(),
-                new PlacementRule(false, false, "", "", 1),
+                new PlacementConstraints(false, false, "", "", 1),
                 new RunMode(false, true, false, false, 0, 1));
     }
 
@@ -55,8 +55,8 @@
 
     private void decide(String... vms) {
         mOwner.mNowMs += 100;
-        mPlanner.listed(mVms, mOwner.mNowMs);
-        WaveOrder order = new WaveOrder(1, List.of(vms), LEFT_MS, vms.length);
+        mPlanner.applyList(mVms, mOwner.mNowMs);
+        MaintenanceWave order = new MaintenanceWave(1, List.of(vms), LEFT_MS, vms.length);
         DueWave due = new DueWave(order, mOwner.mNowMs + LEFT_MS);
         mPlanner.decide(
                 mOwner.mConfig,
--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkBudget.java
@@ -29,7 +29,7 @@
     }
 
     /** Takes bytes from the bucket and returns true, or returns false if it holds too few. */
-    public boolean take(long bytes, long nowMs) {
+    public boolean tryConsume(long bytes, long nowMs) {
         if (mBytesPerMs == Double.POSITIVE_INFINITY) {
             return true;
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/LinkRate.java
@@ -19,7 +19,7 @@
      * Longest delay before a node with a narrow link tries to take ownership, in milliseconds:
      * twice the random spread of such attempts.
      */
-    private static final long MAX_YIELD_MS = 600;
+    private static final long MAX_TAKE_OVER_DELAY_MS = 600;
 
     public LinkRate {
         if (!(megabitsPerS >= 0)) {
@@ -29,7 +29,7 @@
 
     /** Returns whether this link carries the traffic of an owner; true if its rate is unknown. */
     public boolean isAmple() {
-        return yieldMs() == 0;
+        return takeOverDelayMs() == 0;
     }
 
     /**
@@ -39,10 +39,11 @@
      * <p>An owner sends the journal to all other nodes and each task's text to a worker. On a
      * narrow link its appends and its calls to workers would time out during a burst of jobs.
      */
-    public long yieldMs() {
+    public long takeOverDelayMs() {
         if (equals(UNKNOWN)) {
             return 0;
         }
-        return (long) (MAX_YIELD_MS * Math.max(0, 1 - megabitsPerS / AMPLE_MEGABITS_PER_S));
+        return (long)
+                (MAX_TAKE_OVER_DELAY_MS * Math.max(0, 1 - megabitsPerS / AMPLE_MEGABITS_PER_S));
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -5,31 +5,31 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.adapter.AdapterLimits;
+import org.foxtailplank.adapter.PlatformTimeouts;
 import org.foxtailplank.adapter.UsersPlatform;
 import org.foxtailplank.http.HttpClient;
 import org.foxtailplank.http.HttpReply;
 import org.foxtailplank.http.HttpRequest;
 import org.foxtailplank.http.HttpServer;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JobEntry;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobProgress;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.node.caller.CallerService;
-import org.foxtailplank.node.caller.OwnBook;
+import org.foxtailplank.node.caller.LocalJobQueries;
 import org.foxtailplank.node.journal.Handover;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.journal.JournalWriter;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.node.owner.NarrowOwner;
-import org.foxtailplank.node.owner.OwnerParts;
-import org.foxtailplank.node.owner.OwnerWork;
-import org.foxtailplank.node.owner.Ownership;
-import org.foxtailplank.node.owner.TakeOver;
+import org.foxtailplank.node.owner.OwnerContext;
+import org.foxtailplank.node.owner.OwnerElection;
+import org.foxtailplank.node.owner.OwnerSession;
+import org.foxtailplank.node.owner.ResignationPolicy;
+import org.foxtailplank.node.owner.Takeover;
+import org.foxtailplank.node.peer.JobQueries;
 import org.foxtailplank.node.peer.JournalStream;
-import org.foxtailplank.node.peer.OwnerBook;
 import org.foxtailplank.node.peer.OwnerLink;
 import org.foxtailplank.port.SharedLog;
 
@@ -79,10 +79,10 @@
     private final JournalReader mReader;
     private final JournalWriter mWriter;
     private final OwnerLink mLink;
-    private final Ownership mOwnership;
-    private final NarrowOwner mNarrowOwner;
+    private final OwnerElection mOwnership;
+    private final ResignationPolicy mNarrowOwner;
 
-    private Optional<OwnerWork> mOwner = Optional.empty();
+    private Optional<OwnerSession> mOwner = Optional.empty();
     private HttpServer mCallerServer;
     private JournalStream mStream;
     private boolean mStopping;
@@ -100,10 +100,10 @@
                         new HttpClient(loop, CONNECT_TIMEOUT_MS, WORKER_CONNECTIONS),
                         HttpClient.resetting(loop, CONNECT_TIMEOUT_MS, STORE_CONNECTIONS),
                         settings.platform(),
-                        AdapterLimits.DEFAULTS,
+                        PlatformTimeouts.DEFAULTS,
                         clock::nowMs);
         SharedLog shared = mPlatform.log();
-        JobBook book = new JobBook(settings.journal().endedJobRetentionMs());
+        JobRegistry book = new JobRegistry(settings.journal().endedJobRetentionMs());
         mOperator = new OperatorFollower(mPlatform.operatorOrders(), clock, timers, log);
         mReader =
                 new JournalReader(
@@ -115,14 +115,19 @@
                         book,
                         this::recordApplied);
         mLink = new OwnerLink(loop, clock, timers, log, mReader);
-        mReader.streaming(mLink::isAlive);
+        mReader.setStreaming(mLink::isAlive);
         mLink.setStandbyCondition(this::isStandby);
-        mNarrowOwner = new NarrowOwner(settings.link());
+        mNarrowOwner = new ResignationPolicy(settings.link());
         mWriter =
                 new JournalWriter(
-                        shared, JournalPartition.JOURNAL, new RoutedHandover(), clock, timers, log);
+                        shared,
+                        JournalPartitions.PRIMARY,
+                        new RoutedHandover(),
+                        clock,
+                        timers,
+                        log);
         mOwnership =
-                new Ownership(
+                new OwnerElection(
                         shared,
                         mReader,
                         clock,
@@ -139,15 +144,15 @@
     /** Stores records locally while this node owns, and rejects them otherwise. */
     private final class LocalHandover implements Handover {
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return mOwner.isPresent()
-                    && Handover.isStoring(mOwner.get().storedMsAgo(), mReader.answerMs());
+                    && Handover.canStore(mOwner.get().storedMsAgo(), mReader.latencyMs());
         }
 
         @Override
         public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
             mOwner.ifPresentOrElse(
-                    o -> o.handedOver(record, callback),
+                    o -> o.storeHandedOver(record, callback),
                     () -> callback.accept(StoreOutcome.NOT_STORED));
         }
     }
@@ -161,8 +166,8 @@
         }
 
         @Override
-        public boolean isOpen() {
-            return target().isOpen();
+        public boolean isAvailable() {
+            return target().isAvailable();
         }
 
         @Override
@@ -171,15 +176,16 @@
         }
     }
 
-    private OwnerBook localJobQueries() {
-        return new OwnBook(mReader, mClock, () -> mOwner.map(OwnerWork::isLoaded).orElse(false));
+    private JobQueries localJobQueries() {
+        return new LocalJobQueries(
+                mReader, mClock, () -> mOwner.map(OwnerSession::isLoaded).orElse(false));
     }
 
     /** Queries the current owner, which may be this node. */
-    private final class RoutedJobQueries implements OwnerBook {
-        private final OwnerBook mLocal = localJobQueries();
+    private final class RoutedJobQueries implements JobQueries {
+        private final JobQueries mLocal = localJobQueries();
 
-        private OwnerBook target() {
+        private JobQueries target() {
             return mOwner.isPresent() ? mLocal : mLink;
         }
 
@@ -218,7 +224,7 @@
                         mSettings.link(),
                         new LocalHandover(),
                         localJobQueries());
-        mReader.tap(mStream::recordRead);
+        mReader.setRawListener(mStream::recordRead);
         HttpServer.bind(mLoop, mSettings.readiness(), MAX_BODY_BYTES, this::readiness);
         HttpServer.bind(mLoop, mSettings.metrics(), MAX_BODY_BYTES, this::metrics);
     }
@@ -245,19 +251,19 @@
                 .write();
         mOperator.follow();
         mReader.follow();
-        mOwnership.watch();
+        mOwnership.start();
         removeEndedJobs();
         checkNarrowLink();
     }
 
     private void removeEndedJobs() {
-        mReader.book().forgetEnded(mClock.wallMs());
+        mReader.book().removeExpired(mClock.wallMs());
         mTimers.after(CLEANUP_INTERVAL_MS, this::removeEndedJobs);
     }
 
-    private void recordApplied(JournalRecord record, Optional<JobEntry> job) {
-        mOwnership.seen(record);
-        mOwner.ifPresent(o -> o.recorded(record, job));
+    private void recordApplied(JournalRecord record, Optional<JobProgress> job) {
+        mOwnership.applyRecord(record);
+        mOwner.ifPresent(o -> o.applyRecord(record, job));
     }
 
     /** Returns whether this node can replace an owner on a narrow link. */
@@ -269,19 +275,20 @@
 
     private void checkNarrowLink() {
         mTimers.after(NARROW_CHECK_INTERVAL_MS, this::checkNarrowLink);
-        if (mOwner.isPresent() && mNarrowOwner.givesUp(mStream.lastStandbyMs(), mClock.nowMs())) {
+        if (mOwner.isPresent()
+                && mNarrowOwner.shouldResign(mStream.lastStandbyMs(), mClock.nowMs())) {
             mLog.line("owner-narrow").with("node", mSettings.name()).write();
-            OwnerWork owner = mOwner.get();
+            OwnerSession owner = mOwner.get();
             mOwner = Optional.empty();
             resign(owner);
-            mOwnership.lost();
+            mOwnership.ownershipLost();
         }
     }
 
-    private void ownershipAcquired(TakeOver taken) {
-        mNarrowOwner.owns(mClock.nowMs());
-        OwnerParts parts =
-                new OwnerParts(
+    private void ownershipAcquired(Takeover taken) {
+        mNarrowOwner.ownershipGained(mClock.nowMs());
+        OwnerContext parts =
+                new OwnerContext(
                         mSettings,
                         mClock,
                         mTimers,
@@ -290,23 +297,23 @@
                         mOperator,
                         mReader,
                         mPlatform.log(),
-                        new OwnerParts.Platform(
+                        new OwnerContext.Platform(
                                 mPlatform.workers(),
                                 mPlatform.workerOrders(),
                                 mPlatform.vmActions(),
-                                mPlatform.advice(),
+                                mPlatform.placementAdvice(),
                                 mPlatform.waveBoard()));
-        OwnerWork work = new OwnerWork(parts, taken, this::fenced);
+        OwnerSession work = new OwnerSession(parts, taken, this::fenced);
         mOwner = Optional.of(work);
-        mLink.owner(Optional.empty());
-        mStream.ownershipAcquired(taken.token(), work, work::areCallsOver);
+        mLink.setOwner(Optional.empty());
+        mStream.ownershipAcquired(taken.token(), work, work::areVmCallsFinished);
         work.start();
     }
 
     private void fenced() {
         mOwner = Optional.empty();
         mStream.ownershipLost();
-        mOwnership.lost();
+        mOwnership.ownershipLost();
     }
 
     /**
@@ -316,7 +323,8 @@
     private boolean isReady() {
         long now = mClock.nowMs();
         boolean current = mReader.isCaughtUp() && now - mReader.lastReadMs() < MAX_READ_AGE_MS;
-        boolean throughOwner = mLink.isOpen() && now - mOperator.lastReadMs() < MAX_READ_AGE_MS;
+        boolean throughOwner =
+                mLink.isAvailable() && now - mOperator.lastReadMs() < MAX_READ_AGE_MS;
         return !mStopping && mOperator.config().isPresent() && (current || throughOwner);
     }
 
@@ -348,14 +356,14 @@
      * owner can take over at once. If the store doesn't answer in time, the followers are
      * disconnected anyway; a late answer is ignored if this node owns again.
      */
-    private void resign(OwnerWork owner) {
+    private void resign(OwnerSession owner) {
         Runnable disconnect =
                 () -> {
                     if (mOwner.isEmpty()) {
                         mStream.ownershipLost();
                     }
                 };
-        owner.leave(disconnect);
+        owner.resign(disconnect);
         mTimers.after(RESIGN_TIMEOUT_MS, disconnect);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeMain.java
@@ -40,7 +40,7 @@
     }
 
     private static void run(Path file, NodeSettings settings) {
-        quietNetty();
+        configureNetty();
         Clock clock = Clock.system();
         NodeLog log = NodeLog.to(System.out, clock);
         Thread.setDefaultUncaughtExceptionHandler((thread, error) -> failFast(log, error));
@@ -98,7 +98,7 @@
     }
 
     /** Presets Netty's logging and machine ID to save its start-up detection. */
-    public static void quietNetty() {
+    public static void configureNetty() {
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("io.netty.processId", "1");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettings.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettings.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.foxtailplank.adapter.UsersPlatform.PlatformAddresses;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.schedule.ScheduleLimits;
 
@@ -32,7 +32,7 @@
         InetSocketAddress metrics,
         InetSocketAddress peers,
         PlatformAddresses platform,
-        JournalBounds journal,
+        JournalLimits journal,
         ScheduleLimits schedule,
         boolean vmTokensChecked,
         LinkRate link,
@@ -41,15 +41,15 @@
     /**
      * Limits for the journal; times in milliseconds.
      *
-     * @param keepMs how long the platform retains a record
+     * @param retentionMs how long the platform retains a record
      * @param endedJobRetentionMs how long an ended job can be queried
      * @param partitionCount number of partitions of a topic on the shared log
      */
-    public record JournalBounds(long keepMs, long endedJobRetentionMs, int partitionCount) {
+    public record JournalLimits(long retentionMs, long endedJobRetentionMs, int partitionCount) {
 
         /** Returns the journal's partitions in order. */
         public List<LogPartition> partitions() {
-            return JournalPartition.all(partitionCount);
+            return JournalPartitions.all(partitionCount);
         }
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/NodeSettingsReader.java
@@ -59,8 +59,8 @@
         ScheduleLimits schedule =
                 new ScheduleLimits(
                         (long) number("/worker/leaseMs"), (long) number("/jobs/earlyMs"));
-        NodeSettings.JournalBounds journal =
-                new NodeSettings.JournalBounds(
+        NodeSettings.JournalLimits journal =
+                new NodeSettings.JournalLimits(
                         secondsAsMs("/platform/keepS"),
                         secondsAsMs("/jobs/statusS"),
                         positiveInt("/platform/parts"));
--- a/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.schedule.DueWave;
 
 /** Follows the operator's orders: the current configuration and the maintenance waves. */
@@ -19,7 +19,7 @@
     /** Delay after a failed read, in milliseconds. */
     private static final long RETRY_MS = 150;
 
-    private final Feed<OperatorOrder> mFeed;
+    private final ChangeFeed<OperatorChange> mFeed;
     private final Clock mClock;
     private final Timers mTimers;
     private final NodeLog mLog;
@@ -30,7 +30,8 @@
     private long mPosition = -1;
     private long mLastReadMs = Long.MIN_VALUE / 2;
 
-    public OperatorFollower(Feed<OperatorOrder> feed, Clock clock, Timers timers, NodeLog log) {
+    public OperatorFollower(
+            ChangeFeed<OperatorChange> feed, Clock clock, Timers timers, NodeLog log) {
         mFeed = feed;
         mClock = clock;
         mTimers = timers;
@@ -55,15 +56,15 @@
     /** Starts polling, which never ends. */
     public void follow() {
         if (mPosition < 0) {
-            mFeed.newest(this::pollCompleted);
+            mFeed.latest(this::pollCompleted);
         } else {
             mFeed.changes(mPosition, POLL_WAIT_MS, this::pollCompleted);
         }
     }
 
-    private void pollCompleted(Feed.Result<OperatorOrder> result) {
+    private void pollCompleted(ChangeFeed.Result<OperatorChange> result) {
         apply(result);
-        if (result instanceof Feed.Page) {
+        if (result instanceof ChangeFeed.Page) {
             follow();
         } else {
             mTimers.after(RETRY_MS, this::follow);
@@ -72,23 +73,23 @@
 
     /** Reads all orders written so far, then reports whether that succeeded. */
     public void refresh(Consumer<Boolean> callback) {
-        Consumer<Feed.Result<OperatorOrder>> listener =
+        Consumer<ChangeFeed.Result<OperatorChange>> listener =
                 r -> {
                     apply(r);
-                    callback.accept(r instanceof Feed.Page);
+                    callback.accept(r instanceof ChangeFeed.Page);
                 };
         if (mPosition < 0) {
-            mFeed.newest(listener);
+            mFeed.latest(listener);
         } else {
             mFeed.changes(mPosition, 0, listener);
         }
     }
 
-    private void apply(Feed.Result<OperatorOrder> result) {
-        if (result instanceof Feed.Gap) {
+    private void apply(ChangeFeed.Result<OperatorChange> result) {
+        if (result instanceof ChangeFeed.Gap) {
             // The changes are no longer available: the next read fetches the newest values.
             mPosition = -1;
-        } else if (result instanceof Feed.Page<OperatorOrder> page) {
+        } else if (result instanceof ChangeFeed.Page<OperatorChange> page) {
             mLastReadMs = mClock.nowMs();
             mPosition = Math.max(mPosition, page.next());
             page.items().forEach(this::apply);
@@ -97,7 +98,7 @@
     }
 
     /** Ignores unreadable orders, which leave the last readable value in force. */
-    private void apply(Feed.Item<OperatorOrder> item) {
+    private void apply(ChangeFeed.Item<OperatorChange> item) {
         if (!item.readable()) {
             mLog.line("order-unreadable").with("key", item.key()).write();
         }
@@ -105,25 +106,25 @@
     }
 
     /** Gives a wave ordered before this node started only half of its duration. */
-    private DueWave dueWave(WaveOrder wave) {
+    private DueWave dueWave(MaintenanceWave wave) {
         long remainingMs = mFirstPageRead ? wave.durationMs() : wave.durationMs() / 2;
         return new DueWave(wave, mClock.nowMs() + remainingMs);
     }
 
-    private void apply(OperatorOrder order) {
-        if (order instanceof OperatorOrder.NewWave w) {
+    private void apply(OperatorChange order) {
+        if (order instanceof OperatorChange.NewWave w) {
             if (!mWaves.containsKey(w.wave().number())) {
                 mWaves.put(w.wave().number(), dueWave(w.wave()));
                 mLog.line("wave-ordered")
                         .with("wave", w.wave().number())
                         .with("vms", w.wave().vms().size())
-                        .with("atOnce", w.wave().atOnce())
+                        .with("atOnce", w.wave().maxConcurrent())
                         .with("durationMs", w.wave().durationMs())
                         .write();
             }
             return;
         }
-        FleetConfig config = ((OperatorOrder.NewConfig) order).config();
+        FleetConfig config = ((OperatorChange.NewConfig) order).config();
         // Concurrent reads may deliver an older version late.
         if (mConfig.isEmpty() || config.version() > mConfig.get().version()) {
             mConfig = Optional.of(config);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
@@ -10,7 +10,7 @@
 import org.foxtailplank.http.HttpHandler;
 import org.foxtailplank.http.HttpReply;
 import org.foxtailplank.http.HttpRequest;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JobPhase;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
@@ -22,11 +22,11 @@
 import org.foxtailplank.node.journal.JournalWriter;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.node.peer.OwnerBook;
+import org.foxtailplank.node.peer.JobQueries;
 import org.foxtailplank.node.peer.OwnerLink;
-import org.foxtailplank.port.CallerBodies;
-import org.foxtailplank.port.CallerBodies.BadBodyException;
-import org.foxtailplank.port.CallerBodies.Submission;
+import org.foxtailplank.port.CallerCodec;
+import org.foxtailplank.port.CallerCodec.InvalidBodyException;
+import org.foxtailplank.port.CallerCodec.Submission;
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.RouteSettings;
 
@@ -68,7 +68,7 @@
     private final OwnerLink mLink;
     private final JobFinder mFinder;
     private final JournalWriter mWriter;
-    private final CallerBodies mBodies;
+    private final CallerCodec mBodies;
     private final Clock mClock;
     private final NodeLog mLog;
     private final NodeMetrics mMetrics;
@@ -78,9 +78,9 @@
             OperatorFollower operator,
             JournalReader reader,
             OwnerLink link,
-            OwnerBook ownerQueries,
+            JobQueries ownerQueries,
             JournalWriter writer,
-            CallerBodies bodies,
+            CallerCodec bodies,
             Clock clock,
             Timers timers,
             NodeLog log,
@@ -188,20 +188,20 @@
         Submission submission;
         try {
             submission = mBodies.read(request.body());
-        } catch (BadBodyException e) {
+        } catch (InvalidBodyException e) {
             mLog.line("bad-submission").with("job", id).with("why", e.getMessage()).write();
             reply.accept(HttpReply.text(BAD_REQUEST, e.getMessage()));
             return;
         }
-        JobOrder order =
-                new JobOrder(
+        JobDefinition order =
+                new JobDefinition(
                         id,
                         route.name(),
                         route.service(),
                         submission.text(),
                         submission.steps(),
                         submission.timetable(),
-                        route.terms(),
+                        route.policy(),
                         mClock.wallMs());
         List<Consumer<HttpReply>> replies = new ArrayList<>(List.of(reply));
         mInFlight.put(id, replies);
@@ -211,7 +211,7 @@
     }
 
     private void submissionCompleted(
-            JobOrder order, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
+            JobDefinition order, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
         mInFlight.remove(order.id());
         mLog.line("job-submitted")
                 .with("job", order.id())
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobEntry;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.JournalReader;
-import org.foxtailplank.node.peer.OwnerBook;
+import org.foxtailplank.node.peer.JobQueries;
 
 /**
  * Looks up jobs for callers within their deadlines: asks the owner first, which has read the whole
@@ -18,11 +18,11 @@
  */
 final class JobFinder {
     private final JournalReader mReader;
-    private final OwnerBook mOwnerQueries;
+    private final JobQueries mOwnerQueries;
     private final Clock mClock;
     private final Timers mTimers;
 
-    JobFinder(JournalReader reader, OwnerBook ownerQueries, Clock clock, Timers timers) {
+    JobFinder(JournalReader reader, JobQueries ownerQueries, Clock clock, Timers timers) {
         mReader = reader;
         mOwnerQueries = ownerQueries;
         mClock = clock;
@@ -36,7 +36,7 @@
 
     /** Returns the phase of a job according to this node's own state. */
     Optional<JobPhase> localPhase(String id) {
-        return mReader.book().job(id).map(JobEntry::phase);
+        return mReader.book().job(id).map(JobProgress::phase);
     }
 
     /** Returns the number of pending jobs of a queue according to this node's own state. */
