--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/OwnBook.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/LocalJobQueries.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobEntry;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.journal.JournalReader;
-import org.foxtailplank.node.peer.OwnerBook;
+import org.foxtailplank.node.peer.JobQueries;
 
 /** Answers from this node's own job state while it owns and has read the journal. */
-public final class OwnBook implements OwnerBook {
+public final class LocalJobQueries implements JobQueries {
     private final JournalReader mReader;
     private final Clock mClock;
     private final BooleanSupplier mIsOwner;
@@ -20,7 +20,7 @@
      *
      * @param isOwner whether this node owns as far as it knows, and has read the journal since
      */
-    public OwnBook(JournalReader reader, Clock clock, BooleanSupplier isOwner) {
+    public LocalJobQueries(JournalReader reader, Clock clock, BooleanSupplier isOwner) {
         mReader = reader;
         mClock = clock;
         mIsOwner = isOwner;
@@ -28,9 +28,9 @@
 
     @Override
     public void phase(String job, Consumer<Optional<JobPhase>> callback) {
-        Optional<JobEntry> entry =
+        Optional<JobProgress> entry =
                 mIsOwner.getAsBoolean() ? mReader.book().job(job) : Optional.empty();
-        callback.accept(entry.map(JobEntry::phase));
+        callback.accept(entry.map(JobProgress::phase));
     }
 
     /**
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
@@ -19,12 +19,12 @@
      * @param storedMsAgo time since its last record was stored, in milliseconds
      * @param latencyMs recent latency of the store, in milliseconds
      */
-    static boolean isStoring(long storedMsAgo, long latencyMs) {
+    static boolean canStore(long storedMsAgo, long latencyMs) {
         return storedMsAgo < MAX_STORE_AGE_MS + LATENCY_FACTOR * latencyMs;
     }
 
     /** Whether there is an owner that is reachable and able to store records. */
-    boolean isOpen();
+    boolean isAvailable();
 
     /** Hands a record over; {@code then} is always called, exactly once. */
     void handOver(byte[] record, Consumer<StoreOutcome> then);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobOrderCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobDefinitionCodec.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Optional;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.AdviceTerms;
-import org.foxtailplank.job.JobOrder;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.AdviceTiming;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
 
 /** Encodes and decodes job definitions as protobuf fields. */
-final class JobOrderCodec {
+final class JobDefinitionCodec {
     private static final int STEP_FIELD = 5;
 
-    private JobOrderCodec() {}
+    private JobDefinitionCodec() {}
 
-    static void write(CodedOutputStream out, JobOrder order) throws IOException {
+    static void write(CodedOutputStream out, JobDefinition order) throws IOException {
         out.writeString(1, order.id());
         out.writeString(2, order.route());
         out.writeString(3, order.service());
@@ -33,7 +33,7 @@
         out.writeInt64(6, order.timetable().startMs());
         out.writeInt64(7, order.timetable().periodMs());
         out.writeInt32(8, order.timetable().runs());
-        QueueTerms terms = order.terms();
+        QueuePolicy terms = order.policy();
         out.writeInt32(9, terms.priority());
         out.writeInt32(10, terms.maxAttempts());
         out.writeDouble(11, terms.stretch());
@@ -46,7 +46,7 @@
         }
     }
 
-    static JobOrder read(CodedInputStream in) throws IOException {
+    static JobDefinition read(CodedInputStream in) throws IOException {
         String[] texts = new String[5];
         long[] numbers = new long[17];
         List<TaskStep> steps = new ArrayList<>();
@@ -67,23 +67,23 @@
                 in.skipField(tag);
             }
         }
-        Optional<AdviceTerms> adviceTerms =
+        Optional<AdviceTiming> adviceTerms =
                 hasAdvice
-                        ? Optional.of(new AdviceTerms(numbers[14], numbers[15], numbers[16]))
+                        ? Optional.of(new AdviceTiming(numbers[14], numbers[15], numbers[16]))
                         : Optional.empty();
         for (int f = 1; f < texts.length; f++) {
             require(texts[f] != null, "string field " + f);
         }
         require(!texts[1].isEmpty(), "ID");
         validateSteps(steps, numbers[8]);
-        return new JobOrder(
+        return new JobDefinition(
                 texts[1],
                 texts[2],
                 texts[3],
                 texts[4],
                 steps,
                 new Timetable(numbers[6], numbers[7], (int) numbers[8]),
-                new QueueTerms(
+                new QueuePolicy(
                         (int) numbers[9], (int) numbers[10], stretch, numbers[12], adviceTerms),
                 numbers[13]);
     }
@@ -117,7 +117,7 @@
         for (int dependency : step.dependsOn()) {
             out.writeInt32(6, dependency);
         }
-        PlacementRule placement = step.placement();
+        PlacementConstraints placement = step.placement();
         out.writeBool(7, placement.gang());
         out.writeBool(8, placement.sameRack());
         out.writeString(9, placement.requiredLabel());
@@ -127,9 +127,9 @@
         out.writeBool(12, mode.speculative());
         out.writeBool(13, mode.standing());
         out.writeBool(14, mode.checkpoints());
-        out.writeBool(15, mode.fills());
-        out.writeInt64(16, mode.targetMs());
-        out.writeInt32(17, mode.mayMiss());
+        out.writeBool(15, mode.opportunistic());
+        out.writeInt64(16, mode.latencyObjectiveMs());
+        out.writeInt32(17, mode.maxUnavailable());
     }
 
     private static TaskStep readStep(CodedInputStream in) throws IOException {
@@ -157,7 +157,7 @@
                 new Resources(numbers[2], numbers[3], (int) numbers[4]),
                 numbers[5],
                 dependsOn,
-                new PlacementRule(
+                new PlacementConstraints(
                         numbers[7] != 0,
                         numbers[8] != 0,
                         requiredLabel,
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
@@ -9,15 +9,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobRestated;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.JobSnapshot;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
@@ -58,9 +58,13 @@
     public static byte[] encode(JournalRecord record) {
         if (record instanceof JobAccepted r) {
             return encodeMessage(
-                    out -> writeMessage(out, ACCEPTED, o -> JobOrderCodec.write(o, r.order())));
+                    out ->
+                            writeMessage(
+                                    out,
+                                    ACCEPTED,
+                                    o -> JobDefinitionCodec.write(o, r.definition())));
         }
-        if (record instanceof JobRestated r) {
+        if (record instanceof JobSnapshot r) {
             return encodeMessage(out -> writeMessage(out, SNAPSHOT, o -> writeSnapshot(o, r)));
         }
         if (record instanceof JobCancelled r) {
@@ -75,10 +79,10 @@
         if (record instanceof RunsStarted r) {
             return encodeMessage(out -> writeMessage(out, STARTED, o -> writeStarts(o, r.runs())));
         }
-        if (record instanceof JobsBegun r) {
+        if (record instanceof JobsStarted r) {
             return encodeMessage(out -> writeMessage(out, BEGUN, o -> writeJobs(o, r.jobs())));
         }
-        if (record instanceof OwnerAlive r) {
+        if (record instanceof OwnerHeartbeat r) {
             return encodeMessage(
                     out -> writeMessage(out, ALIVE, o -> OwnerRecordCodec.write(o, r)));
         }
@@ -95,7 +99,7 @@
             return encodeMessage(
                     out -> writeMessage(out, COMPLETED, o -> writeNumberAndName(o, r.wave(), "")));
         }
-        OwnerLeft r = (OwnerLeft) record;
+        OwnerResigned r = (OwnerResigned) record;
         return encodeMessage(out -> writeMessage(out, LEFT, o -> OwnerRecordCodec.write(o, r)));
     }
 
@@ -116,11 +120,11 @@
         CodedInputStream body = in.readBytes().newCodedInput();
         return Optional.of(
                 switch (kind) {
-                    case ACCEPTED -> new JobAccepted(JobOrderCodec.read(body));
+                    case ACCEPTED -> new JobAccepted(JobDefinitionCodec.read(body));
                     case ENDED -> new RunsEnded(readEnds(body));
                     case SNAPSHOT -> readSnapshot(body);
                     case STARTED -> new RunsStarted(readStarts(body));
-                    case BEGUN -> new JobsBegun(readJobs(body));
+                    case BEGUN -> new JobsStarted(readJobs(body));
                     case WAVE_DUE -> readWaveDue(body);
                     case LEFT -> OwnerRecordCodec.readOwnerLeft(body);
                     case ALIVE -> OwnerRecordCodec.readOwnerAlive(body);
@@ -138,22 +142,22 @@
         };
     }
 
-    private static void writeSnapshot(CodedOutputStream out, JobRestated record)
+    private static void writeSnapshot(CodedOutputStream out, JobSnapshot record)
             throws IOException {
-        writeMessage(out, 1, o -> JobOrderCodec.write(o, record.order()));
+        writeMessage(out, 1, o -> JobDefinitionCodec.write(o, record.definition()));
         writeMessage(out, 2, o -> writeStarts(o, record.starts()));
         writeMessage(out, 3, o -> writeEnds(o, record.ends()));
         out.writeInt64(4, record.cancelledMs());
     }
 
-    private static JobRestated readSnapshot(CodedInputStream in) throws IOException {
-        JobOrder order = null;
+    private static JobSnapshot readSnapshot(CodedInputStream in) throws IOException {
+        JobDefinition order = null;
         List<StartedRun> starts = List.of();
         List<EndedRun> ends = List.of();
         long cancelledMs = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
-                case 1 -> order = JobOrderCodec.read(in.readBytes().newCodedInput());
+                case 1 -> order = JobDefinitionCodec.read(in.readBytes().newCodedInput());
                 case 2 -> starts = readStarts(in.readBytes().newCodedInput());
                 case 3 -> ends = readEnds(in.readBytes().newCodedInput());
                 case 4 -> cancelledMs = in.readInt64();
@@ -163,7 +167,7 @@
         if (order == null) {
             throw new IOException("job snapshot has no job definition");
         }
-        return new JobRestated(order, starts, ends, cancelledMs);
+        return new JobSnapshot(order, starts, ends, cancelledMs);
     }
 
     private static void writeJobs(CodedOutputStream out, List<String> jobs) throws IOException {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalPartition.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalPartitions.java
@@ -10,7 +10,7 @@
  * <p>Records go to the primary partition, or to a spare one while the primary is unavailable. They
  * may be read in any order and may be duplicated across partitions.
  */
-public final class JournalPartition {
+public final class JournalPartitions {
     private static final String TOPIC = "foxtail-journal";
 
     /**
@@ -20,9 +20,9 @@
     private static final int MAX_PARTITIONS = 3;
 
     /** The primary partition. */
-    public static final LogPartition JOURNAL = new LogPartition(TOPIC, 0);
+    public static final LogPartition PRIMARY = new LogPartition(TOPIC, 0);
 
-    private JournalPartition() {}
+    private JournalPartitions() {}
 
     /**
      * All partitions of the journal, the primary one first.
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
@@ -8,8 +8,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JobEntry;
+import org.foxtailplank.job.JobProgress;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.Timers;
@@ -20,8 +20,8 @@
 /** Reads the journal continuously and applies its records to the registry of jobs. */
 public final class JournalReader {
     private final NodeLog mNodeLog;
-    private final JobBook mBook;
-    private final BiConsumer<JournalRecord, Optional<JobEntry>> mListener;
+    private final JobRegistry mBook;
+    private final BiConsumer<JournalRecord, Optional<JobProgress>> mListener;
     private final List<PartitionReader> mPartitions = new ArrayList<>();
     private RawRecordListener mRawListener = (partition, offset, record) -> {};
 
@@ -37,8 +37,8 @@
             Clock clock,
             Timers timers,
             NodeLog nodeLog,
-            JobBook book,
-            BiConsumer<JournalRecord, Optional<JobEntry>> listener) {
+            JobRegistry book,
+            BiConsumer<JournalRecord, Optional<JobProgress>> listener) {
         mNodeLog = nodeLog;
         mBook = book;
         mListener = listener;
@@ -58,7 +58,7 @@
         }
     }
 
-    public JobBook book() {
+    public JobRegistry book() {
         return mBook;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Moving average of the store's latency, in milliseconds. */
-    public long answerMs() {
+    public long latencyMs() {
         return (long) mostRecentlyRead().latencyMs();
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Sets whether to read with long polls, as the owner does, instead of at intervals. */
-    public void eager(boolean enabled) {
+    public void setLongPolling(boolean enabled) {
         mPartitions.forEach(p -> p.setLongPolling(enabled));
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Applies a record streamed by the owner; if it is beyond a gap, reads the gap first. */
-    public void fromOwner(int partition, long offset, byte[] record) {
+    public void applyStreamed(int partition, long offset, byte[] record) {
         if (partition < mPartitions.size()) {
             mPartitions.get(partition).applyStreamed(offset, record);
         }
@@ -117,12 +117,12 @@
     }
 
     /** Sets the condition under which the owner streams records, and reads are less frequent. */
-    public void streaming(BooleanSupplier streaming) {
+    public void setStreaming(BooleanSupplier streaming) {
         mPartitions.forEach(p -> p.setStreaming(streaming));
     }
 
     /** Sets the listener for raw records, which receives them in the order of their partition. */
-    public void tap(RawRecordListener listener) {
+    public void setRawListener(RawRecordListener listener) {
         mRawListener = listener;
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
@@ -91,7 +91,7 @@
      */
     public void store(JournalRecord record, long deadlineMs, Consumer<StoreOutcome> then) {
         PendingRecord pending = new PendingRecord(JournalCodec.encode(record), deadlineMs, then);
-        if (mHandover.isOpen()) {
+        if (mHandover.isAvailable()) {
             handOver(pending);
         } else if (mStoreFailing && mInFlight + mRetrying > 0) {
             then.accept(StoreOutcome.NOT_STORED);
@@ -110,7 +110,7 @@
     /** Stops waiting for an owner that is unavailable or won't answer before the deadline. */
     private void checkOwner(PendingRecord pending) {
         boolean late = mClock.nowMs() + HANDOVER_CHECK_MS > pending.mDeadlineMs;
-        if (late || !mHandover.isOpen()) {
+        if (late || !mHandover.isAvailable()) {
             handoverAnswered(pending, StoreOutcome.UNKNOWN);
         } else if (pending.mAwaitingOwner) {
             mTimers.after(HANDOVER_CHECK_MS, () -> checkOwner(pending));
@@ -181,7 +181,7 @@
 
     private void retryOrComplete(PendingRecord pending) {
         boolean expired = mClock.nowMs() >= pending.mDeadlineMs;
-        if (!expired && !pending.mHandedOver && mHandover.isOpen()) {
+        if (!expired && !pending.mHandedOver && mHandover.isAvailable()) {
             handOver(pending);
             return;
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerRecordCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerRecordCodec.java
@@ -4,20 +4,20 @@
 import com.google.protobuf.CodedOutputStream;
 import com.google.protobuf.WireFormat;
 import java.io.IOException;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 
 /** Encodes and decodes the heartbeat and departure records of owners. */
 final class OwnerRecordCodec {
     private OwnerRecordCodec() {}
 
-    static void write(CodedOutputStream out, OwnerAlive record) throws IOException {
+    static void write(CodedOutputStream out, OwnerHeartbeat record) throws IOException {
         out.writeInt64(1, record.token());
         out.writeString(2, record.address());
         out.writeInt64(3, record.ownedMs());
     }
 
-    static OwnerAlive readOwnerAlive(CodedInputStream in) throws IOException {
+    static OwnerHeartbeat readOwnerAlive(CodedInputStream in) throws IOException {
         long token = 0;
         String address = "";
         long ownedMs = 0;
@@ -29,16 +29,16 @@
                 default -> in.skipField(tag);
             }
         }
-        return new OwnerAlive(token, address, ownedMs);
+        return new OwnerHeartbeat(token, address, ownedMs);
     }
 
-    static void write(CodedOutputStream out, OwnerLeft record) throws IOException {
+    static void write(CodedOutputStream out, OwnerResigned record) throws IOException {
         out.writeInt64(1, record.token());
         out.writeString(2, record.node());
-        out.writeBool(3, record.callsOver());
+        out.writeBool(3, record.vmCallsFinished());
     }
 
-    static OwnerLeft readOwnerLeft(CodedInputStream in) throws IOException {
+    static OwnerResigned readOwnerLeft(CodedInputStream in) throws IOException {
         long token = 0;
         String node = "";
         boolean callsOver = false;
@@ -50,6 +50,6 @@
                 default -> in.skipField(tag);
             }
         }
-        return new OwnerLeft(token, node, callsOver);
+        return new OwnerResigned(token, node, callsOver);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Restating.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalRefresher.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.node.owner;
 
 import java.util.List;
-import org.foxtailplank.job.JobEntry;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.JournalRecord;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
 import org.foxtailplank.node.Clock;
 
 /**
@@ -12,7 +12,7 @@
  * <p>Without this a node that starts later would not know of standing jobs, and would reboot the
  * VMs of a completed wave a second time.
  */
-final class Restating {
+final class JournalRefresher {
     /** How often a record is rewritten within the retention time. */
     private static final int REWRITES_PER_RETENTION = 3;
 
@@ -22,12 +22,12 @@
     /** Limits the records written by one check to a fraction of what an append may hold. */
     private static final int MAX_JOBS_PER_CHECK = 50;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
     private final Clock mClock;
     private long mWavesRewrittenMs;
 
-    Restating(OwnerWork owner, OwnerParts parts) {
+    JournalRefresher(OwnerSession owner, OwnerContext parts) {
         mOwner = owner;
         mParts = parts;
         mClock = parts.clock();
@@ -43,22 +43,22 @@
             return;
         }
         start();
-        long age = mParts.settings().journal().keepMs() / REWRITES_PER_RETENTION;
+        long age = mParts.settings().journal().retentionMs() / REWRITES_PER_RETENTION;
         rewriteJobs(age);
         if (mClock.nowMs() - mWavesRewrittenMs > age) {
             mWavesRewrittenMs = mClock.nowMs();
-            mParts.reader().book().restateWaves().forEach(this::store);
+            mParts.reader().book().snapshotWaves().forEach(this::store);
         }
     }
 
     private void rewriteJobs(long ageMs) {
         int rewritten = 0;
         long now = mClock.wallMs();
-        for (JobEntry job : mParts.reader().book().jobs()) {
-            if (rewritten < MAX_JOBS_PER_CHECK && now - job.statedMs() > ageMs) {
-                store(job.restate(now));
-                if (job.hasBegun()) {
-                    store(new JobsBegun(List.of(job.order().id())));
+        for (JobProgress job : mParts.reader().book().jobs()) {
+            if (rewritten < MAX_JOBS_PER_CHECK && now - job.snapshotMs() > ageMs) {
+                store(job.snapshot(now));
+                if (job.hasStarted()) {
+                    store(new JobsStarted(List.of(job.definition().id())));
                 }
                 rewritten++;
             }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLogger.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLogger.java
@@ -7,10 +7,10 @@
 final class LoadLogger {
     private static final long LOG_INTERVAL_MS = 2000;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
 
-    LoadLogger(OwnerWork owner, OwnerParts parts) {
+    LoadLogger(OwnerSession owner, OwnerContext parts) {
         mOwner = owner;
         mParts = parts;
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OrderSender.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OrderSender.java
@@ -5,10 +5,10 @@
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
 import org.foxtailplank.node.LinkBudget;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.WorkerOrders.OrderAnswer;
-import org.foxtailplank.port.WorkerOrders.RunOrder;
-import org.foxtailplank.port.WorkerOrders.StartOrder;
+import org.foxtailplank.port.CommandOutcome;
+import org.foxtailplank.port.WorkerClient.CommandResponse;
+import org.foxtailplank.port.WorkerClient.RunCommand;
+import org.foxtailplank.port.WorkerClient.StartCommand;
 import org.foxtailplank.schedule.Decisions;
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
@@ -32,12 +32,12 @@
      */
     private static final int START_OVERHEAD_BYTES = 600;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
     private final long mToken;
     private final LinkBudget mStartBudget;
 
-    OrderSender(OwnerWork owner, OwnerParts parts, long token) {
+    OrderSender(OwnerSession owner, OwnerContext parts, long token) {
         mOwner = owner;
         mParts = parts;
         mToken = token;
@@ -55,7 +55,7 @@
         decisions.starts().forEach(this::start);
         decisions.stops().forEach(this::stop);
         decisions.paces().forEach(this::pace);
-        decisions.asks().forEach(this::ask);
+        decisions.adviceRequests().forEach(this::ask);
     }
 
     /**
@@ -68,13 +68,13 @@
         }
         List<StartedRun> starts = new ArrayList<>();
         for (TaskRun r : planned) {
-            starts.add(new StartedRun(r.slot().name(), r.attempt(), r.worker().id()));
+            starts.add(new StartedRun(r.task().name(), r.attempt(), r.worker().id()));
         }
         mOwner.journal()
                 .store(
                         new RunsStarted(starts),
                         () -> {
-                            mOwner.scheduler().recorded(planned);
+                            mOwner.scheduler().startsRecorded(planned);
                             mOwner.decideNow();
                         });
     }
@@ -92,27 +92,27 @@
     private void start(Decisions.Start start) {
         TaskRun run = start.run();
         long now = mParts.clock().nowMs();
-        String text = run.slot().step().job().order().text();
+        String text = run.task().step().job().order().text();
         int bytes = Math.min(START_OVERHEAD_BYTES + text.length(), MAX_START_BYTES);
-        if (!mOwner.canGrantFullLease() || !mStartBudget.take(bytes, now)) {
-            mOwner.scheduler().startDelayed(run);
+        if (!mOwner.canGrantFullLease() || !mStartBudget.tryConsume(bytes, now)) {
+            mOwner.scheduler().retryStart(run);
             return;
         }
         WorkerState worker = run.worker();
-        StartOrder order =
-                new StartOrder(
+        StartCommand order =
+                new StartCommand(
                         runOrder(run),
                         text,
-                        run.slot().checkpoint(),
+                        run.task().checkpoint(),
                         start.ticket(),
-                        worker.renew(now, mOwner.workerLeaseMs()));
+                        worker.renewLease(now, mOwner.workerLeaseMs()));
         mParts.metrics().counter("starts").inc();
         mParts.platform()
                 .orders()
                 .start(worker.address(), order, a -> handleStartAnswer(run, a, now));
     }
 
-    private void handleStartAnswer(TaskRun run, OrderAnswer answer, long sentMs) {
+    private void handleStartAnswer(TaskRun run, CommandResponse answer, long sentMs) {
         if (mOwner.hasEnded()) {
             return;
         }
@@ -120,7 +120,7 @@
         mParts.metrics().latency("start").update(now - sentMs);
         mParts.log()
                 .line("start-order")
-                .with("task", run.slot().name())
+                .with("task", run.task().name())
                 .with("attempt", run.attempt())
                 .with("worker", run.worker().id())
                 .with("outcome", answer.outcome())
@@ -130,7 +130,7 @@
             return;
         }
         mOwner.scheduler().startAnswered(run, answer.outcome(), now);
-        if (answer.outcome() != OrderOutcome.DONE) {
+        if (answer.outcome() != CommandOutcome.DONE) {
             mOwner.scheduleDecision();
         }
     }
@@ -139,12 +139,12 @@
      * Handles an answer that ends the owner's work or the worker's incarnation; returns whether it
      * did.
      */
-    private boolean handleTerminalAnswer(WorkerState worker, OrderAnswer answer) {
-        if (answer.outcome() == OrderOutcome.FENCED) {
+    private boolean handleTerminalAnswer(WorkerState worker, CommandResponse answer) {
+        if (answer.outcome() == CommandOutcome.FENCED) {
             mOwner.handleFenced(worker.id());
             return true;
         }
-        if (answer.outcome() == OrderOutcome.OTHER_LIFE) {
+        if (answer.outcome() == CommandOutcome.OTHER_LIFE) {
             mOwner.handleWorkerEnded(worker, "another incarnation answered");
             return true;
         }
@@ -164,10 +164,10 @@
                             }
                             mParts.log()
                                     .line("stop-order")
-                                    .with("task", run.slot().name())
+                                    .with("task", run.task().name())
                                     .with("attempt", run.attempt())
                                     .with("worker", run.worker().id())
-                                    .with("why", run.reason())
+                                    .with("why", run.stopReason())
                                     .with("outcome", a.outcome())
                                     .write();
                             if (!handleTerminalAnswer(run.worker(), a)) {
@@ -182,19 +182,19 @@
         mParts.metrics().counter("paces").inc();
         mParts.log()
                 .line("pace-order")
-                .with("task", run.slot().name())
+                .with("task", run.task().name())
                 .with("percent", pace.percent())
                 .write();
         mParts.platform()
                 .orders()
-                .pace(
+                .throttle(
                         run.worker().address(),
                         runOrder(run),
                         pace.percent(),
                         a -> handleTerminalAnswer(run.worker(), a));
     }
 
-    private void ask(Decisions.Ask ask) {
+    private void ask(Decisions.AdviceRequest ask) {
         mParts.metrics().counter("asks").inc();
         mParts.platform()
                 .advice()
@@ -213,12 +213,12 @@
                                     .with("allowed", a.tickets().size())
                                     .write();
                             long now = mParts.clock().nowMs();
-                            mOwner.scheduler().advised(ask, a, now);
+                            mOwner.scheduler().adviceAnswered(ask, a, now);
                             mOwner.scheduleDecision();
                         });
     }
 
-    private RunOrder runOrder(TaskRun run) {
-        return new RunOrder(run.slot().name(), run.attempt(), mToken);
+    private RunCommand runOrder(TaskRun run) {
+        return new RunCommand(run.task().name(), run.attempt(), mToken);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerParts.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerContext.java
@@ -7,16 +7,16 @@
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.port.Feed;
-import org.foxtailplank.port.PlacementAdvice;
+import org.foxtailplank.port.ChangeFeed;
+import org.foxtailplank.port.PlacementAdvisor;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions;
-import org.foxtailplank.port.WaveBoard;
+import org.foxtailplank.port.VmClient;
+import org.foxtailplank.port.WavePublisher;
+import org.foxtailplank.port.WorkerClient;
 import org.foxtailplank.port.WorkerInfo;
-import org.foxtailplank.port.WorkerOrders;
 
 /** Dependencies of an owner. */
-public record OwnerParts(
+public record OwnerContext(
         NodeSettings settings,
         Clock clock,
         Timers timers,
@@ -29,9 +29,9 @@
 
     /** Platform ports that only an owner uses. */
     public record Platform(
-            Feed<WorkerInfo> directory,
-            WorkerOrders orders,
-            VmActions vms,
-            PlacementAdvice advice,
-            WaveBoard waves) {}
+            ChangeFeed<WorkerInfo> directory,
+            WorkerClient orders,
+            VmClient vms,
+            PlacementAdvisor advice,
+            WavePublisher waves) {}
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Ownership.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerElection.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import org.foxtailplank.http.IpPort;
 import org.foxtailplank.job.JournalRecord;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.lease.CallLease;
@@ -16,14 +16,14 @@
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.node.peer.OwnerSigns;
-import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
+import org.foxtailplank.node.peer.OwnerMonitor;
+import org.foxtailplank.node.peer.OwnerMonitor.KnownOwner;
 import org.foxtailplank.node.peer.OwnerState;
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog;
 import org.foxtailplank.port.SharedLog.AppendResult;
 import org.foxtailplank.port.SharedLog.PageRequest;
-import org.foxtailplank.port.VmActions;
+import org.foxtailplank.port.VmClient;
 
 /**
  * Decides when this node tries to become the owner, and takes ownership by a conditional append.
@@ -32,7 +32,7 @@
  * the conditional append succeeds for exactly one node at an offset, and workers accept orders only
  * with the highest token they have seen.
  */
-public final class Ownership {
+public final class OwnerElection {
     /** Assumed age of a record read at startup, in milliseconds: one heartbeat interval. */
     private static final long STARTUP_RECORD_AGE_MS = 400;
 
@@ -74,9 +74,9 @@
     private final Timers mTimers;
     private final NodeLog mNodeLog;
     private final OwnerRecord mSelf;
-    private final OwnerSigns mOwnerStatus;
-    private final VmActions mVmService;
-    private final Consumer<TakeOver> mOnTakeover;
+    private final OwnerMonitor mOwnerStatus;
+    private final VmClient mVmService;
+    private final Consumer<Takeover> mOnTakeover;
     private final long mYieldMs;
 
     private long mJitterMs;
@@ -93,14 +93,14 @@
 
     private boolean mOwnerLeft;
     private long mReplaceableSinceMs = Long.MAX_VALUE;
-    private Optional<OwnerLeft> mLastLeft = Optional.empty();
-    private Optional<OwnerAlive> mLastAlive = Optional.empty();
+    private Optional<OwnerResigned> mLastLeft = Optional.empty();
+    private Optional<OwnerHeartbeat> mLastAlive = Optional.empty();
     private boolean mAttemptInProgress;
     private boolean mIsOwner;
     private boolean mStopped;
 
     /** Creates the election for a node; {@code onTakeover} runs when the node becomes the owner. */
-    public Ownership(
+    public OwnerElection(
             SharedLog sharedLog,
             JournalReader reader,
             Clock clock,
@@ -109,9 +109,9 @@
             String node,
             String address,
             LinkRate link,
-            OwnerSigns ownerStatus,
-            VmActions vmService,
-            Consumer<TakeOver> onTakeover) {
+            OwnerMonitor ownerStatus,
+            VmClient vmService,
+            Consumer<Takeover> onTakeover) {
         mSharedLog = sharedLog;
         mReader = reader;
         mClock = clock;
@@ -122,14 +122,14 @@
         mOwnerStatus = ownerStatus;
         mVmService = vmService;
         mOnTakeover = onTakeover;
-        mYieldMs = link.yieldMs();
+        mYieldMs = link.takeOverDelayMs();
         mJitterMs = ThreadLocalRandom.current().nextLong(MAX_JITTER_MS);
-        mLastActivityMs = clock.nowMs() - OwnerState.SILENT.patienceMs();
+        mLastActivityMs = clock.nowMs() - OwnerState.SILENT.takeOverTimeoutMs();
     }
 
     /** Starts monitoring the owner. */
-    public void watch() {
-        mOwnerStatus.whenDoubtful(this::replaceIfDue);
+    public void start() {
+        mOwnerStatus.onOwnerUnavailable(this::replaceIfDue);
         mTimers.after(CHECK_INTERVAL_MS, this::check);
         lookUpOwner();
     }
@@ -158,10 +158,10 @@
     }
 
     /** Applies a record read from the journal. */
-    public void seen(JournalRecord record) {
-        if (record instanceof OwnerAlive heartbeat && heartbeat.token() >= mLatestToken) {
+    public void applyRecord(JournalRecord record) {
+        if (record instanceof OwnerHeartbeat heartbeat && heartbeat.token() >= mLatestToken) {
             handleHeartbeat(heartbeat);
-        } else if (record instanceof OwnerLeft left && left.token() >= mLatestToken) {
+        } else if (record instanceof OwnerResigned left && left.token() >= mLatestToken) {
             mLatestToken = left.token();
             mOwnerLeft = true;
             mLastLeft = Optional.of(left);
@@ -174,7 +174,7 @@
      * Applies an owner's heartbeat. One with an invalid address is a foreign writer's and is
      * ignored, so that it does not hide the real owner.
      */
-    private void handleHeartbeat(OwnerAlive heartbeat) {
+    private void handleHeartbeat(OwnerHeartbeat heartbeat) {
         Optional<KnownOwner> owner = parseOwner(heartbeat.token(), heartbeat.address());
         if (!mIsOwner && owner.isEmpty()) {
             mNodeLog.line("owner-sign-unreadable").with("token", heartbeat.token()).write();
@@ -184,7 +184,7 @@
         mLastAlive = Optional.of(heartbeat);
         mOwnerLeft = false;
         recordActivity();
-        mOwnerStatus.owner(mIsOwner ? Optional.empty() : owner);
+        mOwnerStatus.setOwner(mIsOwner ? Optional.empty() : owner);
     }
 
     /**
@@ -203,7 +203,7 @@
      * Called when this node is no longer the owner because a higher token is in use, or it stepped
      * down.
      */
-    public void lost() {
+    public void ownershipLost() {
         mIsOwner = false;
         mLastActivityMs = mClock.nowMs();
     }
@@ -216,7 +216,7 @@
 
     private void check() {
         mTimers.after(CHECK_INTERVAL_MS, this::check);
-        mOwnerStatus.check();
+        mOwnerStatus.checkSilence();
         long readMs = mReader.lastReadMs();
         if (readMs - mLastReadMs > MAX_READ_GAP_MS) {
             // While the journal could not be read, the owner's heartbeats could not be seen
@@ -248,14 +248,14 @@
      * stream.
      */
     private long lastActivityMs() {
-        return Math.max(mLastActivityMs, mOwnerStatus.storingMs());
+        return Math.max(mLastActivityMs, mOwnerStatus.lastStoredMs());
     }
 
     private long timeoutMs() {
         OwnerState state = mOwnerStatus.state(mLatestToken);
         long storeDelayMs =
-                state == OwnerState.GONE ? 0 : STORE_LATENCY_FACTOR * mReader.answerMs();
-        return state.patienceMs() + storeDelayMs;
+                state == OwnerState.GONE ? 0 : STORE_LATENCY_FACTOR * mReader.latencyMs();
+        return state.takeOverTimeoutMs() + storeDelayMs;
     }
 
     /**
@@ -375,7 +375,7 @@
             mLatestToken = token;
             mOwnerLeft = false;
             mLastActivityMs = mClock.nowMs();
-            mOwnerStatus.owner(owner);
+            mOwnerStatus.setOwner(owner);
         }
     }
 
@@ -388,7 +388,7 @@
         mIsOwner = true;
         mReplaceableSinceMs = Long.MAX_VALUE;
         mOnTakeover.accept(
-                new TakeOver(
+                new Takeover(
                         token, arePredecessorCallsFinished(token), areRenewalsFinished(token)));
     }
 
@@ -403,9 +403,11 @@
         long predecessor = token - 1;
         boolean isFirst = predecessor == 0;
         boolean hasLeft =
-                mLastLeft.map(l -> l.token() == predecessor && l.callsOver()).orElse(false);
+                mLastLeft.map(l -> l.token() == predecessor && l.vmCallsFinished()).orElse(false);
         boolean ownedLongEnough = hasOwnedFor(predecessor, CallLease.WAIT_MS);
-        return isFirst || hasLeft || ownedLongEnough && mOwnerStatus.areCallsOver(predecessor);
+        return isFirst
+                || hasLeft
+                || ownedLongEnough && mOwnerStatus.areVmCallsFinished(predecessor);
     }
 
     /**
@@ -417,7 +419,7 @@
         long predecessor = token - 1;
         boolean isFirst = predecessor == 0;
         boolean hasLeft = mLastLeft.map(l -> l.token() == predecessor).orElse(false);
-        boolean hasEnded = hasLeft || mOwnerStatus.areCallsOver(predecessor);
+        boolean hasEnded = hasLeft || mOwnerStatus.areVmCallsFinished(predecessor);
         return isFirst || hasEnded && hasOwnedFor(predecessor, RenewalWindow.WAIT_MS);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
@@ -31,7 +31,7 @@
     /** Delay before rejected records are sent again, in milliseconds. */
     private static final long RETRY_DELAY_MS = 100;
 
-    private final OwnerParts mParts;
+    private final OwnerContext mParts;
     private final Runnable mOnFenced;
     private final Deque<PendingRecord> mQueue = new ArrayDeque<>();
     private final List<PartitionWriter> mWriters = new ArrayList<>();
@@ -41,7 +41,7 @@
     private boolean mClosed;
     private Consumer<Moment> mStoredListener = sent -> {};
 
-    OwnerJournal(OwnerParts parts, long token, Runnable onFenced) {
+    OwnerJournal(OwnerContext parts, long token, Runnable onFenced) {
         mParts = parts;
         mOnFenced = onFenced;
         mLastStoredMs = parts.clock().nowMs();
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
@@ -4,7 +4,7 @@
 import org.foxtailplank.lease.Moment;
 import org.foxtailplank.lease.RenewalWindow;
 import org.foxtailplank.node.Clock;
-import org.foxtailplank.port.VmActions.CallPermit;
+import org.foxtailplank.port.VmClient.CallPermit;
 
 /** Limits how long an owner may call the VM service and renew worker leases. */
 final class OwnerLease implements CallPermit {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerWork.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerSession.java
@@ -3,31 +3,31 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobEntry;
+import org.foxtailplank.job.JobProgress;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.lease.RenewalWindow;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.journal.JournalPosition;
 import org.foxtailplank.node.journal.StoreOutcome;
-import org.foxtailplank.node.peer.OwnedJournal;
+import org.foxtailplank.node.peer.JournalStatus;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.VmActions.Holder;
-import org.foxtailplank.port.VmActions.VmInfo;
+import org.foxtailplank.port.VmClient.Holder;
+import org.foxtailplank.port.VmClient.VmInfo;
 import org.foxtailplank.schedule.Decisions;
-import org.foxtailplank.schedule.ListedLives;
-import org.foxtailplank.schedule.Reach;
+import org.foxtailplank.schedule.ListedIncarnations;
+import org.foxtailplank.schedule.OwnerReachability;
 import org.foxtailplank.schedule.Scheduler;
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
 
 /** Work of the owner of all jobs, from its takeover until it is fenced or stops. */
-public final class OwnerWork implements OwnedJournal {
+public final class OwnerSession implements JournalStatus {
     /** How often to decide when no event occurs, in milliseconds. */
     private static final long TICK_INTERVAL_MS = 40;
 
@@ -40,10 +40,10 @@
     /** Delay before a failed journal read of the takeover is retried, in milliseconds. */
     private static final long READ_RETRY_DELAY_MS = 150;
 
-    private final OwnerParts mParts;
+    private final OwnerContext mParts;
     private final Clock mClock;
     private final long mToken;
-    private final TakeOver mTakeover;
+    private final Takeover mTakeover;
     private final OwnerLease mLease;
     private final Runnable mOnFenced;
     private final Scheduler mScheduler;
@@ -60,7 +60,7 @@
     private boolean mRenewalsAllowed = true;
 
     /** Creates a new owner; {@code onFenced} runs when a later owner has taken over. */
-    public OwnerWork(OwnerParts parts, TakeOver takeover, Runnable onFenced) {
+    public OwnerSession(OwnerContext parts, Takeover takeover, Runnable onFenced) {
         mParts = parts;
         mClock = parts.clock();
         mToken = takeover.token();
@@ -89,7 +89,7 @@
                 .with("predecessorOver", mTakeover.predecessorCallsFinished())
                 .with("renewalsOver", mTakeover.renewalsFinished())
                 .write();
-        mParts.reader().eager(true);
+        mParts.reader().setLongPolling(true);
         mJournal.setStoredListener(mLease::appendStored);
         mJournal.raiseEpoch(
                 () -> {
@@ -139,13 +139,13 @@
         mLoaded = true;
         mDirectory.applyInitial();
         // Without a complete VM list a worker that is not in the directory may still run tasks.
-        ListedLives lives = new ListedLives(vms);
+        ListedIncarnations lives = new ListedIncarnations(vms);
         long now = mClock.nowMs();
         if (!mTakeover.renewalsFinished()) {
             mScheduler.renewedByOthersUntil(now + RenewalWindow.WAIT_MS);
         }
-        for (JobEntry job : mParts.reader().book().jobs()) {
-            mScheduler.inherit(job, w -> hasIncarnationEnded(w, lives), now);
+        for (JobProgress job : mParts.reader().book().jobs()) {
+            mScheduler.addInheritedJob(job, w -> hasIncarnationEnded(w, lives), now);
         }
         mParts.log()
                 .line("owner-loaded")
@@ -159,7 +159,7 @@
         mDirectory.follow();
         new LoadLogger(this, mParts).start();
         mVmCoordinator.start();
-        new Restating(this, mParts).start();
+        new JournalRefresher(this, mParts).start();
         tick();
     }
 
@@ -167,9 +167,9 @@
      * Whether a worker's incarnation has certainly ended at the takeover. One that is in the
      * directory may have joined before its VM is listed with it, so it is left to later lists.
      */
-    private boolean hasIncarnationEnded(String worker, ListedLives lives) {
+    private boolean hasIncarnationEnded(String worker, ListedIncarnations lives) {
         boolean listed = mScheduler.worker(worker).map(WorkerState::isListed).orElse(false);
-        return !listed && lives.isOver(worker);
+        return !listed && lives.hasEnded(worker);
     }
 
     /** Whether this is still the owner and has applied the journal as of its takeover. */
@@ -204,7 +204,7 @@
     /** Stops polling a worker whose incarnation has ended, and releases its tasks. */
     void handleWorkerEnded(WorkerState worker, String reason) {
         mDirectory.stopPolling(worker.id());
-        List<TaskRun> ended = mScheduler.workerOver(worker.id());
+        List<TaskRun> ended = mScheduler.removeWorker(worker.id());
         mParts.log()
                 .line("worker-over")
                 .with("worker", worker.id())
@@ -235,18 +235,18 @@
     }
 
     /** Whether this owner has ended and has no call to the VM service in flight. */
-    public boolean areCallsOver() {
+    public boolean areVmCallsFinished() {
         return mEnded && !mVmCoordinator.hasCallsInFlight();
     }
 
     /** Stops deciding and sending orders. */
     public void end() {
         mEnded = true;
-        mParts.reader().eager(false);
+        mParts.reader().setLongPolling(false);
     }
 
     /** Stores a record handed over by another node. */
-    public void handedOver(byte[] record, Consumer<StoreOutcome> then) {
+    public void storeHandedOver(byte[] record, Consumer<StoreOutcome> then) {
         mJournal.storeHandedOver(record, then);
     }
 
@@ -266,27 +266,27 @@
     }
 
     /** Steps down; {@code left} runs when the journal has the owner's last record. */
-    public void leave(Runnable left) {
+    public void resign(Runnable left) {
         end();
         String node = mParts.settings().name();
         mParts.log().line("owner-leaves").with("token", mToken).write();
         boolean callsFinished =
                 mLease.arePredecessorCallsFinished() && !mVmCoordinator.hasCallsInFlight();
-        mJournal.storeLast(new OwnerLeft(mToken, node, callsFinished), left);
+        mJournal.storeLast(new OwnerResigned(mToken, node, callsFinished), left);
     }
 
     /** Applies a record read from the journal. */
-    public void recorded(JournalRecord record, Optional<JobEntry> job) {
+    public void applyRecord(JournalRecord record, Optional<JobProgress> job) {
         if (!mLoaded || mEnded) {
             return;
         }
         long now = mClock.nowMs();
-        job.ifPresent(j -> mScheduler.job(j, now));
+        job.ifPresent(j -> mScheduler.addJob(j, now));
         if (record instanceof JobCancelled cancelled) {
             mScheduler.jobEnded(cancelled.job(), now);
         } else if (record instanceof RunsEnded ended) {
             for (EndedRun r : ended.runs()) {
-                mScheduler.recorded(r.task(), r.outcome(), now);
+                mScheduler.runEndRecorded(r.task(), r.outcome(), now);
             }
         }
         scheduleDecision();
@@ -309,9 +309,10 @@
             return;
         }
         mParts.timers().after(TICK_INTERVAL_MS, this::tick);
-        if (Reach.isCutOff(mScheduler.workers(), mVmCoordinator.lastAnswerMs(), mClock.nowMs())) {
+        if (OwnerReachability.isCutOff(
+                mScheduler.workers(), mVmCoordinator.lastAnswerMs(), mClock.nowMs())) {
             mParts.log().line("owner-cut-off").with("token", mToken).write();
-            leave(() -> {});
+            resign(() -> {});
             mOnFenced.run();
             return;
         }
@@ -329,26 +330,26 @@
             return;
         }
         long now = mClock.nowMs();
-        for (TaskRun r : mScheduler.takeLapsed(now)) {
+        for (TaskRun r : mScheduler.removeExpiredRuns(now)) {
             mParts.log()
                     .line("run-lapsed")
-                    .with("task", r.slot().name())
+                    .with("task", r.task().name())
                     .with("attempt", r.attempt())
                     .with("worker", r.worker().id())
                     .with("listed", r.worker().isListed())
-                    .with("renewedMsAgo", now - r.worker().grantedMs())
+                    .with("renewedMsAgo", now - r.worker().leaseRenewedMs())
                     .with("ownedMs", mLease.ownedMs())
                     .write();
         }
-        mScheduler.takeForgotten().forEach(this::handleWorkerDropped);
+        mScheduler.removeStaleWorkers().forEach(this::handleWorkerDropped);
         Optional<FleetConfig> config = mParts.operator().config();
         if (config.isPresent()) {
             Decisions decisions = mScheduler.decide(config.get(), now, mClock.wallMs());
             mSender.send(decisions);
         }
-        List<String> begun = mScheduler.takeBegun();
+        List<String> begun = mScheduler.takeStartedJobs();
         if (!begun.isEmpty()) {
-            mJournal.store(new JobsBegun(begun), () -> {});
+            mJournal.store(new JobsStarted(begun), () -> {});
         }
     }
 
@@ -357,7 +358,7 @@
             return;
         }
         String address = mParts.settings().peerAddress();
-        mJournal.store(new OwnerAlive(mToken, address, mLease.ownedMs()), () -> {});
+        mJournal.store(new OwnerHeartbeat(mToken, address, mLease.ownedMs()), () -> {});
         mParts.timers().after(HEARTBEAT_INTERVAL_MS, this::writeHeartbeat);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
@@ -35,7 +35,7 @@
     /** How often a failing partition is probed with an empty append, in milliseconds. */
     private static final long PROBE_INTERVAL_MS = 300;
 
-    private final OwnerParts mParts;
+    private final OwnerContext mParts;
     private final LogPartition mPartition;
     private final long mToken;
     private final Listener mListener;
@@ -62,7 +62,7 @@
         void fenced();
     }
 
-    PartitionWriter(OwnerParts parts, LogPartition partition, long token, Listener listener) {
+    PartitionWriter(OwnerContext parts, LogPartition partition, long token, Listener listener) {
         mParts = parts;
         mPartition = partition;
         mToken = token;
@@ -106,7 +106,7 @@
 
     private void sendWithTimeout(JournalBatch batch) {
         sendOnce(batch);
-        long delayMs = RESEND_DELAY_MS + RESEND_LATENCY_FACTOR * mParts.reader().answerMs();
+        long delayMs = RESEND_DELAY_MS + RESEND_LATENCY_FACTOR * mParts.reader().latencyMs();
         mParts.timers().after(delayMs, () -> resendIfUnanswered(batch));
         mParts.timers().after(2 * delayMs, () -> handleTimeout(batch));
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/NarrowOwner.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/ResignationPolicy.java
@@ -9,7 +9,7 @@
  * and processor are overloaded, orders and polls time out, and runs are treated as lapsed and
  * started a second time.
  */
-public final class NarrowOwner {
+public final class ResignationPolicy {
     /** How long a follower's report that it could become the owner stays valid, in milliseconds. */
     private static final long STANDBY_VALID_MS = 1000;
 
@@ -27,12 +27,12 @@
     private long mSteppedDownMs = Long.MIN_VALUE / 2;
 
     /** Creates the policy of a node with this link. */
-    public NarrowOwner(LinkRate link) {
+    public ResignationPolicy(LinkRate link) {
         mHasAmpleLink = link.isAmple();
     }
 
     /** Called when this node becomes the owner. */
-    public void owns(long nowMs) {
+    public void ownershipGained(long nowMs) {
         mOwnerSinceMs = nowMs;
     }
 
@@ -42,7 +42,7 @@
      * @param standbyMs when a follower with an ample link last reported that it could become the
      *     owner
      */
-    public boolean givesUp(long standbyMs, long nowMs) {
+    public boolean shouldResign(long standbyMs, long nowMs) {
         boolean due =
                 !mHasAmpleLink
                         && nowMs - standbyMs < STANDBY_VALID_MS
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/TakeOver.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/Takeover.java
@@ -8,4 +8,4 @@
  *     flight
  * @param renewalsFinished whether no earlier owner still renews worker leases
  */
-public record TakeOver(long token, boolean predecessorCallsFinished, boolean renewalsFinished) {}
+public record Takeover(long token, boolean predecessorCallsFinished, boolean renewalsFinished) {}
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmCoordinator.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmCoordinator.java
@@ -11,13 +11,13 @@
 import org.foxtailplank.job.JournalRecord.WaveDue;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.port.FleetConfig;
+import org.foxtailplank.port.MaintenanceWave;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions.Holder;
-import org.foxtailplank.port.VmActions.VmInfo;
-import org.foxtailplank.port.VmActions.VmOutcome;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.VmClient.Holder;
+import org.foxtailplank.port.VmClient.VmInfo;
+import org.foxtailplank.port.VmClient.VmOutcome;
 import org.foxtailplank.schedule.DueWave;
-import org.foxtailplank.schedule.VmAction;
+import org.foxtailplank.schedule.PlannedVmAction;
 import org.foxtailplank.schedule.VmPlanner;
 import org.foxtailplank.schedule.VmPlanner.Call;
 import org.foxtailplank.schedule.WorkerState;
@@ -33,26 +33,26 @@
     /** How often to decide, in milliseconds. */
     private static final long DECISION_INTERVAL_MS = 100;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
     private final Clock mClock;
     private final Holder mHolder;
     private final VmPlanner mPlanner;
     private final Map<String, VmInfo> mLastListed = new HashMap<>();
     private final Set<Long> mReportedRunning = new HashSet<>();
     private final Set<Long> mDeadlinesWritten = new HashSet<>();
-    private final WaveTimes mDeadlines;
+    private final WaveDeadlines mDeadlines;
     private long mLastAnswerMs;
     private boolean mListed;
     private int mCallsInFlight;
     private boolean mCallsAllowed = true;
 
-    VmCoordinator(OwnerWork owner, OwnerParts parts, Holder holder) {
+    VmCoordinator(OwnerSession owner, OwnerContext parts, Holder holder) {
         mOwner = owner;
         mParts = parts;
         mClock = parts.clock();
         mHolder = holder;
-        mDeadlines = new WaveTimes(parts.reader().book());
+        mDeadlines = new WaveDeadlines(parts.reader().book());
         mPlanner = new VmPlanner(owner.scheduler());
         mLastAnswerMs = mClock.nowMs();
     }
@@ -86,8 +86,11 @@
                         .line("wave")
                         .with("wave", wave.order().number())
                         .with("dueInMs", wave.dueMs() - now)
-                        .with("atOnce", wave.order().atOnce())
-                        .with("left", mPlanner.left(wave.order(), mParts.reader().book(), now))
+                        .with("atOnce", wave.order().maxConcurrent())
+                        .with(
+                                "left",
+                                mPlanner.describeRemaining(
+                                        wave.order(), mParts.reader().book(), now))
                         .write();
             }
         }
@@ -113,10 +116,10 @@
     private void handleList(List<VmInfo> vms, long askedMs) {
         mListed = true;
         vms.forEach(this::logChange);
-        for (WorkerState w : mPlanner.overLives(vms, askedMs)) {
+        for (WorkerState w : mPlanner.endedIncarnations(vms, askedMs)) {
             mOwner.handleWorkerEnded(w, "the VM list does not contain its incarnation");
         }
-        mPlanner.listed(vms, askedMs);
+        mPlanner.applyList(vms, askedMs);
     }
 
     private void logChange(VmInfo vm) {
@@ -196,10 +199,10 @@
     private void call(Call call) {
         mCallsInFlight++;
         String vm = call.vm().id();
-        if (call.action() instanceof VmAction.Move move) {
+        if (call.action() instanceof PlannedVmAction.Move move) {
             mParts.platform().vms().move(vm, move.pool(), mHolder, o -> handleOutcome(call, o));
         } else {
-            long wave = ((VmAction.Reboot) call.action()).wave();
+            long wave = ((PlannedVmAction.Reboot) call.action()).wave();
             mParts.platform().vms().reboot(vm, wave, mHolder, o -> handleOutcome(call, o));
         }
     }
@@ -221,7 +224,7 @@
             return;
         }
         String worker = call.vm().info().worker();
-        mPlanner.answered(call, outcome, mClock.nowMs());
+        mPlanner.callAnswered(call, outcome, mClock.nowMs());
         if (outcome == VmOutcome.DONE) {
             mOwner.scheduler()
                     .worker(worker)
@@ -231,7 +234,7 @@
     }
 
     private void recordReboot(Call call) {
-        if (call.action() instanceof VmAction.Reboot reboot) {
+        if (call.action() instanceof PlannedVmAction.Reboot reboot) {
             VmRebooted record = new VmRebooted(reboot.wave(), call.vm().id());
             mOwner.journal().store(record, () -> {});
         }
@@ -244,14 +247,14 @@
 
     private void handleReportStored(long wave, SharedLog.AppendResult result) {
         if (!(result instanceof SharedLog.Stored)) {
-            mPlanner.notReported(wave);
+            mPlanner.retryReport(wave);
             return;
         }
         mOwner.journal().store(new WaveCompleted(wave), () -> {});
     }
 
     /** Reports once that a wave is in progress. */
-    private void reportRunning(WaveOrder wave) {
+    private void reportRunning(MaintenanceWave wave) {
         boolean completed = mParts.reader().book().isCompleted(wave.number());
         if (!completed && mReportedRunning.add(wave.number())) {
             mParts.platform().waves().write(wave.number(), false, r -> {});
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveTimes.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveDeadlines.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import org.foxtailplank.job.JobBook;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord.WaveDue;
 import org.foxtailplank.schedule.DueWave;
 
@@ -14,10 +14,10 @@
  * when the order was written would compute too late a deadline. The first owner that sees an order
  * records its deadline in the journal; the earliest one counts.
  */
-final class WaveTimes {
-    private final JobBook mBook;
+final class WaveDeadlines {
+    private final JobRegistry mBook;
 
-    WaveTimes(JobBook book) {
+    WaveDeadlines(JobRegistry book) {
         mBook = book;
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerDirectoryFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerDirectoryFollower.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.WorkerInfo;
 import org.foxtailplank.schedule.Scheduler;
@@ -26,11 +26,11 @@
     /** Delay after a failed read, in milliseconds. */
     private static final long FAILED_READ_PAUSE_MS = 300;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
     private final Scheduler mScheduler;
     private final long mToken;
-    private final Map<String, Looker> mPollers = new HashMap<>();
+    private final Map<String, WorkerPoller> mPollers = new HashMap<>();
 
     /** Entries of services that the configuration does not contain, or not yet. */
     private final Map<String, WorkerInfo> mUnconfigured = new HashMap<>();
@@ -38,10 +38,10 @@
     /** Keys whose last entry was unreadable, so that each is logged once. */
     private final Set<String> mUnreadable = new HashSet<>();
 
-    private Optional<Feed.Page<WorkerInfo>> mInitialPage = Optional.empty();
+    private Optional<ChangeFeed.Page<WorkerInfo>> mInitialPage = Optional.empty();
     private long mPosition = -1;
 
-    WorkerDirectoryFollower(OwnerWork owner, OwnerParts parts, long token) {
+    WorkerDirectoryFollower(OwnerSession owner, OwnerContext parts, long token) {
         mOwner = owner;
         mParts = parts;
         mScheduler = owner.scheduler();
@@ -52,9 +52,9 @@
     void readInitial(Runnable then) {
         mParts.platform()
                 .directory()
-                .newest(
+                .latest(
                         result -> {
-                            if (result instanceof Feed.Page<WorkerInfo> page) {
+                            if (result instanceof ChangeFeed.Page<WorkerInfo> page) {
                                 mInitialPage = Optional.of(page);
                                 then.run();
                             } else if (!mOwner.hasEnded()) {
@@ -79,26 +79,26 @@
             return;
         }
         if (mPosition < 0) {
-            mParts.platform().directory().newest(this::handleChanges);
+            mParts.platform().directory().latest(this::handleChanges);
         } else {
             mParts.platform().directory().changes(mPosition, CHANGES_WAIT_MS, this::handleChanges);
         }
     }
 
-    private void handleChanges(Feed.Result<WorkerInfo> result) {
+    private void handleChanges(ChangeFeed.Result<WorkerInfo> result) {
         if (mOwner.hasEnded()) {
             return;
         }
-        if (result instanceof Feed.Page<WorkerInfo> page) {
+        if (result instanceof ChangeFeed.Page<WorkerInfo> page) {
             apply(page);
-        } else if (result instanceof Feed.Gap) {
+        } else if (result instanceof ChangeFeed.Gap) {
             mPosition = -1;
         }
-        long pause = result instanceof Feed.Page ? READ_PAUSE_MS : FAILED_READ_PAUSE_MS;
+        long pause = result instanceof ChangeFeed.Page ? READ_PAUSE_MS : FAILED_READ_PAUSE_MS;
         mParts.timers().after(pause, this::follow);
     }
 
-    private void apply(Feed.Page<WorkerInfo> page) {
+    private void apply(ChangeFeed.Page<WorkerInfo> page) {
         mPosition = page.next();
         page.items().forEach(this::apply);
         addNewlyConfigured();
@@ -109,7 +109,7 @@
      * Applies one entry. An unreadable entry, written by a foreign writer, unlists the worker:
      * nobody knows whether it is draining until its own next entry.
      */
-    private void apply(Feed.Item<WorkerInfo> item) {
+    private void apply(ChangeFeed.Item<WorkerInfo> item) {
         String worker = item.key();
         boolean wasUnreadable = mUnreadable.remove(worker);
         boolean wasUnconfigured = mUnconfigured.remove(worker) != null;
@@ -130,7 +130,7 @@
         if (shouldLog) {
             mParts.log().line(event).with("worker", worker).write();
         }
-        mScheduler.workerUnlisted(worker);
+        mScheduler.unlistWorker(worker);
     }
 
     /**
@@ -155,7 +155,7 @@
         Optional<WorkerState> known = mScheduler.worker(info.id());
         boolean startsDraining =
                 known.map(w -> !w.info().draining()).orElse(true) && info.draining();
-        mScheduler.worker(info, mParts.clock().nowMs());
+        mScheduler.updateWorker(info, mParts.clock().nowMs());
         if (known.isEmpty() || startsDraining) {
             mParts.log()
                     .line("worker")
@@ -168,15 +168,15 @@
         mPollers.computeIfAbsent(info.id(), id -> startPoller(mScheduler.worker(id).get()));
     }
 
-    private Looker startPoller(WorkerState worker) {
-        Looker poller = new Looker(mOwner, mParts, worker, mToken);
+    private WorkerPoller startPoller(WorkerState worker) {
+        WorkerPoller poller = new WorkerPoller(mOwner, mParts, worker, mToken);
         mParts.timers().after(0, poller::poll);
         return poller;
     }
 
     /** Stops polling a worker whose incarnation has ended or that was dropped. */
     void stopPolling(String worker) {
-        Looker poller = mPollers.remove(worker);
+        WorkerPoller poller = mPollers.remove(worker);
         if (poller != null) {
             poller.stop();
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/Looker.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerPoller.java
@@ -5,17 +5,17 @@
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.RunEnd;
-import org.foxtailplank.job.RunView;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.WorkerOrders.LookAnswer;
-import org.foxtailplank.port.WorkerOrders.LookOrder;
-import org.foxtailplank.port.WorkerOrders.RunOrder;
-import org.foxtailplank.schedule.LookEffects;
+import org.foxtailplank.job.RunStatus;
+import org.foxtailplank.port.CommandOutcome;
+import org.foxtailplank.port.WorkerClient.PollCommand;
+import org.foxtailplank.port.WorkerClient.PollResponse;
+import org.foxtailplank.port.WorkerClient.RunCommand;
+import org.foxtailplank.schedule.PollResult;
 import org.foxtailplank.schedule.TaskRun;
 import org.foxtailplank.schedule.WorkerState;
 
 /** Polls one worker: renews its lease, learns which runs have ended and acknowledges their ends. */
-final class Looker {
+final class WorkerPoller {
     /** How long a poll waits for a run to end, in milliseconds; a third of a short lease. */
     private static final long POLL_WAIT_MS = 1000;
 
@@ -40,14 +40,14 @@
      */
     private static final long UNSTORED_POLL_DELAY_MS = 400;
 
-    private final OwnerWork mOwner;
-    private final OwnerParts mParts;
+    private final OwnerSession mOwner;
+    private final OwnerContext mParts;
     private final WorkerState mWorker;
     private final long mToken;
     private boolean mStopped;
     private int mPollNumber;
 
-    Looker(OwnerWork owner, OwnerParts parts, WorkerState worker, long token) {
+    WorkerPoller(OwnerSession owner, OwnerContext parts, WorkerState worker, long token) {
         mOwner = owner;
         mParts = parts;
         mWorker = worker;
@@ -60,18 +60,19 @@
             return;
         }
         long now = mParts.clock().nowMs();
-        long leaseUntil = mWorker.renew(now, mOwner.workerLeaseMs());
-        boolean canWait = mWorker.hasClock() && !mWorker.isSilent() && !mWorker.hasUnstoredEnds();
+        long leaseUntil = mWorker.renewLease(now, mOwner.workerLeaseMs());
+        boolean canWait =
+                mWorker.hasClock() && !mWorker.isUnresponsive() && !mWorker.hasUnstoredEnds();
         long waitMs = mWorker.runs().isEmpty() ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
         waitMs = mWorker.isMixed() ? MIXED_POLL_WAIT_MS : waitMs;
-        waitMs = mWorker.hasStandingToCome() ? STARTING_POLL_WAIT_MS : waitMs;
-        LookOrder order =
-                new LookOrder(mToken, mWorker.storedEnds(), leaseUntil, canWait ? waitMs : 0);
+        waitMs = mWorker.hasStartingStandingRun() ? STARTING_POLL_WAIT_MS : waitMs;
+        PollCommand order =
+                new PollCommand(mToken, mWorker.storedEnds(), leaseUntil, canWait ? waitMs : 0);
         mParts.metrics().counter("looks").inc();
-        mParts.platform().orders().look(mWorker.address(), order, a -> handleAnswer(a, now));
+        mParts.platform().orders().poll(mWorker.address(), order, a -> handleAnswer(a, now));
     }
 
-    private void handleAnswer(LookAnswer answer, long sentMs) {
+    private void handleAnswer(PollResponse answer, long sentMs) {
         if (mOwner.hasEnded() || mStopped) {
             return;
         }
@@ -86,8 +87,8 @@
         }
     }
 
-    private void handleFailure(OrderOutcome outcome) {
-        if (!mWorker.isSilent()) {
+    private void handleFailure(CommandOutcome outcome) {
+        if (!mWorker.isUnresponsive()) {
             mParts.log()
                     .line("worker-silent")
                     .with("worker", mWorker.id())
@@ -95,16 +96,16 @@
                     .with("runs", mWorker.runs().size())
                     .write();
         }
-        mOwner.scheduler().lookFailed(mWorker);
+        mOwner.scheduler().pollFailed(mWorker);
         scheduleNextPoll(RETRY_DELAY_MS);
     }
 
-    private void applyAnswer(LookAnswer answer, long sentMs) {
+    private void applyAnswer(PollResponse answer, long sentMs) {
         long now = mParts.clock().nowMs();
-        if (mWorker.isSilent()) {
+        if (mWorker.isUnresponsive()) {
             mParts.log().line("worker-back").with("worker", mWorker.id()).write();
         }
-        LookEffects effects = mOwner.scheduler().looked(mWorker, answer, sentMs, now);
+        PollResult effects = mOwner.scheduler().pollAnswered(mWorker, answer, sentMs, now);
         logEffects(effects);
         effects.orphans().forEach(this::stopOrphan);
         mOwner.scheduleDecision();
@@ -123,7 +124,7 @@
     }
 
     private void handleEndsStored(int pollNumber) {
-        mWorker.stored();
+        mWorker.endStore();
         if (pollNumber == mPollNumber) {
             poll();
         }
@@ -146,17 +147,17 @@
                         });
     }
 
-    private void stopOrphan(RunView view) {
+    private void stopOrphan(RunStatus view) {
         mParts.log()
                 .line("run-unwanted")
                 .with("task", view.task())
                 .with("worker", mWorker.id())
                 .write();
-        RunOrder order = new RunOrder(view.task(), view.attempt(), mToken);
+        RunCommand order = new RunCommand(view.task(), view.attempt(), mToken);
         mParts.platform().orders().stop(mWorker.address(), order, a -> {});
     }
 
-    private void logEffects(LookEffects effects) {
+    private void logEffects(PollResult effects) {
         for (RunEnd e : effects.toStore()) {
             mParts.log()
                     .line("run-ended")
@@ -169,7 +170,7 @@
         for (TaskRun r : effects.lost()) {
             mParts.log()
                     .line("run-gone")
-                    .with("task", r.slot().name())
+                    .with("task", r.task().name())
                     .with("attempt", r.attempt())
                     .with("worker", mWorker.id())
                     .with("phase", r.phase())
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerBook.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JobQueries.java
@@ -5,7 +5,7 @@
 import org.foxtailplank.job.JobPhase;
 
 /** Answers queries about jobs, for nodes whose own job state may be out of date. */
-public interface OwnerBook {
+public interface JobQueries {
 
     /**
      * Queries the phase of a job. {@code callback} runs exactly once. Its argument is empty if no
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnedJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStatus.java
@@ -3,13 +3,13 @@
 import org.foxtailplank.node.journal.JournalPosition;
 
 /** Status of the owner's journal, as its heartbeats report it. */
-public interface OwnedJournal {
+public interface JournalStatus {
     /** {@link #completeMs} of a journal that was never read to its end. */
     long NEVER_MS = Long.MIN_VALUE / 2;
 
     /** Status that a node reports while it doesn't own. */
-    OwnedJournal NONE =
-            new OwnedJournal() {
+    JournalStatus NONE =
+            new JournalStatus() {
                 @Override
                 public JournalPosition position() {
                     return JournalPosition.START;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
@@ -36,7 +36,7 @@
     private final Timers mTimers;
     private final StreamBudget mBudget;
     private final Handover mHandover;
-    private final OwnerBook mJobQueries;
+    private final JobQueries mJobQueries;
     private final Set<Channel> mFollowers = new HashSet<>();
     private final ByteBuf mBatch = Unpooled.buffer();
     private boolean mFlushScheduled;
@@ -44,12 +44,12 @@
     private long mSentBytes;
     private InetSocketAddress mAddress;
     private long mToken = PeerFrame.NO_OWNER;
-    private OwnedJournal mJournal = OwnedJournal.NONE;
+    private JournalStatus mJournal = JournalStatus.NONE;
     private long mLastStandbyMs = Long.MIN_VALUE / 2;
     private BooleanSupplier mCallsOver = () -> true;
 
     private JournalStream(
-            Clock clock, Timers timers, LinkRate link, Handover handover, OwnerBook jobQueries) {
+            Clock clock, Timers timers, LinkRate link, Handover handover, JobQueries jobQueries) {
         mNarrow = !link.isAmple();
         mClock = clock;
         mTimers = timers;
@@ -72,7 +72,7 @@
             Timers timers,
             LinkRate link,
             Handover handover,
-            OwnerBook jobQueries)
+            JobQueries jobQueries)
             throws IOException {
         JournalStream stream = new JournalStream(clock, timers, link, handover, jobQueries);
         var bound =
@@ -173,7 +173,7 @@
      * @param callsOver whether its calls to the VM service are over; reported once it has lost
      *     ownership
      */
-    public void ownershipAcquired(long token, OwnedJournal journal, BooleanSupplier callsOver) {
+    public void ownershipAcquired(long token, JournalStatus journal, BooleanSupplier callsOver) {
         mCallsOver = callsOver;
         mToken = token;
         mJournal = journal;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
@@ -33,7 +33,7 @@
  * killed or that has resigned is detected without a timeout: its address refuses connections, or
  * the process there reports that it doesn't own.
  */
-public final class OwnerLink implements OwnerSigns, Handover, OwnerBook {
+public final class OwnerLink implements OwnerMonitor, Handover, JobQueries {
     /** An owner counts as silent after this time without a frame: three heartbeats. */
     private static final long SILENCE_TIMEOUT_MS = 700;
 
@@ -50,7 +50,7 @@
     private Optional<KnownOwner> mOwner = Optional.empty();
     private Optional<Channel> mChannel = Optional.empty();
     private final Map<Long, Consumer<StoreOutcome>> mPendingHandovers = new LinkedHashMap<>();
-    private final OpenQuestions mPendingQueries;
+    private final PendingQueries mPendingQueries;
     private long mLastHandover;
     private Runnable mUnavailableListener = () -> {};
     private BooleanSupplier mStandbyCondition = () -> false;
@@ -74,11 +74,11 @@
         mTimers = timers;
         mLog = log;
         mReader = reader;
-        mPendingQueries = new OpenQuestions(timers);
+        mPendingQueries = new PendingQueries(timers);
     }
 
     @Override
-    public void owner(Optional<KnownOwner> owner) {
+    public void setOwner(Optional<KnownOwner> owner) {
         if (!owner.equals(mOwner)) {
             mOwner = owner;
             close();
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public void whenDoubtful(Runnable listener) {
+    public void onOwnerUnavailable(Runnable listener) {
         mUnavailableListener = listener;
     }
 
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public boolean areCallsOver(long token) {
+    public boolean areVmCallsFinished(long token) {
         return token == mCallsOverToken && token == mUnavailableToken;
     }
 
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public long storingMs() {
+    public long lastStoredMs() {
         return mLastStoredMs;
     }
 
@@ -192,14 +192,14 @@
     }
 
     @Override
-    public boolean isOpen() {
-        boolean storing = Handover.isStoring(mClock.nowMs() - mLastStoredMs, mReader.answerMs());
+    public boolean isAvailable() {
+        boolean storing = Handover.canStore(mClock.nowMs() - mLastStoredMs, mReader.latencyMs());
         return storing && isAlive() && mChannel.map(Channel::isWritable).orElse(false);
     }
 
     @Override
     public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
-        if (!isOpen()) {
+        if (!isAvailable()) {
             callback.accept(StoreOutcome.NOT_STORED);
             return;
         }
@@ -236,7 +236,7 @@
 
     /** Closes a connection on which no frame arrived within the silence timeout. */
     @Override
-    public void check() {
+    public void checkSilence() {
         if (mChannel.isPresent() && !isAlive()) {
             mLog.line("owner-silent")
                     .with("owner", mOwner)
@@ -317,7 +317,7 @@
 
     private void handle(PeerFrame.StreamedRecord frame) {
         frameReceived();
-        mReader.fromOwner(frame.partition(), frame.offset(), frame.record());
+        mReader.applyStreamed(frame.partition(), frame.offset(), frame.record());
         if (mReader.hasRead(frame.partition(), frame.offset())) {
             mUpToDateMs = mClock.nowMs();
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerSigns.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerMonitor.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** Monitors the owner over the peer connection, in addition to its records in the journal. */
-public interface OwnerSigns {
+public interface OwnerMonitor {
     /**
      * An owner found in the journal.
      *
@@ -14,7 +14,7 @@
     record KnownOwner(long token, InetSocketAddress address) {}
 
     /** Sets the owner to monitor; empty if this node itself owns. */
-    void owner(Optional<KnownOwner> owner);
+    void setOwner(Optional<KnownOwner> owner);
 
     /** Returns the state of the owner with this token. */
     OwnerState state(long token);
@@ -24,14 +24,14 @@
      * doesn't own and has no call to the VM service in flight. It may be a new process there: the
      * calls of the previous one were reset with its connections when it ended.
      */
-    boolean areCallsOver(long token);
+    boolean areVmCallsFinished(long token);
 
     /** Returns when the store last accepted a record of the owner, according to the owner. */
-    long storingMs();
+    long lastStoredMs();
 
     /** Sets the listener for owners that turn out to be refused or gone. */
-    void whenDoubtful(Runnable listener);
+    void onOwnerUnavailable(Runnable listener);
 
     /** Checks whether the owner has become silent; called periodically. */
-    void check();
+    void checkSilence();
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
@@ -21,14 +21,14 @@
     /** The process at its address doesn't own: it has resigned or was restarted. */
     GONE(0);
 
-    private final long mPatienceMs;
+    private final long mTakeOverTimeoutMs;
 
     OwnerState(long patienceMs) {
-        mPatienceMs = patienceMs;
+        mTakeOverTimeoutMs = patienceMs;
     }
 
     /** Returns the age of the owner's last record at which it is replaced, in milliseconds. */
-    public long patienceMs() {
-        return mPatienceMs;
+    public long takeOverTimeoutMs() {
+        return mTakeOverTimeoutMs;
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
@@ -245,7 +245,7 @@
     final class HeartbeatFields {
         private final List<Long> mPosition = new ArrayList<>();
         private long mNowMs;
-        private long mCompleteMs = OwnedJournal.NEVER_MS;
+        private long mCompleteMs = JournalStatus.NEVER_MS;
         private long mStoredMsAgo;
         private boolean mCallsOver;
         private boolean mNarrow;
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OpenQuestions.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PendingQueries.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.node.Timers;
 
 /** Queries to the owner that have no response yet. */
-final class OpenQuestions {
+final class PendingQueries {
     /**
      * How long to wait for a response, in milliseconds: the owner answers from memory, and the
      * caller's deadline must leave time to read the journal instead.
@@ -19,7 +19,7 @@
     private final Map<Long, Consumer<Optional<Integer>>> mPending = new LinkedHashMap<>();
     private long mLastNumber;
 
-    OpenQuestions(Timers timers) {
+    PendingQueries(Timers timers) {
         mTimers = timers;
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/StreamBudget.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/StreamBudget.java
@@ -35,7 +35,7 @@
         if (nowMs < mPausedUntilMs) {
             return false;
         }
-        boolean allowed = mBudget.take(bytes, nowMs);
+        boolean allowed = mBudget.tryConsume(bytes, nowMs);
         if (!allowed) {
             mPausedUntilMs = nowMs + PAUSE_MS;
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/warmup/WarmUpMain.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/warmup/WarmUpMain.java
@@ -43,7 +43,7 @@
     private WarmUpMain() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
-        NodeMain.quietNetty();
+        NodeMain.configureNetty();
         Clock clock = Clock.system();
         NodeLog log = NodeLog.to(System.err, clock);
         EventLoop loop =
@@ -66,7 +66,7 @@
                         ephemeral,
                         ephemeral,
                         new PlatformAddresses(address, address, address),
-                        new NodeSettings.JournalBounds(RUN_MS, RUN_MS, 1),
+                        new NodeSettings.JournalLimits(RUN_MS, RUN_MS, 1),
                         new ScheduleLimits(RUN_MS, RUN_MS),
                         true,
                         LinkRate.UNKNOWN,
--- a/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
@@ -13,14 +13,14 @@
     private static final long READ_TIMEOUT_MS = 1000;
     private static final double MS_PER_S = 1000;
 
-    private final FakeLog mLog;
-    private final FakeNode mClock;
+    private final FakeSharedLog mLog;
+    private final FakeTime mClock;
     private final double mBytesPerMs;
     private long mLinkFreeMs;
     private long mTransferredBytes;
 
     /** Limits reads of a log to this rate; appends are not limited. */
-    public BandwidthLimitedLog(FakeLog log, FakeNode clock, double bytesPerS) {
+    public BandwidthLimitedLog(FakeSharedLog log, FakeTime clock, double bytesPerS) {
         mLog = log;
         mClock = clock;
         mBytesPerMs = bytesPerS / MS_PER_S;
@@ -34,7 +34,7 @@
     @Override
     public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
         mLog.read(at, from, page, r -> deliver(r, then));
-        mLog.answer();
+        mLog.deliverAnswers();
     }
 
     private void deliver(ReadResult result, Consumer<ReadResult> then) {
@@ -57,14 +57,14 @@
     @Override
     public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
         mLog.append(at, records, then);
-        mLog.answer();
+        mLog.deliverAnswers();
     }
 
     @Override
     public void appendAt(
             LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> then) {
         mLog.appendAt(at, expectedEnd, record, then);
-        mLog.answer();
+        mLog.deliverAnswers();
     }
 
     @Override
@@ -74,6 +74,6 @@
             List<byte[]> records,
             Consumer<AppendResult> then) {
         mLog.appendAs(at, writer, records, then);
-        mLog.answer();
+        mLog.deliverAnswers();
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 
 /** A feed whose next read returns the items that a test has added. */
-public final class FakeFeed<T> implements Feed<T> {
+public final class FakeFeed<T> implements ChangeFeed<T> {
     private final List<Item<T>> mItems = new ArrayList<>();
     private long mNext;
 
@@ -17,17 +17,17 @@
     }
 
     /** Adds the deletion of a key. */
-    public void drop(String key) {
+    public void putDeletion(String key) {
         mItems.add(new Item<>(key, Optional.empty()));
     }
 
     /** Adds an unreadable record for a key, as another writer's. */
-    public void putForeign(String key) {
+    public void putUnreadable(String key) {
         mItems.add(Item.unreadable(key));
     }
 
     @Override
-    public void newest(Consumer<Result<T>> then) {
+    public void latest(Consumer<Result<T>> then) {
         then.accept(page());
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeJobQueries.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeJobQueries.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.foxtailplank.job.JobPhase;
-import org.foxtailplank.node.peer.OwnerBook;
+import org.foxtailplank.node.peer.JobQueries;
 
 /** Answers queries at once with values that a test has set. */
-public final class FakeJobQueries implements OwnerBook {
+public final class FakeJobQueries implements JobQueries {
     public final Map<String, JobPhase> mPhases = new HashMap<>();
     public final Map<String, Integer> mPending = new HashMap<>();
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeSharedLog.java
@@ -16,9 +16,9 @@
  * In-memory shared log. Answers are held back until a test delivers them, and tests can make
  * appends and reads fail. It rejects the same appends as the platform's store.
  */
-public final class FakeLog implements SharedLog {
+public final class FakeSharedLog implements SharedLog {
     /** Outcome of an append. */
-    public enum Fate {
+    public enum ScriptedOutcome {
         /** Stored, and confirmed. */
         STORED,
         /** Not stored, and rejected with an answer. */
@@ -29,12 +29,12 @@
         LOST,
         /** Stored, and never answered. */
         SILENT,
-        /** Reported as unknown, and stored by {@link #carryOutLate}. */
+        /** Reported as unknown, and stored by {@link #performLateAppends}. */
         LATE
     }
 
     private final Map<LogPartition, List<byte[]>> mRecords = new HashMap<>();
-    private final Deque<Fate> mScriptedFates = new ArrayDeque<>();
+    private final Deque<ScriptedOutcome> mScriptedOutcomes = new ArrayDeque<>();
     private final Deque<Runnable> mPendingAnswers = new ArrayDeque<>();
     private final Deque<Attempt> mLateAppends = new ArrayDeque<>();
     private final Map<LogPartition, Writer> mWriters = new HashMap<>();
@@ -49,12 +49,12 @@
     }
 
     /** Sets the outcomes of the next appends, in order; later ones are stored. */
-    public void next(Fate... fates) {
-        mScriptedFates.addAll(List.of(fates));
+    public void scriptAppends(ScriptedOutcome... fates) {
+        mScriptedOutcomes.addAll(List.of(fates));
     }
 
     /** Makes a partition reject all calls, or accept them again. */
-    public void down(LogPartition partition, boolean down) {
+    public void setUnavailable(LogPartition partition, boolean down) {
         if (down) {
             mUnavailable.add(partition);
         } else {
@@ -63,19 +63,19 @@
     }
 
     /** Makes reads time out whose answer is larger than this. */
-    public void linkCarries(int bytes) {
+    public void limitAnswerBytes(int bytes) {
         mMaxAnswerBytes = bytes;
     }
 
-    /** Performs the appends with the outcome {@link Fate#LATE}. */
-    public void carryOutLate() {
+    /** Performs the appends with the outcome {@link ScriptedOutcome#LATE}. */
+    public void performLateAppends() {
         while (!mLateAppends.isEmpty()) {
             mLateAppends.poll().run();
         }
     }
 
     /** Delivers all held answers, and those to calls that they cause. */
-    public void answer() {
+    public void deliverAnswers() {
         while (!mPendingAnswers.isEmpty()) {
             mPendingAnswers.poll().run();
         }
@@ -147,8 +147,9 @@
             mPendingAnswers.add(() -> then.accept(new NotStored("down")));
             return;
         }
-        Fate fate = mScriptedFates.isEmpty() ? Fate.STORED : mScriptedFates.poll();
-        if (fate == Fate.SILENT) {
+        ScriptedOutcome fate =
+                mScriptedOutcomes.isEmpty() ? ScriptedOutcome.STORED : mScriptedOutcomes.poll();
+        if (fate == ScriptedOutcome.SILENT) {
             attempt.run();
             return;
         }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeNode.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeTime.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A manually advanced clock with its timers. */
-public final class FakeNode implements Clock, Timers {
+public final class FakeTime implements Clock, Timers {
     private static final long WALL_MS = 1_700_000_000_000L;
 
     private final List<Due> mDue = new ArrayList<>();
@@ -29,7 +29,7 @@
     }
 
     /** Advances the clock and runs the actions that become due, in order. */
-    public void pass(long ms) {
+    public void advance(long ms) {
         long end = mNowMs + ms;
         while (true) {
             Due next =
--- a/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
@@ -18,7 +18,7 @@
         LinkBudget budget = new LinkBudget(new LinkRate(10), SHARE, BURST_MS, 0, 0);
         long sent = 0;
         for (long now = 0; now < 10_000; now++) {
-            sent += budget.take(LARGE, now) ? LARGE : 0;
+            sent += budget.tryConsume(LARGE, now) ? LARGE : 0;
         }
 
         assertTrue(sent <= 10 * 625_000 + 625_000 * BURST_MS / 1000, sent + " bytes");
@@ -30,16 +30,16 @@
     public void theMinimumBurstIsAvailableOnAnyLink() {
         LinkBudget budget = new LinkBudget(VERY_NARROW, SHARE, BURST_MS, LARGE, 0);
 
-        assertTrue(budget.take(LARGE, 0));
-        assertFalse(budget.take(LARGE, 300));
-        assertTrue(budget.take(LARGE, 700));
+        assertTrue(budget.tryConsume(LARGE, 0));
+        assertFalse(budget.tryConsume(LARGE, 300));
+        assertTrue(budget.tryConsume(LARGE, 700));
     }
 
     @Test
     public void aLinkOfUnknownRateIsNotLimited() {
         LinkBudget budget = new LinkBudget(LinkRate.UNKNOWN, SHARE, BURST_MS, 0, 0);
 
-        assertTrue(budget.take(Integer.MAX_VALUE, 0));
-        assertTrue(budget.take(Integer.MAX_VALUE, 0));
+        assertTrue(budget.tryConsume(Integer.MAX_VALUE, 0));
+        assertTrue(budget.tryConsume(Integer.MAX_VALUE, 0));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/NodeSettingsReaderTest.java
@@ -24,7 +24,7 @@
         assertEquals(settings.name(), "n");
         assertEquals(settings.graceMs(), 6000);
         assertEquals(settings.schedule().leaseMs(), 6000);
-        assertEquals(settings.journal().keepMs(), 300_000);
+        assertEquals(settings.journal().retentionMs(), 300_000);
         assertEquals(settings.peers().getPort(), 4);
         assertFalse(settings.vmTokensChecked());
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
@@ -4,26 +4,26 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.adapter.AdapterLimits;
+import org.foxtailplank.adapter.PlatformTimeouts;
 import org.foxtailplank.adapter.UsersPlatform;
 import org.foxtailplank.adapter.UsersPlatform.PlatformAddresses;
 import org.foxtailplank.http.HttpReply;
 import org.foxtailplank.http.HttpRequest;
-import org.foxtailplank.job.JobBook;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.FakeJobQueries;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.NodeMetrics;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.Timers;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.journal.JournalWriter;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.node.peer.OwnerBook;
+import org.foxtailplank.node.peer.JobQueries;
 import org.foxtailplank.node.peer.OwnerLink;
-import org.foxtailplank.port.Feed;
-import org.foxtailplank.port.OperatorOrder;
+import org.foxtailplank.port.ChangeFeed;
+import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.port.SharedLog;
 
 /** A caller service with its dependencies, as in a node. */
@@ -35,16 +35,20 @@
 
     /** Creates a service that isn't connected to an owner. */
     CallerServiceFixture(
-            FakeNode clock,
+            FakeTime clock,
             SharedLog log,
-            Feed<OperatorOrder> orders,
+            ChangeFeed<OperatorChange> orders,
             FakeJobQueries ownerQueries) {
         this(null, clock, clock, log, orders, Optional.of(ownerQueries));
     }
 
     /** Creates a service that can connect to an owner on the loopback interface and query it. */
     CallerServiceFixture(
-            EventLoop loop, Clock clock, Timers timers, SharedLog log, Feed<OperatorOrder> orders) {
+            EventLoop loop,
+            Clock clock,
+            Timers timers,
+            SharedLog log,
+            ChangeFeed<OperatorChange> orders) {
         this(loop, clock, timers, log, orders, Optional.empty());
     }
 
@@ -53,18 +57,18 @@
             Clock clock,
             Timers timers,
             SharedLog log,
-            Feed<OperatorOrder> orders,
-            Optional<OwnerBook> ownerQueries) {
+            ChangeFeed<OperatorChange> orders,
+            Optional<JobQueries> ownerQueries) {
         NodeLog out = NodeLog.silent(clock);
         mOperator = new OperatorFollower(orders, clock, timers, out);
         mReader =
                 new JournalReader(
                         log,
-                        JournalPartition.all(3),
+                        JournalPartitions.all(3),
                         clock,
                         timers,
                         out,
-                        new JobBook(120_000),
+                        new JobRegistry(120_000),
                         (record, job) -> {});
         mLink = new OwnerLink(loop, clock, timers, out, mReader);
         PlatformAddresses none = new PlatformAddresses("127.0.0.1:1", "", "");
@@ -74,13 +78,14 @@
                         mReader,
                         mLink,
                         ownerQueries.orElse(mLink),
-                        new JournalWriter(log, JournalPartition.JOURNAL, mLink, clock, timers, out),
+                        new JournalWriter(
+                                log, JournalPartitions.PRIMARY, mLink, clock, timers, out),
                         new UsersPlatform(
                                         null,
                                         null,
                                         null,
                                         none,
-                                        AdapterLimits.DEFAULTS,
+                                        PlatformTimeouts.DEFAULTS,
                                         clock::nowMs)
                                 .callerBodies(),
                         clock,
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
@@ -10,26 +10,26 @@
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.http.HttpReply;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
 import org.foxtailplank.node.FakeJobQueries;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeLog.Fate;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeSharedLog.ScriptedOutcome;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.journal.JournalCodec;
-import org.foxtailplank.node.journal.JournalPartition;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.node.journal.JournalPartitions;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
+import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.port.RouteSettings;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -39,40 +39,40 @@
     private static final String JOB = "00000000000000aa";
     private static final String BODY = "{\"spec\":\"a\",\"phases\":[{\"count\":1}]}";
 
-    private FakeNode mClock;
-    private FakeLog mLog;
+    private FakeTime mClock;
+    private FakeSharedLog mLog;
     private FakeOperator mOperator;
     private CallerServiceFixture mService;
 
     /** Operator orders; each read returns the newest configuration. */
-    private static final class FakeOperator implements Feed<OperatorOrder> {
+    private static final class FakeOperator implements ChangeFeed<OperatorChange> {
         private final List<String> mPrefixes = new ArrayList<>();
         private boolean mUnavailable;
 
         @Override
-        public void newest(Consumer<Result<OperatorOrder>> then) {
+        public void latest(Consumer<Result<OperatorChange>> then) {
             changes(0, 0, then);
         }
 
         @Override
-        public void changes(long position, long waitMs, Consumer<Result<OperatorOrder>> then) {
+        public void changes(long position, long waitMs, Consumer<Result<OperatorChange>> then) {
             if (mUnavailable) {
                 then.accept(new Failed<>("unavailable"));
                 return;
             }
             List<RouteSettings> routes = new ArrayList<>();
-            QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
+            QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
             mPrefixes.forEach(p -> routes.add(new RouteSettings(p, "h", p, "s", terms)));
             FleetConfig config = new FleetConfig(mPrefixes.size(), routes, List.of(), 1000);
-            OperatorOrder order = new OperatorOrder.NewConfig(config);
+            OperatorChange order = new OperatorChange.NewConfig(config);
             then.accept(new Page<>(List.of(new Item<>("config", Optional.of(order))), 1));
         }
     }
 
     @BeforeMethod
     public void setUp() {
-        mClock = new FakeNode();
-        mLog = new FakeLog();
+        mClock = new FakeTime();
+        mLog = new FakeSharedLog();
         mOperator = new FakeOperator();
         mOperator.mPrefixes.add("/q/");
         mService = new CallerServiceFixture(mClock, mLog, mOperator, new FakeJobQueries());
@@ -87,8 +87,8 @@
     private HttpReply reply(String method, String path, String body) {
         List<HttpReply> replies = send(method, path, body);
         for (int i = 0; i < 30 && replies.isEmpty(); i++) {
-            mLog.answer();
-            mClock.pass(100);
+            mLog.deliverAnswers();
+            mClock.advance(100);
         }
         assertEquals(replies.size(), 1);
         return replies.get(0);
@@ -99,14 +99,14 @@
     }
 
     private int storedRecords() {
-        return mLog.records(JournalPartition.JOURNAL).size();
+        return mLog.records(JournalPartitions.PRIMARY).size();
     }
 
     @Test
     public void aJobIsStoredBeforeItsSubmissionIsConfirmed() {
         List<HttpReply> replies = send("POST", "/q/" + JOB, BODY);
         assertTrue(replies.isEmpty());
-        mLog.answer();
+        mLog.deliverAnswers();
 
         assertEquals(replies.get(0).status(), 200);
         assertEquals(storedRecords(), 1);
@@ -116,7 +116,7 @@
     public void concurrentSubmissionsOfAJobAreStoredOnce() {
         List<HttpReply> first = send("POST", "/q/" + JOB, BODY);
         List<HttpReply> second = send("POST", "/q/" + JOB, BODY);
-        mLog.answer();
+        mLog.deliverAnswers();
 
         assertEquals(first.get(0).status(), 200);
         assertEquals(second.get(0).status(), 200);
@@ -125,7 +125,7 @@
 
     @Test
     public void aRejectedJobIsNotStoredAndTheReplyHasARetryAfterHeader() {
-        mLog.next(Fate.REFUSED);
+        mLog.scriptAppends(ScriptedOutcome.REFUSED);
 
         HttpReply reply = reply("POST", "/q/" + JOB, BODY);
 
@@ -137,9 +137,9 @@
     @Test
     public void aJobThatMayHaveBeenStoredIsNotRejected() {
         // A rejected job must never run here, since the caller may submit it elsewhere.
-        mLog.next(Fate.ANSWER_LOST);
+        mLog.scriptAppends(ScriptedOutcome.ANSWER_LOST);
         for (int i = 0; i < 40; i++) {
-            mLog.next(Fate.REFUSED);
+            mLog.scriptAppends(ScriptedOutcome.REFUSED);
         }
 
         assertEquals(reply("POST", "/q/" + JOB, BODY).status(), 504);
@@ -166,20 +166,20 @@
 
     /** Stores a job as another node would, without reading the journal. */
     private void storeJobFromAnotherNode() {
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         TaskStep step =
                 new TaskStep(
                         1,
                         Resources.of(1, 1, 0),
                         500,
                         List.of(),
-                        PlacementRule.ANYWHERE,
+                        PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
         List<TaskStep> steps = List.of(step);
-        JobOrder order =
-                new JobOrder(
+        JobDefinition order =
+                new JobDefinition(
                         JOB, "/q/", "s", "a", steps, Timetable.AT_ONCE, terms, mClock.wallMs());
-        mLog.records(JournalPartition.JOURNAL).add(JournalCodec.encode(new JobAccepted(order)));
+        mLog.records(JournalPartitions.PRIMARY).add(JournalCodec.encode(new JobAccepted(order)));
     }
 
     @Test
@@ -193,7 +193,7 @@
     @Test
     public void aNodeThatCannotReadTheJournalReturnsNoPendingCount() {
         storeJobFromAnotherNode();
-        JournalPartition.all(3).forEach(p -> mLog.down(p, true));
+        JournalPartitions.all(3).forEach(p -> mLog.setUnavailable(p, true));
 
         assertEquals(reply("GET", "/q/", "").status(), 503);
     }
@@ -202,7 +202,7 @@
     public void aJobIsCompletedOnceTheEndOfItsRunIsStored() {
         reply("POST", "/q/" + JOB, BODY);
         EndedRun end = new EndedRun(new TaskName(JOB, 0, 0, 0), 1, RunOutcome.DONE, 5);
-        mLog.records(JournalPartition.JOURNAL)
+        mLog.records(JournalPartitions.PRIMARY)
                 .add(JournalCodec.encode(new RunsEnded(List.of(end))));
 
         assertEquals(text(reply("GET", "/q/" + JOB, "")), "{\"state\":\"completed\"}");
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
@@ -8,18 +8,18 @@
 import java.util.Optional;
 import org.foxtailplank.http.HttpReply;
 import org.foxtailplank.job.JobPhase;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.node.BandwidthLimitedLog;
 import org.foxtailplank.node.FakeFeed;
 import org.foxtailplank.node.FakeJobQueries;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.journal.JournalCodec;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
+import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.port.RouteSettings;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -33,8 +33,8 @@
     private static final long CALLER_DEADLINE_MS = 3000;
     private static final long STEP_MS = 10;
 
-    private FakeNode mClock;
-    private FakeLog mLog;
+    private FakeTime mClock;
+    private FakeSharedLog mLog;
     private BandwidthLimitedLog mLink;
     private JournalReader mReader;
     private FakeJobQueries mOwnerQueries;
@@ -42,29 +42,29 @@
 
     @BeforeMethod
     public void setUp() {
-        mClock = new FakeNode();
-        mLog = new FakeLog();
+        mClock = new FakeTime();
+        mLog = new FakeSharedLog();
         mOwnerQueries = new FakeJobQueries();
         mLink = new BandwidthLimitedLog(mLog, mClock, LINK_BYTES_PER_S);
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", terms);
-        FakeFeed<OperatorOrder> orders = new FakeFeed<>();
+        FakeFeed<OperatorChange> orders = new FakeFeed<>();
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
-        orders.put("config", new OperatorOrder.NewConfig(config));
+        orders.put("config", new OperatorChange.NewConfig(config));
         mService = new CallerServiceFixture(mClock, mLink, orders, mOwnerQueries);
         mService.readOperatorOrders();
         mReader = mService.reader();
     }
 
     private void fillJournal() {
-        byte[] record = JournalCodec.encode(new OwnerAlive(1, "a".repeat(RECORD_BYTES), 0));
+        byte[] record = JournalCodec.encode(new OwnerHeartbeat(1, "a".repeat(RECORD_BYTES), 0));
         for (int i = 0; i < RECORDS; i++) {
-            mLog.records(JournalPartition.JOURNAL).add(record);
+            mLog.records(JournalPartitions.PRIMARY).add(record);
         }
     }
 
     private long journalBytes() {
-        return mLog.records(JournalPartition.JOURNAL).stream().mapToLong(r -> r.length).sum();
+        return mLog.records(JournalPartitions.PRIMARY).stream().mapToLong(r -> r.length).sum();
     }
 
     private List<HttpReply> send(String method, String path) {
@@ -74,7 +74,7 @@
 
     private void advance(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
-            mClock.pass(STEP_MS);
+            mClock.advance(STEP_MS);
         }
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/OwnBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LocalJobQueriesTest.java
@@ -5,43 +5,43 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.job.JobRegistry;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.log.NodeLog;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Tests which queries a node answers that believes itself to be the owner. */
-public class OwnBookTest {
+public class LocalJobQueriesTest {
     private final List<Optional<Integer>> mResults = new ArrayList<>();
-    private FakeNode mClock;
-    private FakeLog mLog;
+    private FakeTime mClock;
+    private FakeSharedLog mLog;
     private JournalReader mReader;
-    private OwnBook mQueries;
+    private LocalJobQueries mQueries;
 
     @BeforeMethod
     public void setUp() {
         mResults.clear();
-        mClock = new FakeNode();
-        mLog = new FakeLog();
+        mClock = new FakeTime();
+        mLog = new FakeSharedLog();
         mReader =
                 new JournalReader(
                         mLog,
-                        JournalPartition.all(3),
+                        JournalPartitions.all(3),
                         mClock,
                         mClock,
                         NodeLog.silent(mClock),
-                        new JobBook(120_000),
+                        new JobRegistry(120_000),
                         (record, job) -> {});
-        mQueries = new OwnBook(mReader, mClock, () -> true);
+        mQueries = new LocalJobQueries(mReader, mClock, () -> true);
     }
 
     private void read() {
         mReader.refresh(read -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
     }
 
     private Optional<Integer> pending() {
@@ -60,9 +60,9 @@
     @Test
     public void anOwnerWhoseReadsFailReturnsNoPendingCount() {
         read();
-        JournalPartition.all(3).forEach(p -> mLog.down(p, true));
+        JournalPartitions.all(3).forEach(p -> mLog.setUnavailable(p, true));
         for (int i = 0; i < 20; i++) {
-            mClock.pass(100);
+            mClock.advance(100);
             read();
         }
 
@@ -73,9 +73,9 @@
     @Test
     public void anOwnerThatReadsOnlySomePartitionsReturnsNoPendingCount() {
         read();
-        mLog.down(JournalPartition.all(3).get(1), true);
+        mLog.setUnavailable(JournalPartitions.all(3).get(1), true);
         for (int i = 0; i < 20; i++) {
-            mClock.pass(100);
+            mClock.advance(100);
             read();
         }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/StaleBookTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/StalePendingCountTest.java
@@ -14,46 +14,46 @@
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.http.HttpReply;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.FakeFeed;
 import org.foxtailplank.node.FakeJobQueries;
-import org.foxtailplank.node.FakeLog;
+import org.foxtailplank.node.FakeSharedLog;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
 import org.foxtailplank.node.journal.JournalCodec;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalPosition;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.peer.FixedJournalStatus;
 import org.foxtailplank.node.peer.JournalStream;
-import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
+import org.foxtailplank.node.peer.OwnerMonitor.KnownOwner;
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.LogPartition;
-import org.foxtailplank.port.OperatorOrder;
+import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.port.RouteSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Tests the pending count of a node whose owner lacks records of the journal. */
-public class StaleBookTest {
+public class StalePendingCountTest {
     private static final long TOKEN = 7;
     private static final String QUEUE = "/q/";
-    private static final LogPartition SPARE = JournalPartition.all(3).get(1);
+    private static final LogPartition SPARE = JournalPartitions.all(3).get(1);
     private static final JournalPosition NOTHING_READ = new JournalPosition(List.of(0L, 0L, 0L));
 
     private final Clock mClock = Clock.system();
     private MultiThreadIoEventLoopGroup mGroup;
     private EventLoop mLoop;
-    private FakeLog mLog;
+    private FakeSharedLog mLog;
     private JournalStream mOwner;
     private CallerServiceFixture mService;
 
@@ -62,11 +62,11 @@
         mGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         mLoop = (EventLoop) mGroup.next();
         Timers timers = (ms, action) -> mLoop.schedule(action, ms, TimeUnit.MILLISECONDS);
-        mLog = new FakeLog();
-        FakeFeed<OperatorOrder> orders = new FakeFeed<>();
+        mLog = new FakeSharedLog();
+        FakeFeed<OperatorChange> orders = new FakeFeed<>();
         RouteSettings queue = new RouteSettings(QUEUE, "h", QUEUE, "s", terms());
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
-        orders.put("config", new OperatorOrder.NewConfig(config));
+        orders.put("config", new OperatorChange.NewConfig(config));
         mService = new CallerServiceFixture(mLoop, mClock, timers, mLog, orders);
         mOwner =
                 JournalStream.listen(
@@ -82,13 +82,13 @@
 
     @AfterMethod
     public void tearDown() throws Exception {
-        run(() -> mService.link().owner(Optional.empty()));
+        run(() -> mService.link().setOwner(Optional.empty()));
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     private static final class NoHandover implements Handover {
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return false;
         }
 
@@ -98,8 +98,8 @@
         }
     }
 
-    private static QueueTerms terms() {
-        return new QueueTerms(0, 2, 1.6, 600, Optional.empty());
+    private static QueuePolicy terms() {
+        return new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
     }
 
     private void run(Runnable action) throws Exception {
@@ -118,9 +118,9 @@
                     long longAgo = mClock.nowMs() - 10_000;
                     mOwner.ownershipAcquired(
                             TOKEN, new FixedJournalStatus(position, longAgo, 0), () -> false);
-                    mService.link().owner(Optional.of(new KnownOwner(TOKEN, address)));
+                    mService.link().setOwner(Optional.of(new KnownOwner(TOKEN, address)));
                 });
-        while (!call(mService.link()::isOpen)) {
+        while (!call(mService.link()::isAvailable)) {
             Thread.onSpinWait();
         }
     }
@@ -132,10 +132,10 @@
                         Resources.of(1, 1, 0),
                         500,
                         List.of(),
-                        PlacementRule.ANYWHERE,
+                        PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
-        JobOrder order =
-                new JobOrder(
+        JobDefinition order =
+                new JobDefinition(
                         id,
                         QUEUE,
                         "s",
@@ -151,7 +151,7 @@
         List<HttpReply> replies =
                 call(() -> mService.send("GET", QUEUE, new byte[0], Optional.empty()));
         while (call(replies::isEmpty)) {
-            run(mLog::answer);
+            run(mLog::deliverAnswers);
         }
         return new String(replies.get(0).body(), StandardCharsets.UTF_8);
     }
@@ -159,7 +159,7 @@
     /** Guards against a count as old as the last read of an owner whose reads fail. */
     @Test(timeOut = 60_000)
     public void anOwnerThatStoppedReadingDoesNotMakeItsFollowersUpToDate() throws Exception {
-        mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
+        mLog.records(JournalPartitions.PRIMARY).add(acceptedJob("00000000000000aa"));
         followOwner(NOTHING_READ);
 
         assertEquals(pending(), "{\"pending\":1}");
@@ -168,7 +168,7 @@
     /** Guards against a record of a spare partition that hides missing ones of the first. */
     @Test(timeOut = 60_000)
     public void aRecordOfOnePartitionDoesNotMakeTheNodeUpToDate() throws Exception {
-        mLog.records(JournalPartition.JOURNAL).add(acceptedJob("00000000000000aa"));
+        mLog.records(JournalPartitions.PRIMARY).add(acceptedJob("00000000000000aa"));
         mLog.records(SPARE).add(acceptedJob("00000000000000bb"));
         followOwner(new JournalPosition(List.of(1L, 1L, 0L)));
         run(() -> mOwner.recordRead(1, 0, acceptedJob("00000000000000bb")));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
@@ -7,24 +7,24 @@
 import java.util.List;
 import java.util.Optional;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.AdviceTerms;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.AdviceTiming;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobRestated;
-import org.foxtailplank.job.JournalRecord.JobsBegun;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.JobSnapshot;
+import org.foxtailplank.job.JournalRecord.JobsStarted;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
 import org.foxtailplank.job.JournalRecord.VmRebooted;
 import org.foxtailplank.job.JournalRecord.WaveCompleted;
 import org.foxtailplank.job.JournalRecord.WaveDue;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskName;
@@ -39,14 +39,14 @@
     private static final EndedRun END = new EndedRun(TASK, 4, RunOutcome.FAILED, 5);
     private static final StartedRun START = new StartedRun(TASK, 4, "w1");
 
-    private static JobOrder order() {
+    private static JobDefinition order() {
         TaskStep step =
                 new TaskStep(
                         2,
                         new Resources(500, 1L << 33, 1),
                         700,
                         List.of(0, 1),
-                        new PlacementRule(true, true, "b", "r1", 3),
+                        new PlacementConstraints(true, true, "b", "r1", 3),
                         new RunMode(true, true, true, true, 90, 2));
         TaskStep earlier =
                 new TaskStep(
@@ -54,25 +54,26 @@
                         new Resources(100, 1, 0),
                         5,
                         List.of(),
-                        PlacementRule.ANYWHERE,
+                        PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
         List<TaskStep> steps = List.of(earlier, earlier, step);
-        QueueTerms terms = new QueueTerms(1, 3, 1.6, 600, Optional.of(new AdviceTerms(5, 2, 3000)));
-        return new JobOrder("aa", "q", "s", "text", steps, new Timetable(7, 8, 9), terms, 99);
+        QueuePolicy terms =
+                new QueuePolicy(1, 3, 1.6, 600, Optional.of(new AdviceTiming(5, 2, 3000)));
+        return new JobDefinition("aa", "q", "s", "text", steps, new Timetable(7, 8, 9), terms, 99);
     }
 
     @DataProvider
     public Object[][] records() {
         return new Object[][] {
             {new JobAccepted(order())},
-            {new JobRestated(order(), List.of(START), List.of(END), 77)},
+            {new JobSnapshot(order(), List.of(START), List.of(END), 77)},
             {new JobCancelled("aa", 5)},
             {new RunsStarted(List.of(START, START))},
             {new RunsEnded(List.of(END))},
-            {new JobsBegun(List.of("aa", "bb"))},
-            {new OwnerAlive(3, "10.0.0.1:9", 400)},
-            {new OwnerLeft(3, "n", false)},
-            {new OwnerLeft(4, "n", true)},
+            {new JobsStarted(List.of("aa", "bb"))},
+            {new OwnerHeartbeat(3, "10.0.0.1:9", 400)},
+            {new OwnerResigned(3, "n", false)},
+            {new OwnerResigned(4, "n", true)},
             {new VmRebooted(1, "vm")},
             {new WaveDue(1, 2)},
             {new WaveCompleted(1)},
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalReaderTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalReaderTest.java
@@ -5,10 +5,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.job.JobRegistry;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.log.NodeLog;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -18,36 +18,36 @@
     private static final int RECORDS = 4000;
     private static final int RECORD_BYTES = 400;
 
-    private FakeNode mTime;
-    private FakeLog mLog;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
     private JournalReader mReader;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
         mReader =
                 new JournalReader(
                         mLog,
-                        JournalPartition.all(3),
+                        JournalPartitions.all(3),
                         mTime,
                         mTime,
                         NodeLog.silent(mTime),
-                        new JobBook(120_000),
+                        new JobRegistry(120_000),
                         (record, job) -> {});
     }
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += 10) {
-            mTime.pass(10);
-            mLog.answer();
+            mTime.advance(10);
+            mLog.deliverAnswers();
         }
     }
 
     private void write(int records, int bytes) {
-        byte[] record = JournalCodec.encode(new OwnerAlive(1, "a".repeat(bytes), 0));
+        byte[] record = JournalCodec.encode(new OwnerHeartbeat(1, "a".repeat(bytes), 0));
         for (int i = 0; i < records; i++) {
-            mLog.records(JournalPartition.JOURNAL).add(record);
+            mLog.records(JournalPartitions.PRIMARY).add(record);
         }
     }
 
@@ -59,7 +59,7 @@
     public void aLaggingNodeCatchesUpOverASlowLink() {
         // Guards against pages that take longer than the read timeout, so that every read is
         // retried from the same offset.
-        mLog.linkCarries(100_000);
+        mLog.limitAnswerBytes(100_000);
         mReader.follow();
         pass(100);
         write(RECORDS, RECORD_BYTES);
@@ -73,9 +73,9 @@
         // Guards against empty reads forever after failed reads have made the page smaller than the
         // next record.
         mReader.follow();
-        mLog.down(JournalPartition.JOURNAL, true);
+        mLog.setUnavailable(JournalPartitions.PRIMARY, true);
         pass(5000);
-        mLog.down(JournalPartition.JOURNAL, false);
+        mLog.setUnavailable(JournalPartitions.PRIMARY, false);
         write(1, 200_000);
         pass(2000);
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeLog.Fate;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeSharedLog.ScriptedOutcome;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.log.NodeLog;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -18,22 +18,22 @@
 public class JournalWriterTest {
     private static final long TIMEOUT_MS = 1000;
 
-    private FakeNode mTime;
-    private FakeLog mLog;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
     private Owner mOwner;
     private JournalWriter mWriter;
     private List<StoreOutcome> mOutcomes;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
         mOutcomes = new ArrayList<>();
         mOwner = new Owner();
         mWriter =
                 new JournalWriter(
                         mLog,
-                        JournalPartition.JOURNAL,
+                        JournalPartitions.PRIMARY,
                         mOwner,
                         mTime,
                         mTime,
@@ -46,7 +46,7 @@
         private boolean mAvailable;
 
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return mAvailable;
         }
 
@@ -64,10 +64,10 @@
     public void aRecordTheStoreRejectsIsStoredThroughTheOwner() {
         // Guards against failed requests on nodes that the store rejects while the owner could
         // store.
-        mLog.next(Fate.REFUSED);
+        mLog.scriptAppends(ScriptedOutcome.REFUSED);
         store();
         mOwner.mAvailable = true;
-        mLog.answer();
+        mLog.deliverAnswers();
         mOwner.answer(StoreOutcome.STORED);
 
         assertEquals(mOutcomes, List.of(StoreOutcome.STORED));
@@ -81,7 +81,7 @@
         store();
 
         assertEquals(mOwner.mHandovers.size(), 2);
-        assertTrue(mLog.records(JournalPartition.JOURNAL).isEmpty());
+        assertTrue(mLog.records(JournalPartitions.PRIMARY).isEmpty());
     }
 
     @Test
@@ -91,12 +91,12 @@
         store();
         mOwner.mAvailable = false;
         for (int i = 0; i < 20; i++) {
-            mLog.next(Fate.REFUSED);
+            mLog.scriptAppends(ScriptedOutcome.REFUSED);
         }
         mOwner.answer(StoreOutcome.UNKNOWN);
         for (int i = 0; i < 20; i++) {
-            mLog.answer();
-            mTime.pass(100);
+            mLog.deliverAnswers();
+            mTime.advance(100);
         }
 
         assertEquals(mOutcomes, List.of(StoreOutcome.UNKNOWN));
@@ -107,8 +107,8 @@
         mOwner.mAvailable = true;
         mWriter.store(new JobCancelled("aa", 1), mTime.nowMs() + 3000, mOutcomes::add);
         mOwner.mAvailable = false;
-        mTime.pass(300);
-        mLog.answer();
+        mTime.advance(300);
+        mLog.deliverAnswers();
         mOwner.answer(StoreOutcome.STORED);
 
         assertEquals(
@@ -123,13 +123,23 @@
     public void aRecordWithALostResponseIsNeverReportedAsNotStored() {
         // Guards against reporting a job as rejected when the first append succeeded, its response
         // was lost, and the retries were rejected.
-        mLog.next(Fate.ANSWER_LOST, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
-        mLog.next(Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
-        mLog.next(Fate.REFUSED, Fate.REFUSED);
+        mLog.scriptAppends(
+                ScriptedOutcome.ANSWER_LOST,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED);
+        mLog.scriptAppends(
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED,
+                ScriptedOutcome.REFUSED);
+        mLog.scriptAppends(ScriptedOutcome.REFUSED, ScriptedOutcome.REFUSED);
         store();
         for (int i = 0; i < 20; i++) {
-            mLog.answer();
-            mTime.pass(100);
+            mLog.deliverAnswers();
+            mTime.advance(100);
         }
 
         assertEquals(mOutcomes, List.of(StoreOutcome.UNKNOWN));
@@ -137,30 +147,30 @@
 
     @Test
     public void aRejectionIsReportedImmediately() {
-        mLog.next(Fate.REFUSED);
+        mLog.scriptAppends(ScriptedOutcome.REFUSED);
         store();
-        mLog.answer();
+        mLog.deliverAnswers();
 
         assertEquals(mOutcomes, List.of(StoreOutcome.NOT_STORED));
-        assertTrue(mLog.records(JournalPartition.JOURNAL).isEmpty());
+        assertTrue(mLog.records(JournalPartitions.PRIMARY).isEmpty());
     }
 
     @Test
     public void whileTheStoreFailsFurtherRecordsFailFast() {
         // Guards against every caller waiting for its timeout while the store doesn't respond,
         // instead of trying another node.
-        mLog.next(Fate.LOST, Fate.LOST);
+        mLog.scriptAppends(ScriptedOutcome.LOST, ScriptedOutcome.LOST);
         store();
-        mLog.answer();
+        mLog.deliverAnswers();
         store();
 
         assertEquals(mOutcomes, List.of(StoreOutcome.NOT_STORED));
-        mTime.pass(100);
-        mLog.answer();
-        mTime.pass(100);
-        mLog.answer();
+        mTime.advance(100);
+        mLog.deliverAnswers();
+        mTime.advance(100);
+        mLog.deliverAnswers();
         store();
-        mLog.answer();
+        mLog.deliverAnswers();
         assertEquals(
                 mOutcomes,
                 List.of(StoreOutcome.NOT_STORED, StoreOutcome.STORED, StoreOutcome.STORED));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/MalformedRecordsTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/MalformedRecordsTest.java
@@ -13,28 +13,28 @@
 import java.util.Optional;
 import java.util.Random;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobBook;
-import org.foxtailplank.job.JobEntry;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
+import org.foxtailplank.job.JobProgress;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord;
 import org.foxtailplank.job.JournalRecord.EndedRun;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.job.JournalRecord.JobRestated;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.JobSnapshot;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.job.JournalRecord.RunsEnded;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
 import org.foxtailplank.job.JournalRecord.StartedRun;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.RunOutcome;
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.log.NodeLog;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -70,13 +70,13 @@
         return encodeMessage(o -> o.writeBytes(field, ByteString.copyFrom(encodeMessage(fields))));
     }
 
-    private static byte[] accepted(JobOrder order) {
+    private static byte[] accepted(JobDefinition order) {
         return JournalCodec.encode(new JobAccepted(order));
     }
 
-    private static JobOrder order(Timetable timetable, TaskStep... steps) {
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
-        return new JobOrder(JOB, "q", "s", "text", List.of(steps), timetable, terms, 99);
+    private static JobDefinition order(Timetable timetable, TaskStep... steps) {
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        return new JobDefinition(JOB, "q", "s", "text", List.of(steps), timetable, terms, 99);
     }
 
     private static TaskStep step(int tasks, Integer... dependsOn) {
@@ -85,11 +85,11 @@
                 new Resources(500, 1, 0),
                 700,
                 List.of(dependsOn),
-                PlacementRule.ANYWHERE,
+                PlacementConstraints.ANYWHERE,
                 RunMode.PLAIN);
     }
 
-    private static JobOrder validOrder() {
+    private static JobDefinition validOrder() {
         return order(Timetable.AT_ONCE, step(2), step(3, 0));
     }
 
@@ -151,29 +151,29 @@
     @Test(dataProvider = "malformedRecords")
     public void aMalformedRecordIsSkippedAndTheOthersAreApplied(
             String malformation, byte[] malformed) {
-        FakeNode time = new FakeNode();
-        FakeLog log = new FakeLog();
-        JobBook book = new JobBook(120_000);
+        FakeTime time = new FakeTime();
+        FakeSharedLog log = new FakeSharedLog();
+        JobRegistry book = new JobRegistry(120_000);
         List<JournalRecord> applied = new ArrayList<>();
         JournalReader reader =
                 new JournalReader(
                         log,
-                        JournalPartition.all(1),
+                        JournalPartitions.all(1),
                         time,
                         time,
                         NodeLog.silent(time),
                         book,
                         (record, job) -> applied.add(record));
-        List<byte[]> records = log.records(JournalPartition.JOURNAL);
+        List<byte[]> records = log.records(JournalPartitions.PRIMARY);
         records.add(accepted(validOrder()));
         records.add(malformed);
         records.add(new byte[0]);
         records.add(JournalCodec.encode(new RunsStarted(List.of(START))));
         reader.follow();
-        log.answer();
+        log.deliverAnswers();
         records.add(JournalCodec.encode(new JobCancelled(JOB, 7)));
-        time.pass(1000);
-        log.answer();
+        time.advance(1000);
+        log.deliverAnswers();
 
         assertEquals(
                 applied.size(),
@@ -189,12 +189,12 @@
         List<JournalRecord> valid =
                 List.of(
                         new JobAccepted(validOrder()),
-                        new JobRestated(validOrder(), List.of(START), List.of(END), 0),
+                        new JobSnapshot(validOrder(), List.of(START), List.of(END), 0),
                         new JobCancelled(JOB, 5),
                         new RunsStarted(List.of(START, START)),
                         new RunsEnded(List.of(END)),
-                        new OwnerAlive(3, "10.0.0.1:9", 400),
-                        new OwnerLeft(3, "n", false));
+                        new OwnerHeartbeat(3, "10.0.0.1:9", 400),
+                        new OwnerResigned(3, "n", false));
         Random random = new Random(SEED);
         for (int i = 0; i < MUTATIONS; i++) {
             byte[] bytes = JournalCodec.encode(valid.get(random.nextInt(valid.size())));
@@ -213,12 +213,12 @@
 
     /** Applies a record as every node does, and takes snapshots of its jobs as the owner does. */
     private static void apply(Optional<JournalRecord> record) {
-        JobBook book = new JobBook(120_000);
+        JobRegistry book = new JobRegistry(120_000);
         book.apply(new JobAccepted(validOrder()));
         record.ifPresent(book::apply);
-        for (JobEntry job : book.jobs()) {
-            job.order().chainMs();
-            job.restate(7);
+        for (JobProgress job : book.jobs()) {
+            job.definition().criticalPathMs();
+            job.snapshot(7);
         }
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/log/NodeLogTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/log/NodeLogTest.java
@@ -6,7 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeTime;
 import org.testng.annotations.Test;
 
 /** Tests the rate limit, the bounded queue and the escaping of the log. */
@@ -22,13 +22,13 @@
 
     @Test
     public void linesBeyondTheRateLimitOfTheirKindAreCounted() {
-        FakeNode time = new FakeNode();
+        FakeTime time = new FakeTime();
         NodeLog log = NodeLog.silent(time);
         for (int i = 0; i < MAX_LINES_PER_S + 50; i++) {
             log.line("busy").write();
         }
         log.line("other").write();
-        time.pass(1000);
+        time.advance(1000);
         log.line("busy").write();
 
         String text = written(log);
@@ -41,7 +41,7 @@
 
     @Test
     public void aFullQueueDropsLinesWithoutBlocking() {
-        FakeNode time = new FakeNode();
+        FakeTime time = new FakeTime();
         NodeLog log = NodeLog.silent(time);
         for (int i = 0; i < 2 * QUEUE_CAPACITY; i++) {
             log.line("kind" + i).write();
@@ -52,7 +52,7 @@
 
     @Test
     public void aValueCannotInjectALine() {
-        NodeLog log = NodeLog.silent(new FakeNode());
+        NodeLog log = NodeLog.silent(new FakeTime());
         log.line("path").with("path", "a\"}\n{\"kind\":\"x").write();
 
         String text = written(log);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
@@ -11,12 +11,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.foxtailplank.job.JournalRecord.JobCancelled;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeLog.Fate;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeSharedLog.ScriptedOutcome;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.journal.Handover;
 import org.foxtailplank.node.journal.JournalCodec;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalWriter;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.log.NodeLog;
@@ -37,26 +37,26 @@
     private static final long STEP_MS = 130;
 
     private enum Step {
-        STORED(Fate.STORED),
-        REFUSED(Fate.REFUSED),
-        ANSWER_LOST(Fate.ANSWER_LOST),
-        LOST(Fate.LOST),
-        LATE(Fate.LATE),
+        STORED(ScriptedOutcome.STORED),
+        REFUSED(ScriptedOutcome.REFUSED),
+        ANSWER_LOST(ScriptedOutcome.ANSWER_LOST),
+        LOST(ScriptedOutcome.LOST),
+        LATE(ScriptedOutcome.LATE),
         CONNECTION_TOGGLES(null),
         NEXT_OWNER(null),
         LATE_APPENDS_COMPLETE(null);
 
-        private final Fate mFate;
+        private final ScriptedOutcome mFate;
 
-        Step(Fate fate) {
+        Step(ScriptedOutcome fate) {
             mFate = fate;
         }
     }
 
     /** A node with a waiting caller, the owner, and the connection between them. */
     private static final class Simulation implements Handover {
-        private final FakeNode mTime = new FakeNode();
-        private final FakeLog mLog = new FakeLog();
+        private final FakeTime mTime = new FakeTime();
+        private final FakeSharedLog mLog = new FakeSharedLog();
         private final List<StoreOutcome> mOutcomes = new ArrayList<>();
         private final List<Consumer<StoreOutcome>> mPendingHandovers = new ArrayList<>();
         private final byte[] mRecord = JournalCodec.encode(new JobCancelled("aa", 1));
@@ -68,9 +68,9 @@
         Simulation(boolean connected) {
             mConnected = connected;
             NodeLog out = NodeLog.silent(mTime);
-            mWriter = new JournalWriter(mLog, JournalPartition.JOURNAL, this, mTime, mTime, out);
+            mWriter = new JournalWriter(mLog, JournalPartitions.PRIMARY, this, mTime, mTime, out);
             nextOwner();
-            mLog.answer();
+            mLog.deliverAnswers();
         }
 
         void begin() {
@@ -85,15 +85,15 @@
                     dropPendingHandovers();
                 }
                 case NEXT_OWNER -> nextOwner();
-                case LATE_APPENDS_COMPLETE -> mLog.carryOutLate();
-                default -> mLog.next(step.mFate);
+                case LATE_APPENDS_COMPLETE -> mLog.performLateAppends();
+                default -> mLog.scriptAppends(step.mFate);
             }
-            mLog.answer();
-            mTime.pass(STEP_MS);
+            mLog.deliverAnswers();
+            mTime.advance(STEP_MS);
         }
 
         private void nextOwner() {
-            mOwnerJournal = new OwnerJournal(FakeOwnerParts.of(mTime, mLog), ++mToken, () -> {});
+            mOwnerJournal = new OwnerJournal(FakeOwnerContext.of(mTime, mLog), ++mToken, () -> {});
             mOwnerJournal.raiseEpoch(() -> {});
         }
 
@@ -105,21 +105,21 @@
 
         void end() {
             for (int i = 0; i < 20; i++) {
-                mLog.answer();
-                mTime.pass(STEP_MS);
-                mLog.carryOutLate();
+                mLog.deliverAnswers();
+                mTime.advance(STEP_MS);
+                mLog.performLateAppends();
             }
         }
 
         long storedCount() {
-            return JournalPartition.all(3).stream()
+            return JournalPartitions.all(3).stream()
                     .flatMap(p -> mLog.records(p).stream())
                     .filter(r -> Arrays.equals(r, mRecord))
                     .count();
         }
 
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return mConnected;
         }
 
@@ -166,7 +166,7 @@
     private static StoreOutcome run(List<Step> sequence, boolean connected) {
         Simulation simulation = new Simulation(connected);
         Optional<Step> first = Optional.of(sequence.get(0)).filter(s -> s.mFate != null);
-        first.ifPresent(s -> simulation.mLog.next(s.mFate));
+        first.ifPresent(s -> simulation.mLog.scriptAppends(s.mFate));
         simulation.begin();
         sequence.subList(first.isPresent() ? 1 : 0, DEPTH).forEach(simulation::step);
         simulation.end();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/CutOffOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/CutOffOwnerTest.java
@@ -11,28 +11,28 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
 import org.foxtailplank.job.JournalRecord.RunsStarted;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
 import org.foxtailplank.port.LogPartition;
-import org.foxtailplank.port.OperatorOrder;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.OperatorChange;
+import org.foxtailplank.port.ServiceConfig;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions;
-import org.foxtailplank.port.WaveBoard;
+import org.foxtailplank.port.VmClient;
+import org.foxtailplank.port.WavePublisher;
 import org.foxtailplank.schedule.ScheduleLimits;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -45,18 +45,18 @@
     private static final ScheduleLimits LIMITS = new ScheduleLimits(6000, 250);
     private static final long STEP_MS = 10;
 
-    private FakeNode mTime;
-    private FakeLog mLog;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
     private FakeWorkers mWorkers;
     private FakeDirectory mDirectory;
-    private List<OwnerParts> mParts;
-    private List<VmActions.VmInfo> mVms;
+    private List<OwnerContext> mParts;
+    private List<VmClient.VmInfo> mVms;
     private boolean[] mLateFromFirstStart;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
         mWorkers = new FakeWorkers(mTime);
         mDirectory = new FakeDirectory();
         mParts = new ArrayList<>();
@@ -65,7 +65,7 @@
     }
 
     /** Returns the same VMs in every list. */
-    private final class Vms implements VmActions {
+    private final class Vms implements VmClient {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
             then.accept(Optional.of(mVms));
@@ -86,30 +86,30 @@
         }
     }
 
-    private OwnerWork startOwner(
-            SharedLog log, FakeWorkers.Connection connection, TakeOver takeover) {
-        PoolService service = new PoolService(SERVICE, true, false);
-        OperatorOrder config =
-                new OperatorOrder.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
-        Feed<OperatorOrder> orders =
-                new FixedFeed<>(List.of(new Feed.Item<>("config", Optional.of(config))));
+    private OwnerSession startOwner(
+            SharedLog log, FakeWorkers.Connection connection, Takeover takeover) {
+        ServiceConfig service = new ServiceConfig(SERVICE, true, false);
+        OperatorChange config =
+                new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
+        ChangeFeed<OperatorChange> orders =
+                new FixedFeed<>(List.of(new ChangeFeed.Item<>("config", Optional.of(config))));
         OperatorFollower operator =
                 new OperatorFollower(orders, mTime, mTime, NodeLog.silent(mTime));
         operator.refresh(read -> {});
-        WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
-        OwnerParts.Platform platform =
-                new OwnerParts.Platform(mDirectory, connection, new Vms(), null, board);
-        OwnerWork[] work = new OwnerWork[1];
-        OwnerParts parts =
-                FakeOwnerParts.of(
+        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        OwnerContext.Platform platform =
+                new OwnerContext.Platform(mDirectory, connection, new Vms(), null, board);
+        OwnerSession[] work = new OwnerSession[1];
+        OwnerContext parts =
+                FakeOwnerContext.of(
                         mTime,
                         log,
                         true,
                         LIMITS,
                         operator,
                         platform,
-                        (record, job) -> work[0].recorded(record, job));
-        work[0] = new OwnerWork(parts, takeover, () -> {});
+                        (record, job) -> work[0].applyRecord(record, job));
+        work[0] = new OwnerSession(parts, takeover, () -> {});
         mParts.add(parts);
         work[0].start();
         return work[0];
@@ -123,19 +123,24 @@
     private static byte[] job(RunMode mode) {
         TaskStep step =
                 new TaskStep(
-                        1, Resources.of(1, 1, 0), 500, List.of(), PlacementRule.ANYWHERE, mode);
-        QueueTerms terms = new QueueTerms(0, 2, 1.6, 600, Optional.empty());
-        JobOrder order =
-                new JobOrder(
+                        1,
+                        Resources.of(1, 1, 0),
+                        500,
+                        List.of(),
+                        PlacementConstraints.ANYWHERE,
+                        mode);
+        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        JobDefinition order =
+                new JobDefinition(
                         JOB, "queue", SERVICE, "text", List.of(step), Timetable.AT_ONCE, terms, 1);
         return JournalCodec.encode(new JobAccepted(order));
     }
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
-            mTime.pass(STEP_MS);
+            mTime.advance(STEP_MS);
             mParts.forEach(p -> p.reader().refresh(read -> {}));
-            mLog.answer();
+            mLog.deliverAnswers();
         }
     }
 
@@ -149,17 +154,18 @@
     }
 
     /** Starts the first owner, which reaches only worker w1 and has started the task there. */
-    private OwnerWork startOwnerWithFirstWorker(SharedLog log, FakeWorkers.Connection connection) {
+    private OwnerSession startOwnerWithFirstWorker(
+            SharedLog log, FakeWorkers.Connection connection) {
         return startOwnerWithFirstWorker(log, connection, standingJob());
     }
 
-    private OwnerWork startOwnerWithFirstWorker(
+    private OwnerSession startOwnerWithFirstWorker(
             SharedLog log, FakeWorkers.Connection connection, byte[] job) {
         mDirectory.add("w1", SERVICE);
         mDirectory.add("w2", SERVICE);
         connection.disconnect("w2");
-        OwnerWork first = startOwner(log, connection, new TakeOver(1, true, true));
-        first.handedOver(job, outcome -> {});
+        OwnerSession first = startOwner(log, connection, new Takeover(1, true, true));
+        first.storeHandedOver(job, outcome -> {});
         pass(2000);
         assertEquals(mWorkers.running(TASK), List.of("w1"));
         return first;
@@ -176,7 +182,7 @@
         pass(600);
         FakeWorkers.Connection connection = mWorkers.connect();
         connection.disconnect("w1");
-        startOwner(new DisconnectableLog(mLog), connection, new TakeOver(2, false, false));
+        startOwner(new DisconnectableLog(mLog), connection, new Takeover(2, false, false));
         passAssertingAtMostOneRun(30_000);
 
         assertEquals(
@@ -191,7 +197,7 @@
         mWorkers.holdLease("w1");
         FakeWorkers.Connection connection = mWorkers.connect();
         connection.disconnect("w1");
-        startOwner(new DisconnectableLog(mLog), connection, new TakeOver(2, false, false));
+        startOwner(new DisconnectableLog(mLog), connection, new Takeover(2, false, false));
         pass(100);
         mDirectory.remove("w1");
         for (int i = 0; i < 2000 && mWorkers.running(TASK).size() < 2; i++) {
@@ -220,7 +226,7 @@
         mWorkers.finish("w1", TASK);
         FakeWorkers.Connection connection = mWorkers.connect();
         connection.disconnect("w1");
-        startOwner(new DisconnectableLog(mLog), connection, new TakeOver(2, false, false));
+        startOwner(new DisconnectableLog(mLog), connection, new Takeover(2, false, false));
         for (int i = 0; i < 2000 && mWorkers.running(TASK).isEmpty(); i++) {
             pass(STEP_MS);
         }
@@ -270,7 +276,7 @@
         // replace the newer proof from other partitions, which would end leases and starts.
         boolean[] late = new boolean[1];
         SharedLog log = logWithLatePartitions(p -> late[0] && p.number() == 0);
-        OwnerWork first = startOwnerWithFirstWorker(log, mWorkers.connect());
+        OwnerSession first = startOwnerWithFirstWorker(log, mWorkers.connect());
 
         late[0] = true;
         pass(10_000);
@@ -348,7 +354,7 @@
 
         FakeWorkers.Connection connection = mWorkers.connect();
         connection.disconnect("w1");
-        startOwner(new DisconnectableLog(mLog), connection, new TakeOver(2, true, true));
+        startOwner(new DisconnectableLog(mLog), connection, new Takeover(2, true, true));
         passAssertingAtMostOneRun(1500);
     }
 
@@ -373,13 +379,13 @@
         // when the append is stored. The run must not lapse before its worker is polled again.
         boolean[] late = new boolean[1];
         mDirectory.add("w1", SERVICE);
-        OwnerWork owner =
+        OwnerSession owner =
                 startOwner(
                         logWithLatePartitions(p -> late[0]),
                         mWorkers.connect(),
-                        new TakeOver(1, true, true));
+                        new Takeover(1, true, true));
         pass(1000);
-        owner.handedOver(job(RunMode.PLAIN), outcome -> {});
+        owner.storeHandedOver(job(RunMode.PLAIN), outcome -> {});
         mLateFromFirstStart = late;
         pass(8600);
         assertEquals(mWorkers.running(TASK), List.of());
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.WorkerInfo;
 
 /** A worker directory that tests modify. */
-final class FakeDirectory implements Feed<WorkerInfo> {
+final class FakeDirectory implements ChangeFeed<WorkerInfo> {
     private final List<Item<WorkerInfo>> mItems = new ArrayList<>();
 
     /** Adds a worker with eight cores. */
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void newest(Consumer<Result<WorkerInfo>> then) {
+    public void latest(Consumer<Result<WorkerInfo>> then) {
         then.accept(new Page<>(List.copyOf(mItems), mItems.size()));
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeSigns.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeOwnerMonitor.java
@@ -1,11 +1,11 @@
 package org.foxtailplank.node.owner;
 
 import java.util.Optional;
-import org.foxtailplank.node.peer.OwnerSigns;
+import org.foxtailplank.node.peer.OwnerMonitor;
 import org.foxtailplank.node.peer.OwnerState;
 
 /** Status of the owner's connection, set by the test. */
-final class FakeSigns implements OwnerSigns {
+final class FakeOwnerMonitor implements OwnerMonitor {
     OwnerState mState = OwnerState.STREAMING;
     Optional<KnownOwner> mOwner = Optional.empty();
     long mStoringMs = Long.MIN_VALUE / 2;
@@ -13,7 +13,7 @@
     boolean mCallsOver;
 
     @Override
-    public void owner(Optional<KnownOwner> owner) {
+    public void setOwner(Optional<KnownOwner> owner) {
         mOwner = owner;
     }
 
@@ -23,20 +23,20 @@
     }
 
     @Override
-    public boolean areCallsOver(long token) {
+    public boolean areVmCallsFinished(long token) {
         return mCallsOver && mState == OwnerState.GONE;
     }
 
     @Override
-    public long storingMs() {
+    public long lastStoredMs() {
         return mStoringMs;
     }
 
     @Override
-    public void whenDoubtful(Runnable listener) {
+    public void onOwnerUnavailable(Runnable listener) {
         mWhenDoubtful = listener;
     }
 
     @Override
-    public void check() {}
+    public void checkSilence() {}
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
@@ -10,11 +10,11 @@
 import java.util.function.Supplier;
 import org.foxtailplank.job.RunEnd;
 import org.foxtailplank.job.RunOutcome;
-import org.foxtailplank.job.RunView;
+import org.foxtailplank.job.RunStatus;
 import org.foxtailplank.job.TaskName;
-import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.WorkerOrders;
+import org.foxtailplank.node.FakeTime;
+import org.foxtailplank.port.CommandOutcome;
+import org.foxtailplank.port.WorkerClient;
 
 /**
  * In-memory workers on the test's clock. Like the platform's workers they keep the highest token, a
@@ -26,10 +26,10 @@
     private static final long TIMEOUT_MS = 400;
     private static final int FULL_PROGRESS_PERCENT = 100;
 
-    private final FakeNode mTime;
+    private final FakeTime mTime;
     private final Map<String, Worker> mWorkers = new HashMap<>();
 
-    FakeWorkers(FakeNode time) {
+    FakeWorkers(FakeTime time) {
         mTime = time;
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** A node's connection to the workers, which can be broken for single workers. */
-    final class Connection implements WorkerOrders {
+    final class Connection implements WorkerClient {
         private final Set<String> mDisconnected = new HashSet<>();
         private final List<Runnable> mUndelivered = new ArrayList<>();
 
@@ -126,25 +126,25 @@
         }
 
         @Override
-        public void start(WorkerAddress to, StartOrder order, Consumer<OrderAnswer> then) {
+        public void start(WorkerAddress to, StartCommand order, Consumer<CommandResponse> then) {
             call(to.id(), 0, unanswered(), then, () -> handleStart(worker(to.id()), order));
         }
 
         @Override
-        public void stop(WorkerAddress to, RunOrder order, Consumer<OrderAnswer> then) {
+        public void stop(WorkerAddress to, RunCommand order, Consumer<CommandResponse> then) {
             call(to.id(), 0, unanswered(), then, () -> handleStop(worker(to.id()), order));
         }
 
         @Override
-        public void pace(
-                WorkerAddress to, RunOrder order, int percent, Consumer<OrderAnswer> then) {
-            call(to.id(), 0, unanswered(), then, () -> answer(OrderOutcome.DONE));
+        public void throttle(
+                WorkerAddress to, RunCommand order, int percent, Consumer<CommandResponse> then) {
+            call(to.id(), 0, unanswered(), then, () -> answer(CommandOutcome.DONE));
         }
 
         @Override
-        public void look(WorkerAddress to, LookOrder order, Consumer<LookAnswer> then) {
-            LookAnswer unanswered =
-                    new LookAnswer(OrderOutcome.UNANSWERED, -1, List.of(), List.of());
+        public void poll(WorkerAddress to, PollCommand order, Consumer<PollResponse> then) {
+            PollResponse unanswered =
+                    new PollResponse(CommandOutcome.UNANSWERED, -1, List.of(), List.of());
             long wait = order.waitMs() / 2;
             call(to.id(), wait, unanswered, then, () -> handleLook(worker(to.id()), order));
         }
@@ -185,45 +185,49 @@
         }
     }
 
-    private static WorkerOrders.OrderAnswer unanswered() {
-        return new WorkerOrders.OrderAnswer(OrderOutcome.UNANSWERED, -1);
+    private static WorkerClient.CommandResponse unanswered() {
+        return new WorkerClient.CommandResponse(CommandOutcome.UNANSWERED, -1);
     }
 
-    private WorkerOrders.OrderAnswer answer(OrderOutcome outcome) {
-        return new WorkerOrders.OrderAnswer(outcome, clockMs());
+    private WorkerClient.CommandResponse answer(CommandOutcome outcome) {
+        return new WorkerClient.CommandResponse(outcome, clockMs());
     }
 
-    private WorkerOrders.OrderAnswer handleStart(Worker worker, WorkerOrders.StartOrder order) {
+    private WorkerClient.CommandResponse handleStart(
+            Worker worker, WorkerClient.StartCommand order) {
         if (!worker.accepts(order.run().token())) {
-            return answer(OrderOutcome.FENCED);
+            return answer(CommandOutcome.FENCED);
         }
         if (order.leaseUntilMs() <= clockMs()) {
-            return answer(OrderOutcome.LEASE_OVER);
+            return answer(CommandOutcome.LEASE_OVER);
         }
         worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
         worker.mRunning.add(new Run(order.run().task(), order.run().attempt()));
-        return answer(OrderOutcome.DONE);
+        return answer(CommandOutcome.DONE);
     }
 
-    private WorkerOrders.OrderAnswer handleStop(Worker worker, WorkerOrders.RunOrder order) {
+    private WorkerClient.CommandResponse handleStop(Worker worker, WorkerClient.RunCommand order) {
         if (!worker.accepts(order.token())) {
-            return answer(OrderOutcome.FENCED);
+            return answer(CommandOutcome.FENCED);
         }
         worker.end(new Run(order.task(), order.attempt()), RunOutcome.STOPPED);
-        return answer(OrderOutcome.DONE);
+        return answer(CommandOutcome.DONE);
     }
 
-    private WorkerOrders.LookAnswer handleLook(Worker worker, WorkerOrders.LookOrder order) {
+    private WorkerClient.PollResponse handleLook(Worker worker, WorkerClient.PollCommand order) {
         if (!worker.accepts(order.token())) {
-            return new WorkerOrders.LookAnswer(
-                    OrderOutcome.FENCED, clockMs(), List.of(), List.of());
+            return new WorkerClient.PollResponse(
+                    CommandOutcome.FENCED, clockMs(), List.of(), List.of());
         }
         worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
         worker.mUnacknowledged.removeIf(e -> e.sequence() <= order.acknowledged());
-        List<RunView> running = new ArrayList<>();
+        List<RunStatus> running = new ArrayList<>();
         worker.mRunning.forEach(
-                r -> running.add(new RunView(r.task(), r.attempt(), "", FULL_PROGRESS_PERCENT, 0)));
-        return new WorkerOrders.LookAnswer(
-                OrderOutcome.DONE, clockMs(), running, worker.mUnacknowledged);
+                r ->
+                        running.add(
+                                new RunStatus(
+                                        r.task(), r.attempt(), "", FULL_PROGRESS_PERCENT, 0)));
+        return new WorkerClient.PollResponse(
+                CommandOutcome.DONE, clockMs(), running, worker.mUnacknowledged);
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FixedFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FixedFeed.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 
 /** A feed whose values never change. */
-record FixedFeed<T>(List<Feed.Item<T>> items) implements Feed<T> {
+record FixedFeed<T>(List<ChangeFeed.Item<T>> items) implements ChangeFeed<T> {
     @Override
-    public void newest(Consumer<Result<T>> then) {
+    public void latest(Consumer<Result<T>> then) {
         then.accept(new Page<>(items, 0));
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
@@ -8,14 +8,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.foxtailplank.job.JournalRecord;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.node.peer.OwnerState;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Tests owner records and heartbeats that no node has written. */
-public class ForeignOwnersTest extends OwnershipTestBase {
+public class ForeignOwnersTest extends OwnerElectionTestBase {
     @DataProvider
     public Object[][] foreignOwnerRecords() {
         return new Object[][] {
@@ -62,9 +62,9 @@
         addOtherOwner();
         startNode();
         passWithHeartbeats(400);
-        write(new OwnerAlive(1, "nowhere", 0));
-        write(new OwnerAlive(9, "10.0.0.9:", 0));
-        write(new OwnerAlive(9, "", 0));
+        write(new OwnerHeartbeat(1, "nowhere", 0));
+        write(new OwnerHeartbeat(9, "10.0.0.9:", 0));
+        write(new OwnerHeartbeat(9, "", 0));
         passWithHeartbeats(1200);
         boolean takenEarly = !mTokens.isEmpty();
         mSigns.mState = OwnerState.GONE;
@@ -78,7 +78,8 @@
     @DataProvider
     public Object[][] recordsWithUnissuedToken() {
         return new Object[][] {
-            {new OwnerAlive(1L << 40, "10.0.0.3:1", 0)}, {new OwnerLeft(1L << 40, "third", true)},
+            {new OwnerHeartbeat(1L << 40, "10.0.0.3:1", 0)},
+            {new OwnerResigned(1L << 40, "third", true)},
         };
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
@@ -11,19 +11,19 @@
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
 import org.foxtailplank.node.FakeFeed;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.log.NodeLog;
+import org.foxtailplank.port.CommandOutcome;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
-import org.foxtailplank.port.OrderOutcome;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.OperatorChange;
+import org.foxtailplank.port.ServiceConfig;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions;
-import org.foxtailplank.port.WaveBoard;
+import org.foxtailplank.port.VmClient;
+import org.foxtailplank.port.WavePublisher;
+import org.foxtailplank.port.WorkerClient;
 import org.foxtailplank.port.WorkerInfo;
-import org.foxtailplank.port.WorkerOrders;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -37,18 +37,18 @@
     /** Long enough for several reads of the directory. */
     private static final long READS_MS = 200;
 
-    private FakeNode mTime;
-    private FakeLog mLog;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
     private FakeFeed<WorkerInfo> mDirectory;
-    private FakeFeed<OperatorOrder> mOrders;
+    private FakeFeed<OperatorChange> mOrders;
     private OperatorFollower mOperator;
     private Set<String> mPolled;
-    private OwnerWork mOwner;
+    private OwnerSession mOwner;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
         mDirectory = new FakeFeed<>();
         mOrders = new FakeFeed<>();
         mOperator = new OperatorFollower(mOrders, mTime, mTime, NodeLog.silent(mTime));
@@ -57,34 +57,38 @@
     }
 
     /** Answers every poll with no runs. */
-    private final class Workers implements WorkerOrders {
+    private final class Workers implements WorkerClient {
         @Override
-        public void start(WorkerAddress worker, StartOrder order, Consumer<OrderAnswer> then) {
+        public void start(
+                WorkerAddress worker, StartCommand order, Consumer<CommandResponse> then) {
             throw new AssertionError("there is no job");
         }
 
         @Override
-        public void stop(WorkerAddress worker, RunOrder order, Consumer<OrderAnswer> then) {
+        public void stop(WorkerAddress worker, RunCommand order, Consumer<CommandResponse> then) {
             throw new AssertionError("there is no job");
         }
 
         @Override
-        public void pace(
-                WorkerAddress worker, RunOrder order, int percent, Consumer<OrderAnswer> then) {
+        public void throttle(
+                WorkerAddress worker,
+                RunCommand order,
+                int percent,
+                Consumer<CommandResponse> then) {
             throw new AssertionError("there is no job");
         }
 
         @Override
-        public void look(WorkerAddress worker, LookOrder order, Consumer<LookAnswer> then) {
+        public void poll(WorkerAddress worker, PollCommand order, Consumer<PollResponse> then) {
             mPolled.add(worker.id());
-            LookAnswer answer =
-                    new LookAnswer(OrderOutcome.DONE, mTime.nowMs(), List.of(), List.of());
+            PollResponse answer =
+                    new PollResponse(CommandOutcome.DONE, mTime.nowMs(), List.of(), List.of());
             mTime.after(Math.max(1, order.waitMs()), () -> then.accept(answer));
         }
     }
 
     /** A VM service that cannot be reached. */
-    private static final class NoVms implements VmActions {
+    private static final class NoVms implements VmClient {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
             then.accept(Optional.empty());
@@ -102,9 +106,9 @@
     }
 
     private void putConfig(long version, String service) {
-        PoolService pool = new PoolService(service, true, false);
+        ServiceConfig pool = new ServiceConfig(service, true, false);
         FleetConfig config = new FleetConfig(version, List.of(), List.of(pool), 1000);
-        mOrders.put("config", new OperatorOrder.NewConfig(config));
+        mOrders.put("config", new OperatorChange.NewConfig(config));
         mOperator.refresh(read -> {});
     }
 
@@ -115,19 +119,19 @@
     }
 
     private void startOwner() {
-        WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
-        OwnerParts.Platform platform =
-                new OwnerParts.Platform(mDirectory, new Workers(), new NoVms(), null, board);
-        OwnerParts parts = FakeOwnerParts.of(mTime, mLog, true, mOperator, platform);
-        mOwner = new OwnerWork(parts, new TakeOver(1, true, true), () -> {});
+        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        OwnerContext.Platform platform =
+                new OwnerContext.Platform(mDirectory, new Workers(), new NoVms(), null, board);
+        OwnerContext parts = FakeOwnerContext.of(mTime, mLog, true, mOperator, platform);
+        mOwner = new OwnerSession(parts, new Takeover(1, true, true), () -> {});
         mOwner.start();
         pass(READS_MS);
     }
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += 10) {
-            mTime.pass(10);
-            mLog.answer();
+            mTime.advance(10);
+            mLog.deliverAnswers();
         }
     }
 
@@ -138,8 +142,8 @@
     @Test
     public void unreadableEntriesAreIgnoredAndOthersApply() {
         mDirectory.put("w1", worker("w1", "surveys"));
-        mDirectory.putForeign("w2");
-        mDirectory.putForeign("");
+        mDirectory.putUnreadable("w2");
+        mDirectory.putUnreadable("");
         mDirectory.put("w3", worker("w3", "surveys"));
         startOwner();
 
@@ -154,7 +158,7 @@
         mDirectory.put("w1", worker("w1", "surveys"));
         startOwner();
         boolean listedBefore = isListed("w1");
-        mDirectory.putForeign("w1");
+        mDirectory.putUnreadable("w1");
         pass(READS_MS);
         boolean listedWhileUnreadable = isListed("w1");
         mDirectory.put("w1", worker("w1", "surveys"));
@@ -194,7 +198,7 @@
     public void removedWorkerIsNotListedByALaterConfiguration() {
         mDirectory.put("w1", worker("w1", "reports"));
         startOwner();
-        mDirectory.drop("w1");
+        mDirectory.putDeletion("w1");
         pass(READS_MS);
         putConfig(2, "reports");
         pass(READS_MS);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
@@ -9,18 +9,18 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.MaintenanceWave;
+import org.foxtailplank.port.OperatorChange;
+import org.foxtailplank.port.ServiceConfig;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions;
-import org.foxtailplank.port.WaveBoard;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.VmClient;
+import org.foxtailplank.port.WavePublisher;
 import org.foxtailplank.port.WorkerInfo;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -34,19 +34,19 @@
 public class FormerOwnerTest {
     private static final String VM = "vm1";
 
-    private FakeNode mTime;
-    private FakeLog mLog;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
     private List<Long> mCallers;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
         mCallers = new ArrayList<>();
     }
 
     /** Ignores tokens and reports that nothing was done, so that each owner repeats its calls. */
-    private final class Vms implements VmActions {
+    private final class Vms implements VmClient {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
             VmInfo vm = new VmInfo(VM, "off", VmPhase.UP, "", Resources.of(8, 1 << 20, 0));
@@ -67,44 +67,45 @@
         }
     }
 
-    private OwnerWork startOwner(SharedLog log, TakeOver takeover, boolean tokensChecked) {
-        PoolService off = new PoolService("off", true, true);
-        OperatorOrder config =
-                new OperatorOrder.NewConfig(new FleetConfig(1, List.of(), List.of(off), 1000));
-        OperatorOrder wave = new OperatorOrder.NewWave(new WaveOrder(1, List.of(VM), 30_000, 1));
-        Feed<OperatorOrder> orders =
+    private OwnerSession startOwner(SharedLog log, Takeover takeover, boolean tokensChecked) {
+        ServiceConfig off = new ServiceConfig("off", true, true);
+        OperatorChange config =
+                new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(off), 1000));
+        OperatorChange wave =
+                new OperatorChange.NewWave(new MaintenanceWave(1, List.of(VM), 30_000, 1));
+        ChangeFeed<OperatorChange> orders =
                 new FixedFeed<>(
                         List.of(
-                                new Feed.Item<>("config", Optional.of(config)),
-                                new Feed.Item<>("wave/1", Optional.of(wave))));
+                                new ChangeFeed.Item<>("config", Optional.of(config)),
+                                new ChangeFeed.Item<>("wave/1", Optional.of(wave))));
         OperatorFollower operator =
                 new OperatorFollower(orders, mTime, mTime, NodeLog.silent(mTime));
         operator.refresh(read -> {});
-        WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
-        OwnerParts.Platform platform =
-                new OwnerParts.Platform(
+        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        OwnerContext.Platform platform =
+                new OwnerContext.Platform(
                         new FixedFeed<WorkerInfo>(List.of()), null, new Vms(), null, board);
-        OwnerParts parts = FakeOwnerParts.of(mTime, log, tokensChecked, operator, platform);
-        OwnerWork work = new OwnerWork(parts, takeover, () -> {});
+        OwnerContext parts = FakeOwnerContext.of(mTime, log, tokensChecked, operator, platform);
+        OwnerSession work = new OwnerSession(parts, takeover, () -> {});
         work.start();
         return work;
     }
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += 10) {
-            mTime.pass(10);
-            mLog.answer();
+            mTime.advance(10);
+            mLog.deliverAnswers();
         }
     }
 
     @Test
     public void disconnectedOwnerStopsCallingBeforeItsSuccessorStarts() {
         DisconnectableLog first = new DisconnectableLog(mLog);
-        startOwner(first, new TakeOver(1, true, true), false);
+        startOwner(first, new Takeover(1, true, true), false);
         pass(1000);
         int callsBefore = mCallers.size();
         first.disconnect();
-        startOwner(new DisconnectableLog(mLog), new TakeOver(2, false, false), false);
+        startOwner(new DisconnectableLog(mLog), new Takeover(2, false, false), false);
         pass(4000);
 
         assertTrue(callsBefore > 0, "the first owner has called");
@@ -115,7 +116,7 @@
 
     @Test
     public void connectedOwnerKeepsCalling() {
-        startOwner(new DisconnectableLog(mLog), new TakeOver(1, true, true), false);
+        startOwner(new DisconnectableLog(mLog), new Takeover(1, true, true), false);
         pass(1000);
         int callsBefore = mCallers.size();
         pass(4000);
@@ -125,12 +126,12 @@
 
     @Test
     public void successorOfOwnerThatLeftDoesNotWait() {
-        OwnerWork first =
-                startOwner(new DisconnectableLog(mLog), new TakeOver(1, true, true), false);
+        OwnerSession first =
+                startOwner(new DisconnectableLog(mLog), new Takeover(1, true, true), false);
         pass(1000);
-        first.leave(() -> {});
+        first.resign(() -> {});
         pass(100);
-        startOwner(new DisconnectableLog(mLog), new TakeOver(2, true, true), false);
+        startOwner(new DisconnectableLog(mLog), new Takeover(2, true, true), false);
         pass(300);
 
         assertTrue(mCallers.contains(2L));
@@ -139,10 +140,10 @@
     @Test
     public void successorDoesNotWaitIfTheVmServiceChecksTokens() {
         DisconnectableLog first = new DisconnectableLog(mLog);
-        startOwner(first, new TakeOver(1, true, true), true);
+        startOwner(first, new Takeover(1, true, true), true);
         pass(1000);
         first.disconnect();
-        startOwner(new DisconnectableLog(mLog), new TakeOver(2, false, false), true);
+        startOwner(new DisconnectableLog(mLog), new Takeover(2, false, false), true);
         pass(300);
 
         assertTrue(mCallers.contains(2L));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
@@ -11,28 +11,28 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.foxtailplank.fleet.Resources;
-import org.foxtailplank.job.JobOrder;
+import org.foxtailplank.job.JobDefinition;
 import org.foxtailplank.job.JournalRecord.JobAccepted;
-import org.foxtailplank.job.PlacementRule;
-import org.foxtailplank.job.QueueTerms;
+import org.foxtailplank.job.PlacementConstraints;
+import org.foxtailplank.job.QueuePolicy;
 import org.foxtailplank.job.RunMode;
 import org.foxtailplank.job.TaskName;
 import org.foxtailplank.job.TaskStep;
 import org.foxtailplank.job.Timetable;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.OperatorFollower;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.port.Feed;
+import org.foxtailplank.port.ChangeFeed;
 import org.foxtailplank.port.FleetConfig;
-import org.foxtailplank.port.OperatorOrder;
-import org.foxtailplank.port.PoolService;
+import org.foxtailplank.port.OperatorChange;
+import org.foxtailplank.port.ServiceConfig;
 import org.foxtailplank.port.SharedLog;
-import org.foxtailplank.port.VmActions;
-import org.foxtailplank.port.WaveBoard;
-import org.foxtailplank.port.WorkerOrders;
+import org.foxtailplank.port.VmClient;
+import org.foxtailplank.port.WavePublisher;
+import org.foxtailplank.port.WorkerClient;
 import org.foxtailplank.schedule.ScheduleLimits;
 import org.testng.annotations.Test;
 
@@ -47,41 +47,41 @@
     private static final long STEP_MS = 10;
     private static final long SECOND_MS = 1000;
 
-    private final FakeNode mTime = new FakeNode();
-    private final FakeLog mLog = new FakeLog();
+    private final FakeTime mTime = new FakeTime();
+    private final FakeSharedLog mLog = new FakeSharedLog();
     private final Map<Long, Integer> mStartsBySecond = new HashMap<>();
     private final Set<TaskName> mStarted = new HashSet<>();
 
     /** Counts the starts per second. */
-    private final class CountingWorkerOrders implements WorkerOrders {
-        private final WorkerOrders mDelegate = new FakeWorkers(mTime).connect();
+    private final class CountingWorkerOrders implements WorkerClient {
+        private final WorkerClient mDelegate = new FakeWorkers(mTime).connect();
 
         @Override
-        public void start(WorkerAddress to, StartOrder order, Consumer<OrderAnswer> then) {
+        public void start(WorkerAddress to, StartCommand order, Consumer<CommandResponse> then) {
             mStartsBySecond.merge(mTime.nowMs() / SECOND_MS, 1, Integer::sum);
             mStarted.add(order.run().task());
             mDelegate.start(to, order, then);
         }
 
         @Override
-        public void stop(WorkerAddress to, RunOrder order, Consumer<OrderAnswer> then) {
+        public void stop(WorkerAddress to, RunCommand order, Consumer<CommandResponse> then) {
             mDelegate.stop(to, order, then);
         }
 
         @Override
-        public void pace(
-                WorkerAddress to, RunOrder order, int percent, Consumer<OrderAnswer> then) {
-            mDelegate.pace(to, order, percent, then);
+        public void throttle(
+                WorkerAddress to, RunCommand order, int percent, Consumer<CommandResponse> then) {
+            mDelegate.throttle(to, order, percent, then);
         }
 
         @Override
-        public void look(WorkerAddress to, LookOrder order, Consumer<LookAnswer> then) {
-            mDelegate.look(to, order, then);
+        public void poll(WorkerAddress to, PollCommand order, Consumer<PollResponse> then) {
+            mDelegate.poll(to, order, then);
         }
     }
 
     /** A VM service without VMs. */
-    private static final class NoVms implements VmActions {
+    private static final class NoVms implements VmClient {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
             then.accept(Optional.of(List.of()));
@@ -105,28 +105,29 @@
                         Resources.of(1, 1, 0),
                         60_000,
                         List.of(),
-                        PlacementRule.ANYWHERE,
+                        PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
-        JobOrder order =
-                new JobOrder(
+        JobDefinition order =
+                new JobDefinition(
                         "00000000000000aa",
                         "queue",
                         SERVICE,
                         "a".repeat(TEXT_BYTES),
                         List.of(step),
                         Timetable.AT_ONCE,
-                        new QueueTerms(0, 2, 1.6, 600, Optional.empty()),
+                        new QueuePolicy(0, 2, 1.6, 600, Optional.empty()),
                         1);
         return JournalCodec.encode(new JobAccepted(order));
     }
 
-    private OwnerParts parts(OwnerWork[] work) {
-        PoolService service = new PoolService(SERVICE, true, false);
-        OperatorOrder config =
-                new OperatorOrder.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
+    private OwnerContext parts(OwnerSession[] work) {
+        ServiceConfig service = new ServiceConfig(SERVICE, true, false);
+        OperatorChange config =
+                new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
         OperatorFollower operator =
                 new OperatorFollower(
-                        new FixedFeed<>(List.of(new Feed.Item<>("config", Optional.of(config)))),
+                        new FixedFeed<>(
+                                List.of(new ChangeFeed.Item<>("config", Optional.of(config)))),
                         mTime,
                         mTime,
                         NodeLog.silent(mTime));
@@ -135,31 +136,31 @@
         for (int i = 0; i < WORKERS; i++) {
             directory.add("w" + i, SERVICE);
         }
-        WaveBoard board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
-        return FakeOwnerParts.of(
+        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        return FakeOwnerContext.of(
                 mTime,
                 mLog,
                 true,
                 new ScheduleLimits(6000, 250),
                 LINK,
                 operator,
-                new OwnerParts.Platform(
+                new OwnerContext.Platform(
                         directory, new CountingWorkerOrders(), new NoVms(), null, board),
-                (record, job) -> work[0].recorded(record, job));
+                (record, job) -> work[0].applyRecord(record, job));
     }
 
     /** Starts must not fill the owner's link, or orders and polls time out. */
     @Test
     public void startsUseAtMostHalfOfANarrowLink() {
-        OwnerWork[] work = new OwnerWork[1];
-        OwnerParts parts = parts(work);
-        work[0] = new OwnerWork(parts, new TakeOver(1, true, true), () -> {});
+        OwnerSession[] work = new OwnerSession[1];
+        OwnerContext parts = parts(work);
+        work[0] = new OwnerSession(parts, new Takeover(1, true, true), () -> {});
         work[0].start();
-        work[0].handedOver(backlog(), outcome -> {});
+        work[0].storeHandedOver(backlog(), outcome -> {});
         for (long t = 0; t < 6 * SECOND_MS; t += STEP_MS) {
-            mTime.pass(STEP_MS);
+            mTime.advance(STEP_MS);
             parts.reader().refresh(read -> {});
-            mLog.answer();
+            mLog.deliverAnswers();
         }
 
         mStartsBySecond.forEach(
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnershipTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTest.java
@@ -7,14 +7,14 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.node.peer.OwnerState;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Tests when a node takes over from an owner. */
-public class OwnershipTest extends OwnershipTestBase {
+public class OwnerElectionTest extends OwnerElectionTestBase {
     @Test
     public void ownerThatWritesHeartbeatsIsNotReplaced() {
         addOtherOwner();
@@ -31,7 +31,7 @@
         addOtherOwner();
         startNode();
         passWithHeartbeats(800);
-        write(new OwnerLeft(1, "other", true));
+        write(new OwnerResigned(1, "other", true));
         mSigns.mState = OwnerState.GONE;
         mSigns.mWhenDoubtful.run();
         pass(MAX_ATTEMPT_MS);
@@ -69,7 +69,7 @@
         startNode();
         passWithHeartbeats(800);
         mSigns.mState = OwnerState.REFUSED;
-        pass(OwnerState.REFUSED.patienceMs() + MAX_ATTEMPT_MS);
+        pass(OwnerState.REFUSED.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
     }
@@ -82,7 +82,7 @@
         startNode();
         passWithHeartbeats(800);
         mSigns.mStoringMs = mTime.nowMs();
-        pass(OwnerState.STREAMING.patienceMs() + MAX_ATTEMPT_MS);
+        pass(OwnerState.STREAMING.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
     }
@@ -127,7 +127,7 @@
         pass(MAX_ATTEMPT_MS);
         assertTrue(mTokens.isEmpty(), "took over before others could try");
         mLog.records(OWNERS).add(new OwnerRecord("third", "10.0.0.3:1", "life").encode());
-        write(new OwnerAlive(mLog.records(OWNERS).size(), "10.0.0.3:1", 0));
+        write(new OwnerHeartbeat(mLog.records(OWNERS).size(), "10.0.0.3:1", 0));
         mSigns.mState = OwnerState.STREAMING;
         pass(MAX_ATTEMPT_MS);
 
@@ -141,7 +141,7 @@
         Runnable left =
                 () -> {
                     addOtherOwner();
-                    write(new OwnerLeft(1, "other", true));
+                    write(new OwnerResigned(1, "other", true));
                 };
         Runnable lost = this::addOtherOwner;
         return new Object[][] {{first}, {left}, {lost}};
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnershipTestBase.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTestBase.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobBook;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeNode;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeTime;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.journal.JournalCodec;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.log.NodeLog;
 import org.foxtailplank.port.LogPartition;
-import org.foxtailplank.port.VmActions;
+import org.foxtailplank.port.VmClient;
 import org.testng.annotations.BeforeMethod;
 
 /** A node and a simulated owner, with an in-memory log and a clock that the test controls. */
-abstract class OwnershipTestBase {
+abstract class OwnerElectionTestBase {
     static final LogPartition OWNERS = new LogPartition("foxtail-owners", 0);
     static final String OTHER_ADDRESS = "10.0.0.9:1";
 
@@ -32,27 +32,27 @@
     /** Time within which a node on a narrow link takes over if no other node does. */
     static final long MAX_NARROW_ATTEMPT_MS = 1200;
 
-    FakeNode mTime;
-    FakeLog mLog;
-    FakeSigns mSigns;
-    Optional<List<VmActions.VmInfo>> mListedVms;
+    FakeTime mTime;
+    FakeSharedLog mLog;
+    FakeOwnerMonitor mSigns;
+    Optional<List<VmClient.VmInfo>> mListedVms;
     List<Long> mTokens;
     List<Boolean> mPredecessorCallsFinished;
     List<Boolean> mRenewalsFinished;
-    Ownership mOwnership;
+    OwnerElection mOwnership;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
-        mSigns = new FakeSigns();
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
+        mSigns = new FakeOwnerMonitor();
         mListedVms = Optional.of(List.of());
         mTokens = new ArrayList<>();
         mPredecessorCallsFinished = new ArrayList<>();
         mRenewalsFinished = new ArrayList<>();
     }
 
-    private final class Vms implements VmActions {
+    private final class Vms implements VmClient {
         @Override
         public void list(Consumer<Optional<List<VmInfo>>> then) {
             then.accept(mListedVms);
@@ -79,14 +79,14 @@
         JournalReader reader =
                 new JournalReader(
                         mLog,
-                        JournalPartition.all(3),
+                        JournalPartitions.all(3),
                         mTime,
                         mTime,
                         out,
-                        new JobBook(120_000),
-                        (record, job) -> mOwnership.seen(record));
+                        new JobRegistry(120_000),
+                        (record, job) -> mOwnership.applyRecord(record));
         mOwnership =
-                new Ownership(
+                new OwnerElection(
                         mLog,
                         reader,
                         mTime,
@@ -99,35 +99,35 @@
                         new Vms(),
                         this::recordTakeover);
         reader.follow();
-        mOwnership.watch();
+        mOwnership.start();
     }
 
-    private void recordTakeover(TakeOver takeover) {
+    private void recordTakeover(Takeover takeover) {
         mTokens.add(takeover.token());
         mPredecessorCallsFinished.add(takeover.predecessorCallsFinished());
         mRenewalsFinished.add(takeover.renewalsFinished());
     }
 
     void write(JournalRecord record) {
-        mLog.records(JournalPartition.JOURNAL).add(JournalCodec.encode(record));
+        mLog.records(JournalPartitions.PRIMARY).add(JournalCodec.encode(record));
     }
 
     void addOtherOwner() {
         mLog.records(OWNERS).add(new OwnerRecord("other", OTHER_ADDRESS, "life").encode());
-        write(new OwnerAlive(1, OTHER_ADDRESS, 0));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, 0));
     }
 
     void pass(long ms) {
         for (long t = 0; t < ms; t += 10) {
-            mTime.pass(10);
-            mLog.answer();
+            mTime.advance(10);
+            mLog.deliverAnswers();
         }
     }
 
     /** Lets time pass while the owner keeps writing heartbeats. */
     void passWithHeartbeats(long ms) {
         for (long t = 0; t < ms; t += 400) {
-            write(new OwnerAlive(1, OTHER_ADDRESS, 0));
+            write(new OwnerHeartbeat(1, OTHER_ADDRESS, 0));
             pass(400);
         }
     }
