--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
@@ -8,11 +8,11 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.node.FakeLog;
-import org.foxtailplank.node.FakeLog.Fate;
-import org.foxtailplank.node.FakeNode;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.node.FakeSharedLog;
+import org.foxtailplank.node.FakeSharedLog.ScriptedOutcome;
+import org.foxtailplank.node.FakeTime;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.port.LogPartition;
 import org.testng.annotations.BeforeMethod;
@@ -20,22 +20,22 @@
 
 /** Tests the journal writers of successive owners. */
 public class OwnerJournalTest {
-    private static final LogPartition SPARE = JournalPartition.all(3).get(1);
-    private static final LogPartition THIRD = JournalPartition.all(3).get(2);
+    private static final LogPartition SPARE = JournalPartitions.all(3).get(1);
+    private static final LogPartition THIRD = JournalPartitions.all(3).get(2);
 
-    private FakeNode mTime;
-    private FakeLog mLog;
-    private OwnerParts mParts;
+    private FakeTime mTime;
+    private FakeSharedLog mLog;
+    private OwnerContext mParts;
 
     @BeforeMethod
     public void setUp() {
-        mTime = new FakeNode();
-        mLog = new FakeLog();
-        mParts = FakeOwnerParts.of(mTime, mLog);
+        mTime = new FakeTime();
+        mLog = new FakeSharedLog();
+        mParts = FakeOwnerContext.of(mTime, mLog);
     }
 
     private int storedCount() {
-        return mLog.records(JournalPartition.JOURNAL).size();
+        return mLog.records(JournalPartitions.PRIMARY).size();
     }
 
     private int spareCount() {
@@ -44,8 +44,8 @@
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += 10) {
-            mTime.pass(10);
-            mLog.answer();
+            mTime.advance(10);
+            mLog.deliverAnswers();
         }
     }
 
@@ -57,13 +57,13 @@
         OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
         OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
         first.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         second.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
 
         boolean[] wasStored = {false};
-        first.store(new OwnerAlive(1, "a", 0), () -> wasStored[0] = true);
-        mLog.answer();
+        first.store(new OwnerHeartbeat(1, "a", 0), () -> wasStored[0] = true);
+        mLog.deliverAnswers();
 
         assertFalse(wasStored[0]);
         assertEquals(fenced.get(), 1);
@@ -74,13 +74,14 @@
     public void recordWhoseAnswerIsLostIsStoredOnce() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
-        mLog.next(Fate.ANSWER_LOST, Fate.REFUSED, Fate.STORED);
+        mLog.deliverAnswers();
+        mLog.scriptAppends(
+                ScriptedOutcome.ANSWER_LOST, ScriptedOutcome.REFUSED, ScriptedOutcome.STORED);
         boolean[] wasStored = {false};
-        journal.store(new OwnerAlive(1, "a", 0), () -> wasStored[0] = true);
+        journal.store(new OwnerHeartbeat(1, "a", 0), () -> wasStored[0] = true);
         for (int i = 0; i < 4; i++) {
-            mLog.answer();
-            mTime.pass(100);
+            mLog.deliverAnswers();
+            mTime.advance(100);
         }
 
         assertTrue(wasStored[0]);
@@ -93,13 +94,13 @@
         // unknown if the record was sent, not stored otherwise.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         journal.storeHandedOver(new byte[] {2}, outcomes::add);
         journal.close();
         journal.storeHandedOver(new byte[] {3}, outcomes::add);
-        mLog.answer();
+        mLog.deliverAnswers();
 
         assertEquals(
                 outcomes,
@@ -113,17 +114,18 @@
         // records keep waiting.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
         boolean[] ownStored = {false};
-        mLog.next(Fate.REFUSED, Fate.REFUSED, Fate.REFUSED);
+        mLog.scriptAppends(
+                ScriptedOutcome.REFUSED, ScriptedOutcome.REFUSED, ScriptedOutcome.REFUSED);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
-        journal.store(new OwnerAlive(1, "a", 0), () -> ownStored[0] = true);
+        journal.store(new OwnerHeartbeat(1, "a", 0), () -> ownStored[0] = true);
         journal.storeHandedOver(new byte[] {2}, outcomes::add);
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> earlyOutcomes = List.copyOf(outcomes);
-        mTime.pass(100);
-        mLog.answer();
+        mTime.advance(100);
+        mLog.deliverAnswers();
 
         assertEquals(earlyOutcomes, List.of(StoreOutcome.NOT_STORED, StoreOutcome.NOT_STORED));
         assertTrue(ownStored[0]);
@@ -136,14 +138,14 @@
         // timeout.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
-        mLog.next(Fate.SILENT);
+        mLog.deliverAnswers();
+        mLog.scriptAppends(ScriptedOutcome.SILENT);
         boolean[] wasStored = {false};
-        journal.store(new OwnerAlive(1, "a", 0), () -> wasStored[0] = true);
-        mLog.answer();
+        journal.store(new OwnerHeartbeat(1, "a", 0), () -> wasStored[0] = true);
+        mLog.deliverAnswers();
         boolean storedEarly = wasStored[0];
-        mTime.pass(150);
-        mLog.answer();
+        mTime.advance(150);
+        mLog.deliverAnswers();
 
         assertFalse(storedEarly);
         assertTrue(wasStored[0]);
@@ -156,15 +158,15 @@
         // nodes would then append concurrently and slow it down further.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.next(Fate.ANSWER_LOST);
-        journal.store(new OwnerAlive(1, "a", 0), () -> {});
+        mLog.scriptAppends(ScriptedOutcome.ANSWER_LOST);
+        journal.store(new OwnerHeartbeat(1, "a", 0), () -> {});
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> earlyOutcomes = List.copyOf(outcomes);
-        mTime.pass(100);
-        mLog.answer();
+        mTime.advance(100);
+        mLog.deliverAnswers();
 
         assertFalse(earlyOutcomes.contains(StoreOutcome.NOT_STORED), "it is not rejected");
         assertFalse(earlyOutcomes.contains(StoreOutcome.UNKNOWN), "nor is its outcome unknown");
@@ -177,13 +179,13 @@
         // refused.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.next(Fate.ANSWER_LOST, Fate.REFUSED);
+        mLog.scriptAppends(ScriptedOutcome.ANSWER_LOST, ScriptedOutcome.REFUSED);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         for (int i = 0; i < 3; i++) {
-            mLog.answer();
-            mTime.pass(100);
+            mLog.deliverAnswers();
+            mTime.advance(100);
         }
 
         assertEquals(outcomes, List.of(StoreOutcome.STORED));
@@ -195,15 +197,15 @@
         // While the journal's first partition is down, records must go to the spare one.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.down(JournalPartition.JOURNAL, true);
+        mLog.setUnavailable(JournalPartitions.PRIMARY, true);
         for (int i = 0; i < 10; i++) {
             journal.storeHandedOver(new byte[] {(byte) i}, outcomes::add);
             pass(100);
         }
         int spareWhileDown = spareCount();
-        mLog.down(JournalPartition.JOURNAL, false);
+        mLog.setUnavailable(JournalPartitions.PRIMARY, false);
         pass(500);
         journal.storeHandedOver(new byte[] {10}, outcomes::add);
         pass(100);
@@ -217,10 +219,10 @@
     public void recordsGoToTheThirdPartitionWhileTwoAreDown() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.down(JournalPartition.JOURNAL, true);
-        mLog.down(SPARE, true);
+        mLog.setUnavailable(JournalPartitions.PRIMARY, true);
+        mLog.setUnavailable(SPARE, true);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         pass(100);
 
@@ -232,9 +234,9 @@
     public void recordsGoToTheSparePartitionWhileTheFirstDoesNotAnswer() {
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.next(Fate.SILENT, Fate.SILENT);
+        mLog.scriptAppends(ScriptedOutcome.SILENT, ScriptedOutcome.SILENT);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         pass(500);
 
@@ -248,9 +250,9 @@
         // with that number would be taken for the first ones and lost.
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
-        mLog.next(Fate.ANSWER_LOST);
+        mLog.scriptAppends(ScriptedOutcome.ANSWER_LOST);
         journal.storeHandedOver(new byte[] {1}, outcomes::add);
         pass(50);
         journal.storeHandedOver(new byte[] {2}, outcomes::add);
@@ -260,7 +262,7 @@
 
         assertEquals(outcomes, Collections.nCopies(3, StoreOutcome.STORED));
         List<Byte> all = new ArrayList<>();
-        mLog.records(JournalPartition.JOURNAL).forEach(r -> all.add(r[0]));
+        mLog.records(JournalPartitions.PRIMARY).forEach(r -> all.add(r[0]));
         mLog.records(SPARE).forEach(r -> all.add(r[0]));
         assertTrue(all.containsAll(List.of((byte) 1, (byte) 2, (byte) 3)), all.toString());
     }
@@ -272,17 +274,17 @@
         AtomicInteger fenced = new AtomicInteger();
         OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
         first.raiseEpoch(() -> {});
-        mLog.answer();
+        mLog.deliverAnswers();
         boolean[] raised = {false};
-        mLog.down(SPARE, true);
+        mLog.setUnavailable(SPARE, true);
         OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
         second.raiseEpoch(() -> raised[0] = true);
         pass(1000);
         boolean raisedEarly = raised[0];
-        mLog.down(SPARE, false);
+        mLog.setUnavailable(SPARE, false);
         pass(500);
-        mLog.down(JournalPartition.JOURNAL, true);
-        first.store(new OwnerAlive(1, "a", 0), () -> {});
+        mLog.setUnavailable(JournalPartitions.PRIMARY, true);
+        first.store(new OwnerHeartbeat(1, "a", 0), () -> {});
         pass(200);
 
         assertFalse(raisedEarly);
@@ -296,11 +298,11 @@
         OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
         journal.raiseEpoch(() -> {});
         for (int i = 0; i < 5; i++) {
-            journal.store(new OwnerAlive(1, "a" + i, 0), () -> {});
+            journal.store(new OwnerHeartbeat(1, "a" + i, 0), () -> {});
         }
         assertEquals(storedCount(), 0);
         assertTrue(journal.hasPendingRecords());
-        mLog.answer();
+        mLog.deliverAnswers();
 
         assertEquals(storedCount(), 5);
         assertFalse(journal.hasPendingRecords());
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
@@ -4,17 +4,17 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.Optional;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.node.peer.OwnerMonitor.KnownOwner;
 import org.testng.annotations.Test;
 
 /** Tests how a node that has just started finds the owner. */
-public class OwnerLookupTest extends OwnershipTestBase {
+public class OwnerLookupTest extends OwnerElectionTestBase {
     private static final int LINK_BYTES = 100;
 
     private void writeLongJournal() {
-        write(new OwnerAlive(1, "a".repeat(10 * LINK_BYTES), 0));
-        mLog.linkCarries(LINK_BYTES);
+        write(new OwnerHeartbeat(1, "a".repeat(10 * LINK_BYTES), 0));
+        mLog.limitAnswerBytes(LINK_BYTES);
     }
 
     @Test
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
-import org.foxtailplank.job.JournalRecord.OwnerAlive;
-import org.foxtailplank.job.JournalRecord.OwnerLeft;
+import org.foxtailplank.job.JournalRecord.OwnerHeartbeat;
+import org.foxtailplank.job.JournalRecord.OwnerResigned;
 import org.foxtailplank.lease.CallLease;
 import org.foxtailplank.lease.RenewalWindow;
 import org.foxtailplank.node.peer.OwnerState;
@@ -12,11 +12,11 @@
 import org.testng.annotations.Test;
 
 /** Tests what a new owner assumes about VM calls and lease renewals of earlier owners. */
-public class PredecessorTest extends OwnershipTestBase {
+public class PredecessorTest extends OwnerElectionTestBase {
     @Test(dataProvider = "booleans")
     public void callsOfOwnerThatLeftAreFinishedIfItsRecordSaysSo(boolean callsOver) {
         addOtherOwner();
-        write(new OwnerLeft(1, "other", callsOver));
+        write(new OwnerResigned(1, "other", callsOver));
         startNode();
         pass(MAX_ATTEMPT_MS);
 
@@ -32,7 +32,7 @@
     public void callsOfOwnerWhoseProcessEndedAreFinished() {
         // After a power loss the next owner must not delay VM moves for the length of a lease.
         addOtherOwner();
-        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
@@ -46,7 +46,7 @@
         // An owner that was killed soon after its takeover says nothing about calls of its
         // predecessor, which may still be in flight.
         addOtherOwner();
-        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS - 1));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS - 1));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
@@ -76,11 +76,11 @@
         // A successor that assumes that a disconnected owner's renewals have ended starts tasks
         // twice.
         addOtherOwner();
-        write(new OwnerAlive(1, OTHER_ADDRESS, ownedMs));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, ownedMs));
         startNode();
         mSigns.mState = state;
         mSigns.mCallsOver = reportsCallsOver;
-        pass(OwnerState.SILENT.patienceMs() + MAX_ATTEMPT_MS);
+        pass(OwnerState.SILENT.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mRenewalsFinished, List.of(expected), description);
     }
@@ -88,8 +88,8 @@
     @Test
     public void renewalsAreFinishedIfOwnerLeftAfterLongTenure() {
         addOtherOwner();
-        write(new OwnerAlive(1, OTHER_ADDRESS, RenewalWindow.WAIT_MS));
-        write(new OwnerLeft(1, "other", false));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, RenewalWindow.WAIT_MS));
+        write(new OwnerResigned(1, "other", false));
         startNode();
         pass(MAX_ATTEMPT_MS);
 
@@ -99,11 +99,11 @@
     @Test
     public void callsOfSilentOwnerAreNotFinished() {
         addOtherOwner();
-        write(new OwnerAlive(1, OTHER_ADDRESS, CallLease.WAIT_MS));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.SILENT;
         mSigns.mCallsOver = true;
-        pass(OwnerState.SILENT.patienceMs() + MAX_ATTEMPT_MS);
+        pass(OwnerState.SILENT.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mPredecessorCallsFinished, List.of(false));
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveTimesTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveDeadlinesTest.java
@@ -3,27 +3,27 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
-import org.foxtailplank.job.JobBook;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.job.JournalRecord.WaveCompleted;
 import org.foxtailplank.job.JournalRecord.WaveDue;
-import org.foxtailplank.port.WaveOrder;
+import org.foxtailplank.port.MaintenanceWave;
 import org.foxtailplank.schedule.DueWave;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Tests the deadline of a wave for owners that saw its order at different times. */
-public class WaveTimesTest {
+public class WaveDeadlinesTest {
     private static final long NOW_MS = 5000;
     private static final long WALL_MS = 1_700_000_000_000L;
-    private static final WaveOrder WAVE = new WaveOrder(1, List.of("a"), 26_000, 1);
+    private static final MaintenanceWave WAVE = new MaintenanceWave(1, List.of("a"), 26_000, 1);
 
-    private JobBook mBook;
-    private WaveTimes mDeadlines;
+    private JobRegistry mBook;
+    private WaveDeadlines mDeadlines;
 
     @BeforeMethod
     public void setUp() {
-        mBook = new JobBook(1000);
-        mDeadlines = new WaveTimes(mBook);
+        mBook = new JobRegistry(1000);
+        mDeadlines = new WaveDeadlines(mBook);
     }
 
     private static List<DueWave> waveDueIn(long leftMs) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
@@ -78,7 +78,7 @@
 
     private static final class NoHandover implements Handover {
         @Override
-        public boolean isOpen() {
+        public boolean isAvailable() {
             return false;
         }
 
@@ -106,8 +106,8 @@
     }
 
     private void becomeOwner() {
-        OwnedJournal journal =
-                new OwnedJournal() {
+        JournalStatus journal =
+                new JournalStatus() {
                     @Override
                     public JournalPosition position() {
                         return new JournalPosition(List.of(mPosition.get()));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
@@ -15,20 +15,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.foxtailplank.job.JobBook;
 import org.foxtailplank.job.JobPhase;
+import org.foxtailplank.job.JobRegistry;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.node.FakeJobQueries;
-import org.foxtailplank.node.FakeLog;
+import org.foxtailplank.node.FakeSharedLog;
 import org.foxtailplank.node.LinkRate;
 import org.foxtailplank.node.Timers;
 import org.foxtailplank.node.journal.Handover;
-import org.foxtailplank.node.journal.JournalPartition;
+import org.foxtailplank.node.journal.JournalPartitions;
 import org.foxtailplank.node.journal.JournalPosition;
 import org.foxtailplank.node.journal.JournalReader;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.log.NodeLog;
-import org.foxtailplank.node.peer.OwnerSigns.KnownOwner;
+import org.foxtailplank.node.peer.OwnerMonitor.KnownOwner;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -41,7 +41,7 @@
     private final Handover mStore =
             new Handover() {
                 @Override
-                public boolean isOpen() {
+                public boolean isAvailable() {
                     return true;
                 }
 
@@ -85,12 +85,12 @@
         NodeLog out = NodeLog.silent(mClock);
         JournalReader reader =
                 new JournalReader(
-                        new FakeLog(),
-                        JournalPartition.all(3),
+                        new FakeSharedLog(),
+                        JournalPartitions.all(3),
                         mClock,
                         mTimers,
                         out,
-                        new JobBook(120_000),
+                        new JobRegistry(120_000),
                         (record, job) -> {});
         mLink = new OwnerLink(mLoop, mClock, mTimers, out, reader);
         mJobQueries.mPhases.put("known", JobPhase.RUNNING);
@@ -104,7 +104,7 @@
     public void tearDown() throws Exception {
         onLoop(
                 () -> {
-                    mLink.owner(Optional.empty());
+                    mLink.setOwner(Optional.empty());
                     return null;
                 });
         mGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
@@ -125,7 +125,7 @@
     private void follow() throws Exception {
         onLoop(
                 () -> {
-                    mLink.owner(Optional.of(new KnownOwner(TOKEN, mAddress)));
+                    mLink.setOwner(Optional.of(new KnownOwner(TOKEN, mAddress)));
                     return null;
                 });
     }
@@ -139,7 +139,7 @@
         onLoop(
                 () -> {
                     long now = mClock.nowMs();
-                    OwnedJournal journal = new FixedJournalStatus(JournalPosition.START, now, 0);
+                    JournalStatus journal = new FixedJournalStatus(JournalPosition.START, now, 0);
                     stream.ownershipAcquired(TOKEN, journal, () -> false);
                     return null;
                 });
@@ -203,7 +203,7 @@
     @Test(timeOut = 60_000)
     public void handoversCompleteOrFailWithTheConnection() throws Exception {
         JournalStream stream = followOwner();
-        while (!onLoop(mLink::isOpen)) {
+        while (!onLoop(mLink::isAvailable)) {
             Thread.onSpinWait();
         }
         CompletableFuture<StoreOutcome> stored = new CompletableFuture<>();
@@ -234,8 +234,8 @@
                     new InetSocketAddress(mAddress.getAddress(), silent.getLocalPort());
             onLoop(
                     () -> {
-                        mLink.owner(Optional.of(new KnownOwner(TOKEN, mAddress)));
-                        mLink.owner(Optional.of(new KnownOwner(TOKEN + 1, next)));
+                        mLink.setOwner(Optional.of(new KnownOwner(TOKEN, mAddress)));
+                        mLink.setOwner(Optional.of(new KnownOwner(TOKEN + 1, next)));
                         return null;
                     });
             silent.accept();
@@ -322,7 +322,7 @@
                 () -> {
                     mLink.phase("known", result::complete);
                     stream.ownershipLost();
-                    mLink.owner(Optional.empty());
+                    mLink.setOwner(Optional.empty());
                     return null;
                 });
 
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/FaultPlayer.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/FaultPlayer.java
@@ -132,13 +132,13 @@
             case NODE_RELOAD -> strike.nodes().get(0).reload();
             case NODE_RESET -> strike.nodes().get(0).store().reset();
             case HISTORY_DROPPED -> mSystem.platform().dropHistory();
-            case VMS_SILENT -> mSystem.platform().vmServiceSilent(true);
+            case VMS_SILENT -> mSystem.platform().setVmServiceUnresponsive(true);
             case WORKER_CRASH ->
                     mSystem.platform().crashWorker(f.target(), (long) (f.forS() * MS_PER_S));
             case WORKER_DRAIN -> mSystem.platform().drainWorker(f.target(), WORKER_DRAIN_MS);
             case WORKERS_CUT, ZONE_CUT ->
-                    mSystem.platform().cutWorkers(mSystem.zone(f.target()), true);
-            case LATE_ORDERS -> mSystem.platform().lateOrders(f.target(), LATE_ORDERS);
+                    mSystem.platform().setWorkersUnreachable(mSystem.zone(f.target()), true);
+            case LATE_ORDERS -> mSystem.platform().delayStartOrders(f.target(), LATE_ORDERS);
             case WAVE -> wave(f.target());
             default -> {}
         }
@@ -147,7 +147,7 @@
     private void wave(int first) {
         List<Integer> vms =
                 IntStream.range(first, first + WAVE_VMS).map(this::worker).boxed().toList();
-        mSystem.platform().wave(++mWaves, vms, 2, WAVE_S);
+        mSystem.platform().startWave(++mWaves, vms, 2, WAVE_S);
     }
 
     private int worker(int number) {
@@ -174,9 +174,9 @@
         switch (f.kind()) {
             case NODE_PAUSE, OWNER_PAUSE -> each(strike, RunningProcess::resume);
             case NODE_ELSEWHERE -> strike.nodes().get(0).moveElsewhere();
-            case VMS_SILENT -> mSystem.platform().vmServiceSilent(false);
+            case VMS_SILENT -> mSystem.platform().setVmServiceUnresponsive(false);
             case WORKERS_CUT, ZONE_CUT ->
-                    mSystem.platform().cutWorkers(mSystem.zone(f.target()), false);
+                    mSystem.platform().setWorkersUnreachable(mSystem.zone(f.target()), false);
             default -> {}
         }
         if (goesDown(strike)) {
@@ -215,16 +215,16 @@
                 applyLink(s, n.vms());
             }
         }
-        mSystem.platform().storeFault(store);
-        mSystem.platform().partitionAway(away);
+        mSystem.platform().setStoreFault(store);
+        mSystem.platform().setUnavailablePartition(away);
     }
 
     private static Optional<StoreFault> storeFault(FaultKind kind) {
         return switch (kind) {
-            case STORE_SILENT -> Optional.of(StoreFault.SILENT);
-            case STORE_BUSY -> Optional.of(StoreFault.BUSY);
+            case STORE_SILENT -> Optional.of(StoreFault.UNRESPONSIVE);
+            case STORE_BUSY -> Optional.of(StoreFault.UNAVAILABLE);
             case STORE_SLOW -> Optional.of(StoreFault.SLOW);
-            case STORE_ANSWERS_LOST -> Optional.of(StoreFault.ANSWERS_LOST);
+            case STORE_ANSWERS_LOST -> Optional.of(StoreFault.ANSWERS_DROPPED);
             default -> Optional.empty();
         };
     }
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakHistory.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakHistory.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongFunction;
-import org.foxtailplank.adapter.standin.StandinEvents;
+import org.foxtailplank.adapter.standin.StandinListener;
 
 /** All events of a run in their order; written to from several threads. */
-final class SoakHistory implements StandinEvents {
+final class SoakHistory implements StandinListener {
     private final List<SoakEvent> mEvents = new ArrayList<>();
     private final long mBeginNs = System.nanoTime();
 
@@ -26,7 +26,10 @@
 
     @Override
     public void started(RunStart r) {
-        add(t -> new SoakEvent.Started(t, r.task(), r.attempt(), r.worker(), r.token(), r.text()));
+        add(
+                t ->
+                        new SoakEvent.Started(
+                                t, r.task(), r.attempt(), r.workerInstance(), r.token(), r.spec()));
     }
 
     @Override
@@ -45,7 +48,7 @@
     }
 
     @Override
-    public void called(String vm, String action, long token) {
+    public void vmActionExecuted(String vm, String action, long token) {
         add(t -> new SoakEvent.VmCalled(t, vm, action, token));
     }
 }
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakNode.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakNode.java
@@ -44,8 +44,8 @@
         mZone = zone;
         mFolder = folder;
         mTokensChecked = tokensChecked;
-        mStore = FaultProxy.before(platform.store());
-        mVms = FaultProxy.before(platform.vms());
+        mStore = FaultProxy.before(platform.storeAddress());
+        mVms = FaultProxy.before(platform.vmServiceAddress());
         mPorts = freePorts();
     }
 
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakSystem.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakSystem.java
@@ -43,7 +43,7 @@
         }
         mPlatform =
                 new UsersStandin(
-                        new UsersStandin.Size(
+                        new UsersStandin.Topology(
                                 zones, POOLS, size.workers(), PROCESSORS, LEASE_MS, tokensChecked),
                         history);
         mPlatform.configure(HOST, POOLS);
