--- a/foxtail-core/src/test/java/org/foxtailplank/lease/RenewalWindowTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/lease/RenewalWindowTest.java
@@ -47,7 +47,7 @@
     public void successorsWaitCoversClockDrift() {
         // The clocks of the former owner and the worker are 2% slow, and the successor's is 2%
         // fast. The successor must not consider a lease expired while the worker still holds it.
-        double waited = (RenewalWindow.WAIT_MS + LIMITS.surelyLapsedMs()) / (1 + DRIFT);
+        double waited = (RenewalWindow.WAIT_MS + LIMITS.leaseExpiryMs()) / (1 + DRIFT);
         for (long ms = 0; ms < 20_000; ms += 50) {
             double endsAt = (ms + leaseMs(at(10_000 + ms))) / (1 - DRIFT);
             boolean given = leaseMs(at(10_000 + ms)) > 0;
