--- a/foxtail-cli/src/main/java/org/foxtailplank/cli/internal/admin/AdminClient.java
+++ b/foxtail-cli/src/main/java/org/foxtailplank/cli/internal/admin/AdminClient.java
@@ -87,7 +87,7 @@
                 return reply(JsonHttpClient.await(method.apply(mClient, node.resolve(path))));
             } catch (HttpCallException e) {
                 // Another node is asked only where this one certainly did nothing.
-                if (e.kind().mayHaveHappened()) {
+                if (e.kind().mayHaveTakenEffect()) {
                     return new Reply.Unknown(e.getMessage());
                 }
                 last = e;
--- a/foxtail-cli/src/test/java/org/foxtailplank/cli/FakeFleet.java
+++ b/foxtail-cli/src/test/java/org/foxtailplank/cli/FakeFleet.java
@@ -22,8 +22,8 @@
 import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.Configuration;
-import org.foxtailplank.state.FleetShape;
 import org.foxtailplank.state.FleetState;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.Publication;
@@ -90,11 +90,11 @@
 
     synchronized Verdict publish(Draft p) {
         Map<ZoneId, String> overlays = byZone(p.overlays());
-        FleetShape shape = ConfigurationCheck.of(p.base(), overlays).shape().orElseThrow();
+        FleetTopology shape = ConfigurationCheck.of(p.base(), overlays).shape().orElseThrow();
         Author author = new Author(p.who(), p.why());
         return append(
                 p.version(),
-                new Publication(p.base(), overlays, shape, author).on(mState, p.version()));
+                new Publication(p.base(), overlays, shape, author).toChange(mState, p.version()));
     }
 
     private Verdict append(long from, Change change) {
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.foxtailplank.controller.internal.SettingsChecker;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 
 /** Validates a complete configuration before it is published. */
 @FunctionalInterface
@@ -24,9 +24,9 @@
      * @param shape fleet layout that the state fold needs; empty if there are errors
      * @param errors all errors, one line each
      */
-    record Result(Optional<FleetShape> shape, List<String> errors) {
+    record Result(Optional<FleetTopology> shape, List<String> errors) {
         /** Returns the result of a check without errors. */
-        public static Result valid(FleetShape shape) {
+        public static Result valid(FleetTopology shape) {
             return new Result(Optional.of(shape), List.of());
         }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/Controller.java
@@ -39,7 +39,7 @@
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.internal.control.EpochPolicy;
 import org.foxtailplank.internal.control.VmProcedure;
-import org.foxtailplank.internal.control.VmWaits;
+import org.foxtailplank.internal.control.VmTimeouts;
 import org.foxtailplank.process.Log;
 import org.foxtailplank.process.PekkoRuntime;
 import org.foxtailplank.settings.PeerSettings;
@@ -52,7 +52,7 @@
     private static final Duration HEALTH_TIMEOUT = Duration.ofSeconds(1);
 
     private final ActorSystem<?> mSystem;
-    private final ControllerParts mContext;
+    private final ControllerContext mContext;
     private final RecordWriter mWriter;
     private final InstantSource mClock = InstantSource.system();
     private final FleetMonitor mMonitor = new FleetMonitor(mClock);
@@ -62,7 +62,7 @@
     private final Set<ZoneId> mZones = new HashSet<>();
     private volatile Settings mSettings;
 
-    private Controller(ActorSystem<?> system, ControllerParts context) {
+    private Controller(ActorSystem<?> system, ControllerContext context) {
         mSystem = system;
         mContext = context;
         // Record ids must stay unique across restarts of this node.
@@ -86,7 +86,7 @@
     }
 
     /** Starts the shard loops and the API behind {@link #route()}. */
-    public static Controller start(PekkoRuntime runtime, ControllerParts context) {
+    public static Controller start(PekkoRuntime runtime, ControllerContext context) {
         Controller controller = new Controller(runtime.system(), context);
         controller.configure(context.settings());
         controller.startPlacement();
@@ -152,7 +152,7 @@
                 new SettingsDerivedValue<>(this::settings, s -> BufferPlanner.byDemand(s.fleet()));
         SettingsDerivedValue<VmProcedure> procedure =
                 new SettingsDerivedValue<>(
-                        this::settings, s -> new VmProcedure(VmWaits.of(s.fleet())));
+                        this::settings, s -> new VmProcedure(VmTimeouts.of(s.fleet())));
         return new ShardContext(
                 mContext.log(),
                 mWriter,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerParts.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerContext.java
@@ -28,7 +28,7 @@
  * @param metrics registry for the controller's counters
  * @param burn error-budget burn of all nodes, if this process follows it
  */
-public record ControllerParts(
+public record ControllerContext(
         NodeId self,
         Settings settings,
         FleetLog log,
@@ -39,9 +39,9 @@
         MetricRegistry metrics,
         Optional<BurnLog> burn) {
     /** Returns the context of a controller without peers, so that only the log decides who acts. */
-    public static ControllerParts of(
+    public static ControllerContext of(
             NodeId self, Settings settings, FleetLog log, HttpPlatform platform) {
-        return new ControllerParts(
+        return new ControllerContext(
                 self,
                 settings,
                 log,
@@ -54,22 +54,22 @@
     }
 
     /** Returns a copy that tracks the liveness of other nodes over a peer link. */
-    public ControllerParts withPeers(PeerLink link) {
+    public ControllerContext withPeers(PeerLink link) {
         PeerView liveness =
                 new PeerLiveness(link, settings.peers().silence(), InstantSource.system());
-        return new ControllerParts(
+        return new ControllerContext(
                 self, settings, log, directory, actions, workers, liveness, metrics, burn);
     }
 
     /** Returns a copy that registers counters in the given registry. */
-    public ControllerParts withMetrics(MetricRegistry registry) {
-        return new ControllerParts(
+    public ControllerContext withMetrics(MetricRegistry registry) {
+        return new ControllerContext(
                 self, settings, log, directory, actions, workers, peers, registry, burn);
     }
 
     /** Returns a copy that serves error-budget burn. */
-    public ControllerParts withBurn(BurnLog burnLog) {
-        return new ControllerParts(
+    public ControllerContext withBurn(BurnLog burnLog) {
+        return new ControllerContext(
                 self,
                 settings,
                 log,
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerProgram.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ControllerProgram.java
@@ -54,11 +54,11 @@
                     FleetFollower log =
                             FleetFollower.start(
                                     writes, FollowOptions.of(node, settings.platform()))) {
-                StateExchange.start(link, SharedFleetState.of(log), StateExchangeLimits.usual());
-                StateExchange.start(link, SharedFleetState.of(log), StateExchangeLimits.usual());
+                StateExchange.start(link, SharedFleetState.of(log), StateExchangeLimits.defaults());
+                StateExchange.start(link, SharedFleetState.of(log), StateExchangeLimits.defaults());
                 run(
                         runtime,
-                        ControllerParts.of(node, settings, log, platform).withPeers(link),
+                        ControllerContext.of(node, settings, log, platform).withPeers(link),
                         new ConfigurationFollower(settings, node, log, link),
                         stop);
             }
@@ -68,7 +68,7 @@
 
     private static void run(
             PekkoRuntime runtime,
-            ControllerParts context,
+            ControllerContext context,
             ConfigurationFollower configuration,
             StopSignal stop)
             throws ProcessException, InterruptedException {
@@ -90,7 +90,7 @@
     }
 
     private static PeerLink link(Settings settings, NodeId node) throws ProcessException {
-        Incarnation incarnation = Incarnation.draw(new SecureRandom());
+        Incarnation incarnation = Incarnation.random(new SecureRandom());
         try {
             PeerLink link =
                     PeerLink.start(
@@ -100,7 +100,7 @@
                                     settings.peers(),
                                     incarnation,
                                     Set.of(NodeRole.CONTROL)));
-            link.learn(SeedSource.SETTINGS, Seed.from(settings));
+            link.setSeeds(SeedSource.SETTINGS, Seed.from(settings));
             return link;
         } catch (PeerLinkException e) {
             throw ProcessException.failed(e.getMessage(), e);
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetMonitor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/FleetMonitor.java
@@ -73,7 +73,7 @@
                 notServing.add(vm.id());
             }
             boolean settled = vm.pending().isEmpty() && vm.joining().isEmpty();
-            health.filter(h -> settled && h.observedIn(vm.phase()).isPresent())
+            health.filter(h -> settled && h.observedPhase(vm.phase()).isPresent())
                     .ifPresent(h -> discrepancies.put(vm.id(), h));
         }
         return Optional.of(
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/ShardLoop.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.controller.internal.plan.PlatformObservation;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.internal.control.VmStep;
+import org.foxtailplank.internal.control.VmProcedureStep;
 import org.foxtailplank.process.Log;
 import org.foxtailplank.state.ActingEpoch;
 import org.foxtailplank.state.FleetView;
@@ -125,7 +125,7 @@
                 mContext.executor().executeNext(pending, epoch), step -> stepCompleted(vm, step));
     }
 
-    private void stepCompleted(VmId vm, Optional<VmStep> step) {
+    private void stepCompleted(VmId vm, Optional<VmProcedureStep> step) {
         mStepsInProgress.remove(vm);
         Duration pause = step.isPresent() ? RECONCILE_INTERVAL : RETRY_AFTER;
         mNextStep.put(vm, mContext.clock().instant().plus(pause));
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.internal.control.BackendReport;
-import org.foxtailplank.internal.control.VmAtPlatform;
+import org.foxtailplank.internal.control.PlatformVmStatus;
 import org.foxtailplank.internal.control.VmObservation;
 import org.foxtailplank.platform.ActionReport;
 import org.foxtailplank.platform.VmReport;
@@ -53,24 +53,24 @@
         return Duration.between(times.computeIfAbsent(vm, v -> now), now);
     }
 
-    private static VmAtPlatform toVmAtPlatform(VmReport report) {
-        VmAtPlatform.Power power =
+    private static PlatformVmStatus toVmAtPlatform(VmReport report) {
+        PlatformVmStatus.Power power =
                 switch (report.power()) {
-                    case OFF, FAILED -> VmAtPlatform.Power.DOWN;
-                    case WAKING, REBOOTING -> VmAtPlatform.Power.CHANGING;
-                    case ON, DRAINING -> VmAtPlatform.Power.UP;
+                    case OFF, FAILED -> PlatformVmStatus.Power.DOWN;
+                    case WAKING, REBOOTING -> PlatformVmStatus.Power.CHANGING;
+                    case ON, DRAINING -> PlatformVmStatus.Power.UP;
                 };
-        Optional<VmAtPlatform.ReportedAction> action =
+        Optional<PlatformVmStatus.ReportedAction> action =
                 report.lastAction()
-                        .map(a -> new VmAtPlatform.ReportedAction(a.id(), toProgress(a)));
-        return new VmAtPlatform(power, report.leaving(), report.generation(), action);
+                        .map(a -> new PlatformVmStatus.ReportedAction(a.id(), toProgress(a)));
+        return new PlatformVmStatus(power, report.leaving(), report.generation(), action);
     }
 
-    private static VmAtPlatform.Progress toProgress(ActionReport action) {
+    private static PlatformVmStatus.Progress toProgress(ActionReport action) {
         return switch (action.progress()) {
-            case RUNNING -> VmAtPlatform.Progress.RUNNING;
-            case DONE -> VmAtPlatform.Progress.DONE;
-            case FAILED -> VmAtPlatform.Progress.FAILED;
+            case RUNNING -> PlatformVmStatus.Progress.RUNNING;
+            case DONE -> PlatformVmStatus.Progress.DONE;
+            case FAILED -> PlatformVmStatus.Progress.FAILED;
         };
     }
 }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
@@ -12,7 +12,7 @@
 import org.foxtailplank.internal.control.BackendReport;
 import org.foxtailplank.internal.control.PlatformCall;
 import org.foxtailplank.internal.control.VmProcedure;
-import org.foxtailplank.internal.control.VmStep;
+import org.foxtailplank.internal.control.VmProcedureStep;
 import org.foxtailplank.platform.ActionReply;
 import org.foxtailplank.platform.ActionRequest;
 import org.foxtailplank.platform.InstanceReport;
@@ -61,7 +61,7 @@
     }
 
     /** Executes the next step of a VM; completes with that step. */
-    CompletionStage<VmStep> executeNext(PendingVm pending, ActingEpoch epoch) {
+    CompletionStage<VmProcedureStep> executeNext(PendingVm pending, ActingEpoch epoch) {
         return mDirectory
                 .find(pending.vm().id())
                 .thenCompose(
@@ -74,11 +74,11 @@
         mObserver.retainOnly(vms);
     }
 
-    private static CompletionStage<VmStep> unknownVm() {
-        return completedFuture(new VmStep.Wait("the platform to know the VM"));
+    private static CompletionStage<VmProcedureStep> unknownVm() {
+        return completedFuture(new VmProcedureStep.Wait("the platform to know the VM"));
     }
 
-    private CompletionStage<VmStep> inspectAndExecute(
+    private CompletionStage<VmProcedureStep> inspectAndExecute(
             PendingVm pending, VmReport report, ActingEpoch epoch) {
         CompletionStage<Optional<BackendReport>> health =
                 report.instance()
@@ -87,7 +87,7 @@
                         .orElseGet(() -> completedFuture(Optional.empty()));
         return health.thenCompose(
                 backendReport -> {
-                    VmStep step =
+                    VmProcedureStep step =
                             mProcedure
                                     .get()
                                     .next(
@@ -101,20 +101,20 @@
                 });
     }
 
-    private CompletionStage<?> execute(VmStep step, PendingVm pending, ActingEpoch epoch) {
+    private CompletionStage<?> execute(VmProcedureStep step, PendingVm pending, ActingEpoch epoch) {
         VmId vm = pending.vm().id();
-        if (step instanceof VmStep.AskDrain ask) {
+        if (step instanceof VmProcedureStep.RequestDrain ask) {
             return requestAction(pending, ask.call(), PlatformAction.DRAIN, "it is to stop");
         }
-        if (step instanceof VmStep.AskAction ask) {
+        if (step instanceof VmProcedureStep.RequestAction ask) {
             return requestAction(pending, ask.call(), toPlatform(ask.action()), ask.note());
         }
-        if (step instanceof VmStep.Confirm confirm) {
+        if (step instanceof VmProcedureStep.Confirm confirm) {
             long generation = pending.vm().generation();
             Change change = new VmActionConfirmed(vm, generation, confirm.outcome());
             return writeRecord(pending, change, epoch, confirm.outcome() + ", " + confirm.note());
         }
-        if (step instanceof VmStep.Join join) {
+        if (step instanceof VmProcedureStep.Join join) {
             Change change = new VmJoined(vm, join.to());
             return writeRecord(pending, change, epoch, "joins " + join.to() + ", " + join.note());
         }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
@@ -57,7 +57,7 @@
 
     /** Appends the smallest change that results in the published configuration. */
     private CompletionStage<ApiResponse> appendChange(Publication publication, long version) {
-        return mLog.read(view -> publication.on(view, version))
+        return mLog.read(view -> publication.toChange(view, version))
                 .thenCompose(change -> mSubmitter.submit(change, KEY, version));
     }
 
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/place/PlacementPlanner.java
@@ -80,7 +80,7 @@
 
     /** Notes that a worker has renewed a lease. */
     void leaseRenewed(TaskId task, long nowMs) {
-        mPlacer.renewed(task, nowMs);
+        mPlacer.renewLease(task, nowMs);
     }
 
     /** Updates the placer with the state without deciding. */
@@ -92,14 +92,14 @@
                 .forEach((id, t) -> quotas.put(id, view.teamQuota(id).orElse(t.quota())));
         if (!quotas.equals(mQuotas)) {
             mQuotas.putAll(quotas);
-            mPlacer.quotas(quotas);
+            mPlacer.setQuotas(quotas);
         }
         view.vms().forEach(vm -> synchronize(vm, nowMs));
         mWorkers.keySet().removeIf(id -> removeIfGone(view, id, nowMs));
         for (JobState job : view.jobs()) {
             Long known = mJobVersions.put(job.id(), job.version());
             if (known == null || known != job.version()) {
-                mPlacer.job(job, nowMs);
+                mPlacer.updateJob(job, nowMs);
             }
         }
         mJobVersions.keySet().removeIf(id -> view.job(id).isEmpty());
@@ -124,14 +124,14 @@
                 Resources.of(size.processors(), size.memoryBytes(), size.accelerators());
         Worker worker = new Worker(vm.id(), vm.pool(), vm.rack(), capacity, open);
         if (!worker.equals(mWorkers.put(vm.id(), worker))) {
-            mPlacer.worker(worker, nowMs);
+            mPlacer.updateWorker(worker, nowMs);
         }
     }
 
     private boolean removeIfGone(FleetView view, VmId id, long nowMs) {
         boolean gone = view.vm(id).isEmpty();
         if (gone) {
-            mPlacer.workerGone(id, nowMs);
+            mPlacer.removeWorker(id, nowMs);
         }
         return gone;
     }
@@ -145,7 +145,7 @@
                                 taskId(task), task.attempt(), usedResources(task)));
             }
         }
-        mPlacer.report(
+        mPlacer.applyReport(
                 new org.foxtailplank.fleet.WorkerReport(
                         worker.id(), list.asOf().toEpochMilli(), running),
                 nowMs);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ConfigurationApiTest.java
@@ -50,7 +50,7 @@
         NodeId node = settings.nodes().keySet().iterator().next();
         mLog = FleetFollower.start(platform.log(), FollowOptions.of(node, settings.platform()));
         mController =
-                Controller.start(mRuntime, ControllerParts.of(node, settings, mLog, platform));
+                Controller.start(mRuntime, ControllerContext.of(node, settings, mLog, platform));
         mOperator =
                 TestAdminClient.serving(mRuntime, mController.route())
                         .withToken(settings.teams().get(operators(settings)).token());
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
@@ -75,7 +75,7 @@
         mLog = FleetFollower.start(platform.log(), options);
         publish(settings);
         mController =
-                Controller.start(mRuntime, ControllerParts.of(node, settings, mLog, platform));
+                Controller.start(mRuntime, ControllerContext.of(node, settings, mLog, platform));
         mAnonymous = TestAdminClient.serving(mRuntime, mController.route());
         mOperator = mAnonymous.withToken("survey-token");
         awaitState(TARGETS_MET);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeFleetLog.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/FakeFleetLog.java
@@ -53,7 +53,7 @@
                 return CompletableFuture.failedFuture(
                         new PlatformException("the platform is unavailable", Effect.NONE));
             }
-            mRecords.add(record.basedOn(mState.basis()));
+            mRecords.add(record.withBasis(mState.basis()));
             int at = mRecords.size() - 1;
             mInterruption.afterCall();
             if (mResponsesToLose > 0) {
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/MoveAndWakeExecutionTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /** Moves and wake-ups take effect once although controllers die or are paused at any step. */
-public class MoveAndWakeActingTest {
+public class MoveAndWakeExecutionTest {
     private static final VmId VM = VmId.of("claims-0");
     private static final PoolId QUOTES = PoolId.of("quotes");
 
@@ -44,22 +44,22 @@
             new Scenario(
                     "move",
                     fleet -> {},
-                    MoveAndWakeActingTest::release,
+                    MoveAndWakeExecutionTest::release,
                     view -> serves(view, QUOTES),
                     List.of("DRAIN claims-0", "REASSIGN claims-0"));
 
     private static final Scenario MOVE_OF_A_VM_THAT_IS_OFF =
             new Scenario(
                     "move of a VM that is off",
-                    MoveAndWakeActingTest::powerOff,
-                    MoveAndWakeActingTest::release,
+                    MoveAndWakeExecutionTest::powerOff,
+                    MoveAndWakeExecutionTest::release,
                     view -> serves(view, QUOTES),
                     List.of("REASSIGN claims-0", "WAKE claims-0"));
 
     private static final Scenario WAKE =
             new Scenario(
                     "wake",
-                    MoveAndWakeActingTest::powerOff,
+                    MoveAndWakeExecutionTest::powerOff,
                     fleet -> target(fleet, 6),
                     view -> serves(view, PoolId.of("claims")),
                     List.of("WAKE claims-0"));
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/OutageExecutionTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.Test;
 
 /** Waves during platform outages, VM failures and operator commands. */
-public class OutageActingTest {
+public class OutageExecutionTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
             view -> view.vms().stream().allMatch(vm -> vm.phase() == VmPhase.SERVING);
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/PlacementExecutionTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.Test;
 
 /** Tasks run to completion, and no task runs twice at the same time. */
-public class PlacementActingTest {
+public class PlacementExecutionTest {
     private static final JobId JOB = JobId.of("assess");
     private static final int TASKS = 6;
     private static final long MEMORY = 1L << 30;
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
@@ -16,7 +16,7 @@
 import org.foxtailplank.id.NodeId;
 import org.foxtailplank.internal.control.EpochPolicy;
 import org.foxtailplank.internal.control.VmProcedure;
-import org.foxtailplank.internal.control.VmWaits;
+import org.foxtailplank.internal.control.VmTimeouts;
 
 /** A controller process over the fakes: the loops of a zone and of placement, run step by step. */
 final class TestController implements Mailbox {
@@ -43,7 +43,7 @@
         NodeId self = NodeId.of(name);
         RecordWriter writer = new RecordWriter(self, incarnation, mLog);
         Set<NodeId> silent = fleet.silentNodes();
-        VmProcedure procedure = new VmProcedure(VmWaits.of(TestFleet.SETTINGS));
+        VmProcedure procedure = new VmProcedure(VmTimeouts.of(TestFleet.SETTINGS));
         BufferPlanner buffer = BufferPlanner.byDemand(TestFleet.SETTINGS);
         VmStepExecutor runner =
                 new VmStepExecutor(
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
@@ -28,13 +28,13 @@
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.Verdict;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.state.WaveStarted;
 
 /** A zone with two services on three racks, with fakes of its log, platform and workers. */
@@ -70,13 +70,14 @@
     private int mRecords;
 
     TestFleet() {
-        Map<VmId, VmPlace> places = new HashMap<>();
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+        Map<VmId, VmLocation> places = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> budgets = new HashMap<>();
         for (String service : SERVICES) {
             int all = RACKS * VMS_PER_RACK;
             pools.put(
-                    PoolId.of(service), new PoolShape(Optional.of(ServiceId.of(service)), all, 0));
+                    PoolId.of(service),
+                    new PoolDefinition(Optional.of(ServiceId.of(service)), all, 0));
             budgets.put(ServiceId.of(service), MIN_AVAILABLE);
             for (int i = 0; i < all; i++) {
                 String vm = service + "-" + i;
@@ -84,11 +85,11 @@
                 mPlatform.add(vm, ZONE.value(), rack, service);
                 mSizes.put(
                         VmId.of(vm), new VmSettings(RackId.of(rack), ZONE, PROCESSORS, MEMORY, 0));
-                places.put(VmId.of(vm), new VmPlace(ZONE, RackId.of(rack), PoolId.of(service)));
+                places.put(VmId.of(vm), new VmLocation(ZONE, RackId.of(rack), PoolId.of(service)));
             }
         }
         mWorkers = new FakeTaskWorkers(mClock, List.copyOf(mSizes.keySet()));
-        FleetShape shape = new FleetShape(places, pools, budgets);
+        FleetTopology shape = new FleetTopology(places, pools, budgets);
         Change change = new ConfigurationPublished("{}", Map.of(), shape, OPERATOR);
         submit(change, ObjectKey.configuration(), 0);
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveActingTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/WaveExecutionTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Waves reboot each VM once and within budgets although controllers die or are paused. */
-public class WaveActingTest {
+public class WaveExecutionTest {
     private static final WaveId WAVE = WaveId.of("w");
     private static final Predicate<FleetView> ALL_SERVE =
             view -> view.vms().stream().allMatch(vm -> vm.phase() == VmPhase.SERVING);
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementSettings.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/PlacementSettings.java
@@ -10,14 +10,14 @@
  * @param checkpointTimeout time that a batch task gets to checkpoint before it is stopped for
  *     urgent work
  * @param firstQuarantine first quarantine of a failing worker; doubles with each further one
- * @param mostActions maximum number of actions in one decision
+ * @param maxActions maximum number of actions in one decision
  */
 public record PlacementSettings(
         Duration lease,
         Duration answerTimeout,
         Duration checkpointTimeout,
         Duration firstQuarantine,
-        int mostActions) {
+        int maxActions) {
 
     /** Returns the default settings, which keep urgent starts within 4.4 s. */
     public static PlacementSettings standard() {
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/Placer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/Placer.java
@@ -23,25 +23,25 @@
     }
 
     /** Sets the share of each team under contention. */
-    void quotas(Map<TeamId, Double> quotas);
+    void setQuotas(Map<TeamId, Double> quotas);
 
     /** Adds or updates a worker. */
-    void worker(Worker worker, long nowMs);
+    void updateWorker(Worker worker, long nowMs);
 
     /** Removes a worker; its tasks remain until their leases expire. */
-    void workerGone(VmId worker, long nowMs);
+    void removeWorker(VmId worker, long nowMs);
 
     /** Adds or updates a job: a new one, a cancelled one, or one restored from a snapshot. */
-    void job(JobState job, long nowMs);
+    void updateJob(JobState job, long nowMs);
 
     /** Updates one task after a change in the log. */
-    void task(TaskId task, TaskState state, long nowMs);
+    void updateTask(TaskId task, TaskState state, long nowMs);
 
     /** Applies a worker's report. */
-    void report(WorkerReport report, long nowMs);
+    void applyReport(WorkerReport report, long nowMs);
 
     /** Records that a worker renewed the lease of a task. */
-    void renewed(TaskId task, long nowMs);
+    void renewLease(TaskId task, long nowMs);
 
     /** Returns the actions to take now. */
     PlacementDecision decide(long nowMs);
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
@@ -52,7 +52,7 @@
      *
      * @param serviceTime expected time from dispatch to response, in nanoseconds
      */
-    public Admission check(Ticket<T> request, long serviceTime, long now) {
+    public Admission check(QueuedRequest<T> request, long serviceTime, long now) {
         if (mBytes + request.bytes() > mMaxBytes) {
             return new Admission(Admission.Reason.FULL, (long) (mMeanInterval * size()));
         }
@@ -67,15 +67,15 @@
     }
 
     /** Adds a request. */
-    public void add(Ticket<T> request) {
+    public void add(QueuedRequest<T> request) {
         mBytes += request.bytes();
         mClasses.get(request.requestClass()).add(request);
     }
 
     /** Removes and returns the next request. */
-    public Optional<Ticket<T>> take(long now) {
+    public Optional<QueuedRequest<T>> take(long now) {
         for (ClassQueue<T> c : mClasses.values()) {
-            Ticket<T> next = c.take();
+            QueuedRequest<T> next = c.take();
             if (next != null) {
                 mBytes -= next.bytes();
                 recordInterval(now);
@@ -94,8 +94,8 @@
     }
 
     /** Removes and returns requests that can no longer meet their deadline. */
-    public List<Ticket<T>> removeExpired(long serviceTime, long now) {
-        List<Ticket<T>> expired = new ArrayList<>();
+    public List<QueuedRequest<T>> removeExpired(long serviceTime, long now) {
+        List<QueuedRequest<T>> expired = new ArrayList<>();
         for (ClassQueue<T> c : mClasses.values()) {
             int before = expired.size();
             c.teams().forEach(t -> collectExpired(t, now + serviceTime, expired));
@@ -105,10 +105,11 @@
         return expired;
     }
 
-    private void collectExpired(TeamQueue<T> team, long completion, List<Ticket<T>> expired) {
-        Iterator<Ticket<T>> it = team.requests().iterator();
+    private void collectExpired(
+            TeamQueue<T> team, long completion, List<QueuedRequest<T>> expired) {
+        Iterator<QueuedRequest<T>> it = team.requests().iterator();
         while (it.hasNext()) {
-            Ticket<T> t = it.next();
+            QueuedRequest<T> t = it.next();
             if (t.deadline() - completion < 0) {
                 it.remove();
                 expired.add(t);
@@ -116,7 +117,7 @@
         }
     }
 
-    private double requestsAhead(Ticket<T> request) {
+    private double requestsAhead(QueuedRequest<T> request) {
         double ahead = 0;
         for (RequestClass c : RequestClass.values()) {
             if (c == request.requestClass()) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/ClassQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/ClassQueue.java
@@ -25,7 +25,7 @@
         return mTeams.values();
     }
 
-    void add(Ticket<T> request) {
+    void add(QueuedRequest<T> request) {
         TeamQueue<T> team =
                 mTeams.computeIfAbsent(
                         request.team(), t -> new TeamQueue<>(mQuotas.applyAsDouble(t)));
@@ -37,7 +37,7 @@
     }
 
     /** Removes and returns the next request, or null if there is none. */
-    Ticket<T> take() {
+    QueuedRequest<T> take() {
         TeamQueue<T> next = null;
         for (TeamQueue<T> t : mTeams.values()) {
             if (!t.requests().isEmpty() && (next == null || t.virtualTime() < next.virtualTime())) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/Ticket.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/QueuedRequest.java
@@ -12,5 +12,5 @@
  * @param deadline time by which the response is needed, in nanoseconds
  * @param bytes memory that the request occupies in the queue
  */
-public record Ticket<T>(
+public record QueuedRequest<T>(
         T request, RequestClass requestClass, String team, long deadline, long bytes) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/TeamQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/TeamQueue.java
@@ -5,7 +5,7 @@
 /** FIFO queue of the requests of one team in one class. */
 final class TeamQueue<T> {
 
-    private final ArrayDeque<Ticket<T>> mRequests = new ArrayDeque<>();
+    private final ArrayDeque<QueuedRequest<T>> mRequests = new ArrayDeque<>();
     private final double mQuota;
     private double mVirtualTime;
 
@@ -13,7 +13,7 @@
         mQuota = quota;
     }
 
-    ArrayDeque<Ticket<T>> requests() {
+    ArrayDeque<QueuedRequest<T>> requests() {
         return mRequests;
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
@@ -16,8 +16,8 @@
 import org.foxtailplank.fleet.VmMove;
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.id.VmId;
-import org.foxtailplank.internal.wave.Budget;
-import org.foxtailplank.internal.wave.Budgets;
+import org.foxtailplank.internal.wave.AvailabilityBudget;
+import org.foxtailplank.internal.wave.AvailabilityBudgets;
 import org.foxtailplank.settings.FleetSettings;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.PoolState;
@@ -46,7 +46,7 @@
     @Override
     public BufferPlan plan(
             FleetView view, Observation observation, BufferHistory history, long nowMs) {
-        Budgets budgets = Budgets.of(view, observation);
+        AvailabilityBudgets budgets = AvailabilityBudgets.of(view, observation);
         WavePools cover = WavePools.of(view);
         Map<PoolId, Integer> incoming = incoming(view);
         Map<PoolId, PoolHistory> pools = new HashMap<>();
@@ -94,7 +94,7 @@
     private WantedCount wanted(
             PoolState pool,
             DemandEstimate demand,
-            Budget budget,
+            AvailabilityBudget budget,
             PoolRacks racks,
             double surge,
             long nowMs) {
@@ -149,7 +149,7 @@
 
     /** Selects VMs to put to sleep, at most the sustained surplus and within the budget. */
     private static List<VmId> sleep(
-            PoolRacks racks, WantedCount wanted, Budget budget, int lasting) {
+            PoolRacks racks, WantedCount wanted, AvailabilityBudget budget, int lasting) {
         List<VmId> sleep = new ArrayList<>();
         while (sleep.size() < lasting
                 && racks.onCount() > wanted.bounded(racks.largestRackSize())) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolRacks.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolRacks.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.foxtailplank.fleet.Observation;
 import org.foxtailplank.id.RackId;
-import org.foxtailplank.internal.wave.Budgets;
+import org.foxtailplank.internal.wave.AvailabilityBudgets;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmPhase;
 import org.foxtailplank.state.VmState;
@@ -36,7 +36,7 @@
 
     private void add(VmState vm, Observation observation) {
         boolean idle = vm.pending().isEmpty() && vm.joining().isEmpty();
-        if (Budgets.serves(vm, observation)) {
+        if (AvailabilityBudgets.serves(vm, observation)) {
             countOn(vm);
             mServingCount++;
             if (idle) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmAtPlatform.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/PlatformVmStatus.java
@@ -10,7 +10,7 @@
  * @param generation highest generation of an action that the platform has accepted
  * @param lastAction the last action that the platform has accepted
  */
-public record VmAtPlatform(
+public record PlatformVmStatus(
         Power power, boolean leaving, long generation, Optional<ReportedAction> lastAction) {
     /** Power states of a VM. */
     public enum Power {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmObservation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmObservation.java
@@ -15,7 +15,7 @@
  * @param ended time for which this controller has observed the action as ended at the platform
  */
 public record VmObservation(
-        VmAtPlatform report,
+        PlatformVmStatus report,
         boolean hasInstance,
         boolean willServe,
         int tasks,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmProcedure.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmProcedure.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.internal.control;
 
 import java.util.Optional;
-import org.foxtailplank.internal.control.VmAtPlatform.Power;
-import org.foxtailplank.internal.control.VmAtPlatform.Progress;
-import org.foxtailplank.internal.control.VmAtPlatform.ReportedAction;
+import org.foxtailplank.internal.control.PlatformVmStatus.Power;
+import org.foxtailplank.internal.control.PlatformVmStatus.Progress;
+import org.foxtailplank.internal.control.PlatformVmStatus.ReportedAction;
 import org.foxtailplank.state.ActionOutcome;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmState;
@@ -15,27 +15,28 @@
  * report at any step.
  */
 public final class VmProcedure {
-    private final VmWaits mWaits;
+    private final VmTimeouts mWaits;
 
     /** Creates a procedure with its timeouts. */
-    public VmProcedure(VmWaits waits) {
+    public VmProcedure(VmTimeouts waits) {
         mWaits = waits;
     }
 
     /** Returns the next step for a VM. */
-    public VmStep next(VmState vm, VmObservation observation) {
+    public VmProcedureStep next(VmState vm, VmObservation observation) {
         if (vm.pending().isPresent()) {
             return nextOfAction(vm, vm.pending().get(), observation);
         }
         if (vm.joining().isPresent()) {
             Drain drain = drain(PlatformCall.drainForRelease(vm), observation);
-            return drain.step().orElseGet(() -> new VmStep.Join(vm.joining().get(), drain.note()));
+            return drain.step()
+                    .orElseGet(() -> new VmProcedureStep.Join(vm.joining().get(), drain.note()));
         }
-        return new VmStep.Nothing();
+        return new VmProcedureStep.Nothing();
     }
 
-    private VmStep nextOfAction(VmState vm, VmAction action, VmObservation observation) {
-        VmAtPlatform report = observation.report();
+    private VmProcedureStep nextOfAction(VmState vm, VmAction action, VmObservation observation) {
+        PlatformVmStatus report = observation.report();
         PlatformCall call = PlatformCall.action(vm);
         PlatformCall wake = PlatformCall.wakeAfterAction(vm);
         Optional<ReportedAction> last = report.lastAction();
@@ -45,57 +46,61 @@
         if (last.filter(a -> a.id().equals(call.id())).isPresent()) {
             boolean sleeps = last.get().progress() == Progress.DONE && report.power() == Power.DOWN;
             return action == VmAction.REASSIGN && sleeps
-                    ? new VmStep.AskAction(wake, VmAction.WAKE, "it was reassigned while off")
+                    ? new VmProcedureStep.RequestAction(
+                            wake, VmAction.WAKE, "it was reassigned while off")
                     : afterAction(last.get(), action, observation);
         }
         // The platform has accepted a later generation, so this action can't take effect any more.
         // Only a change outside this system leads here: a later intent requires the confirmation
         // of this one, and records of a former epoch are void.
         if (report.generation() >= call.generation()) {
-            return new VmStep.Confirm(
+            return new VmProcedureStep.Confirm(
                     ActionOutcome.WITHDRAWN, "superseded by an action from outside");
         }
         if (action == VmAction.WAKE) {
-            return new VmStep.AskAction(call, action, "nothing runs on it");
+            return new VmProcedureStep.RequestAction(call, action, "nothing runs on it");
         }
         Drain drain = drain(PlatformCall.drainBeforeAction(vm), observation);
-        return drain.step().orElseGet(() -> new VmStep.AskAction(call, action, drain.note()));
+        return drain.step()
+                .orElseGet(() -> new VmProcedureStep.RequestAction(call, action, drain.note()));
     }
 
-    private VmStep afterAction(ReportedAction own, VmAction action, VmObservation observation) {
+    private VmProcedureStep afterAction(
+            ReportedAction own, VmAction action, VmObservation observation) {
         return switch (own.progress()) {
-            case RUNNING -> new VmStep.Wait("the platform to finish the action");
+            case RUNNING -> new VmProcedureStep.Wait("the platform to finish the action");
             case DONE -> afterDone(action, observation);
-            case FAILED -> new VmStep.Confirm(ActionOutcome.FAILED, "reported by the platform");
+            case FAILED ->
+                    new VmProcedureStep.Confirm(ActionOutcome.FAILED, "reported by the platform");
         };
     }
 
     // Confirms only once the backend server serves: a VM that was confirmed earlier would count as
     // available, and the next step of a wave could exceed the budget.
-    private VmStep afterDone(VmAction action, VmObservation observation) {
+    private VmProcedureStep afterDone(VmAction action, VmObservation observation) {
         if (action == VmAction.SLEEP || !observation.willServe()) {
-            return new VmStep.Confirm(ActionOutcome.DONE, "reported by the platform");
+            return new VmProcedureStep.Confirm(ActionOutcome.DONE, "reported by the platform");
         }
         if (observation.backend().filter(b -> !b.leaving()).isPresent()) {
-            return new VmStep.Confirm(ActionOutcome.DONE, "its backend server serves");
+            return new VmProcedureStep.Confirm(ActionOutcome.DONE, "its backend server serves");
         }
         if (observation.ended().compareTo(mWaits.serveTimeout()) >= 0) {
             String why =
                     "its backend server did not serve within "
                             + mWaits.serveTimeout().toMillis()
                             + " ms";
-            return new VmStep.Confirm(ActionOutcome.FAILED, why);
+            return new VmProcedureStep.Confirm(ActionOutcome.FAILED, why);
         }
-        return new VmStep.Wait("its backend server to serve");
+        return new VmProcedureStep.Wait("its backend server to serve");
     }
 
     private Drain drain(PlatformCall call, VmObservation observation) {
-        VmAtPlatform report = observation.report();
+        PlatformVmStatus report = observation.report();
         if (report.power() == Power.DOWN) {
             return Drain.done("nothing runs on it");
         }
         if (!report.leaving() && report.generation() < call.generation()) {
-            return Drain.next(new VmStep.AskDrain(call));
+            return Drain.next(new VmProcedureStep.RequestDrain(call));
         }
         if (observation.draining().compareTo(mWaits.drainTimeout()) >= 0) {
             String left =
@@ -112,10 +117,11 @@
         // the stop would abort. After the settle time entries send nothing new, so a count of 0
         // requests in flight is reliable only then.
         if (observation.draining().compareTo(mWaits.settleTime()) < 0) {
-            return Drain.next(new VmStep.Wait("entries to learn that it is leaving"));
+            return Drain.next(new VmProcedureStep.Wait("entries to learn that it is leaving"));
         }
         if (observation.tasks() > 0) {
-            return Drain.next(new VmStep.Wait(observation.tasks() + " tasks to write checkpoints"));
+            return Drain.next(
+                    new VmProcedureStep.Wait(observation.tasks() + " tasks to write checkpoints"));
         }
         if (!observation.hasInstance()) {
             return Drain.done("no backend server on it");
@@ -123,22 +129,26 @@
         return observation
                 .backend()
                 .map(VmProcedure::ofBackend)
-                .orElseGet(() -> Drain.next(new VmStep.Wait("an answer to the health check")));
+                .orElseGet(
+                        () ->
+                                Drain.next(
+                                        new VmProcedureStep.Wait("an answer to the health check")));
     }
 
     private static Drain ofBackend(BackendReport backend) {
         if (!backend.leaving()) {
-            return Drain.next(new VmStep.Wait("its backend server to report that it is leaving"));
+            return Drain.next(
+                    new VmProcedureStep.Wait("its backend server to report that it is leaving"));
         }
         if (backend.inFlight() > 0) {
-            return Drain.next(new VmStep.Wait(backend.inFlight() + " requests in flight"));
+            return Drain.next(new VmProcedureStep.Wait(backend.inFlight() + " requests in flight"));
         }
         return Drain.done("nothing in flight, reported by its backend server");
     }
 
     /** Either the next step of a drain, or a note on why the VM counts as drained. */
-    private record Drain(Optional<VmStep> step, String note) {
-        static Drain next(VmStep step) {
+    private record Drain(Optional<VmProcedureStep> step, String note) {
+        static Drain next(VmProcedureStep step) {
             return new Drain(Optional.of(step), "");
         }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmStep.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmProcedureStep.java
@@ -5,19 +5,19 @@
 import org.foxtailplank.state.VmAction;
 
 /** The next step of a controller for a VM. */
-public sealed interface VmStep {
+public sealed interface VmProcedureStep {
     /** Nothing is pending. */
-    record Nothing() implements VmStep {}
+    record Nothing() implements VmProcedureStep {}
 
     /**
      * Check again later.
      *
      * @param reason condition that it waits for
      */
-    record Wait(String reason) implements VmStep {}
+    record Wait(String reason) implements VmProcedureStep {}
 
     /** Request a drain from the platform. */
-    record AskDrain(PlatformCall call) implements VmStep {}
+    record RequestDrain(PlatformCall call) implements VmProcedureStep {}
 
     /**
      * Request the intended action from the platform.
@@ -26,7 +26,8 @@
      * @param action the action
      * @param note why the action is safe now, for log output
      */
-    record AskAction(PlatformCall call, VmAction action, String note) implements VmStep {}
+    record RequestAction(PlatformCall call, VmAction action, String note)
+            implements VmProcedureStep {}
 
     /**
      * Record the outcome of the action.
@@ -34,7 +35,7 @@
      * @param outcome the outcome
      * @param note evidence of the outcome, for log output
      */
-    record Confirm(ActionOutcome outcome, String note) implements VmStep {}
+    record Confirm(ActionOutcome outcome, String note) implements VmProcedureStep {}
 
     /**
      * Record that the drained VM joins its new pool.
@@ -42,5 +43,5 @@
      * @param to the pool
      * @param note why the VM counts as drained, for log output
      */
-    record Join(PoolId to, String note) implements VmStep {}
+    record Join(PoolId to, String note) implements VmProcedureStep {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmWaits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmTimeouts.java
@@ -11,17 +11,17 @@
  * @param drainTimeout maximum wait for work in flight
  * @param serveTimeout maximum wait for the backend server to serve after the platform finished
  */
-public record VmWaits(Duration settleTime, Duration drainTimeout, Duration serveTimeout) {
+public record VmTimeouts(Duration settleTime, Duration drainTimeout, Duration serveTimeout) {
     private static final Duration SETTLE_TIME = Duration.ofSeconds(2);
     private static final int SERVE_TIMEOUT_FACTOR = 3;
 
     /** Returns the timeouts from a deployment's settings. */
-    public static VmWaits of(FleetSettings fleet) {
+    public static VmTimeouts of(FleetSettings fleet) {
         Duration start =
                 fleet.wakeTime().compareTo(fleet.rebootTime()) > 0
                         ? fleet.wakeTime()
                         : fleet.rebootTime();
-        return new VmWaits(
+        return new VmTimeouts(
                 SETTLE_TIME, fleet.drainTimeout(), start.multipliedBy(SERVE_TIMEOUT_FACTOR));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/PendingRequest.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/PendingRequest.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.foxtailplank.id.VmId;
-import org.foxtailplank.internal.admission.Ticket;
+import org.foxtailplank.internal.admission.QueuedRequest;
 
 /**
  * A request from its admission until the end of its last attempt.
@@ -12,18 +12,19 @@
  */
 public final class PendingRequest<T> {
 
-    private final Ticket<T> mQueuedRequest;
-    private final RunRule mRetrySafety;
+    private final QueuedRequest<T> mQueuedRequest;
+    private final RetrySafety mRetrySafety;
     private final Set<VmId> mTriedInstances = new HashSet<>();
     private int mAttempts;
 
-    private PendingRequest(Ticket<T> queuedRequest, RunRule retrySafety) {
+    private PendingRequest(QueuedRequest<T> queuedRequest, RetrySafety retrySafety) {
         mQueuedRequest = queuedRequest;
         mRetrySafety = retrySafety;
     }
 
     /** Creates a request that hasn't been attempted. */
-    public static <T> PendingRequest<T> of(Ticket<T> queuedRequest, RunRule retrySafety) {
+    public static <T> PendingRequest<T> of(
+            QueuedRequest<T> queuedRequest, RetrySafety retrySafety) {
         return new PendingRequest<>(queuedRequest, retrySafety);
     }
 
@@ -33,12 +34,12 @@
     }
 
     /** Returns which failed attempts may be retried. */
-    public RunRule rule() {
+    public RetrySafety retrySafety() {
         return mRetrySafety;
     }
 
     /** Returns the queue entry of the request. */
-    Ticket<T> queuedRequest() {
+    QueuedRequest<T> queuedRequest() {
         return mQueuedRequest;
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/Lane.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/ServiceDispatcher.java
@@ -8,9 +8,9 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.internal.admission.Admission;
 import org.foxtailplank.internal.admission.AdmissionQueue;
-import org.foxtailplank.internal.admission.Ticket;
+import org.foxtailplank.internal.admission.QueuedRequest;
 import org.foxtailplank.internal.retry.RetryBudget;
-import org.foxtailplank.internal.routing.AttemptEnd;
+import org.foxtailplank.internal.routing.AttemptOutcome;
 import org.foxtailplank.internal.routing.Router;
 import org.foxtailplank.internal.routing.Target;
 
@@ -21,7 +21,7 @@
  *
  * @param <T> type that represents a request
  */
-public final class Lane<T> {
+public final class ServiceDispatcher<T> {
 
     private static final double LATENCY_WEIGHT = 0.05;
     private static final double DEVIATIONS = 3;
@@ -48,7 +48,7 @@
      * @param quotas quota by team
      * @param retryRatio fraction of a retry that each first attempt adds to the retry budget
      */
-    public Lane(
+    public ServiceDispatcher(
             ServiceId service, Router router, ToDoubleFunction<String> quotas, double retryRatio) {
         mService = service;
         mRouter = router;
@@ -57,12 +57,12 @@
     }
 
     /** Returns whether any listed instance isn't draining. */
-    public boolean serves() {
+    public boolean hasServingInstance() {
         return mRouter.hasServingInstance(mService);
     }
 
     /** Returns the mean latency of successful attempts. */
-    public long usualTime() {
+    public long meanLatency() {
         return (long) mMeanLatency;
     }
 
@@ -104,17 +104,17 @@
     }
 
     /** Checks whether a request can be served before its deadline. */
-    public Admission check(PendingRequest<T> request, long now) {
+    public Admission checkAdmission(PendingRequest<T> request, long now) {
         return mQueue.check(toQueued(request), requiredTime(now), now);
     }
 
     /** Adds a request to the queue. */
-    public void add(PendingRequest<T> request) {
+    public void enqueue(PendingRequest<T> request) {
         mQueue.add(toQueued(request));
     }
 
     /** Starts the next attempt if a request is queued and an instance is available. */
-    public Optional<Attempt<T>> next(long now) {
+    public Optional<Attempt<T>> nextAttempt(long now) {
         if (mQueue.size() == 0) {
             return Optional.empty();
         }
@@ -132,15 +132,15 @@
     }
 
     /** Records the outcome of an attempt, and starts a retry if it is allowed. */
-    public Optional<Attempt<T>> ended(Attempt<T> attempt, AttemptEnd outcome, long now) {
+    public Optional<Attempt<T>> attemptEnded(Attempt<T> attempt, AttemptOutcome outcome, long now) {
         long latency = now - attempt.started();
         attempt.target().attemptEnded(outcome, latency, now);
-        if (outcome == AttemptEnd.GOOD) {
+        if (outcome == AttemptOutcome.SUCCESS) {
             recordLatency(latency, now);
         }
         PendingRequest<T> r = attempt.request();
         boolean canRetry = r.attempts() < MAX_ATTEMPTS && r.remainingTime(now) > requiredTime(now);
-        if (!canRetry || !r.rule().allowsRetryAfter(outcome)) {
+        if (!canRetry || !r.retrySafety().allowsRetryAfter(outcome)) {
             return Optional.empty();
         }
         Optional<Target> target = mRouter.choose(mService, r.triedInstances());
@@ -155,7 +155,7 @@
     }
 
     /** Removes and returns requests that can no longer meet their deadline. */
-    public List<T> giveUp(long now) {
+    public List<T> removeExpired(long now) {
         return mQueue.removeExpired(requiredTime(now), now).stream()
                 .map(t -> t.request().item())
                 .toList();
@@ -163,7 +163,7 @@
 
     private Attempt<T> startAttempt(PendingRequest<T> r, Target target, long now) {
         r.recordAttempt(target.server().vm());
-        target.begin();
+        target.attemptStarted();
         return new Attempt<>(r, target, now, timeout(r, now));
     }
 
@@ -171,14 +171,14 @@
     private long timeout(PendingRequest<T> r, long now) {
         long remaining = Math.max(0, r.remainingTime(now));
         boolean reservesRetry =
-                r.rule() == RunRule.REPEATABLE
+                r.retrySafety() == RetrySafety.IDEMPOTENT
                         && r.attempts() < MAX_ATTEMPTS
-                        && remaining > MIN_LATENCIES_TO_SPLIT * usualTime();
+                        && remaining > MIN_LATENCIES_TO_SPLIT * meanLatency();
         return reservesRetry ? remaining / 2 : remaining;
     }
 
-    private static <T> Ticket<PendingRequest<T>> toQueued(PendingRequest<T> r) {
-        Ticket<T> t = r.queuedRequest();
-        return new Ticket<>(r, t.requestClass(), t.team(), t.deadline(), t.bytes());
+    private static <T> QueuedRequest<PendingRequest<T>> toQueued(PendingRequest<T> r) {
+        QueuedRequest<T> t = r.queuedRequest();
+        return new QueuedRequest<>(r, t.requestClass(), t.team(), t.deadline(), t.bytes());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendOutcome.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendOutcome.java
@@ -14,14 +14,14 @@
     /**
      * The group wasn't appended and won't be.
      *
-     * @param why reason for the failure
+     * @param reason reason for the failure
      */
-    record NotAppended(String why) implements AppendOutcome {}
+    record NotAppended(String reason) implements AppendOutcome {}
 
     /**
      * The outcome is unknown; the group may have been appended, or may still be.
      *
-     * @param why reason for the failure
+     * @param reason reason for the failure
      */
-    record Unresolved(String why) implements AppendOutcome {}
+    record Unresolved(String reason) implements AppendOutcome {}
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
@@ -22,7 +22,7 @@
 public final class AppendQueue {
 
     private final AppendLimits mLimits;
-    private final AppendShare mRateLimiter;
+    private final AppendRateLimiter mRateLimiter;
     private final Backoff mBackoff;
     private final Deque<AppendGroup> mWaiting = new ArrayDeque<>();
     private final Set<Long> mInDoubt = new HashSet<>();
@@ -47,7 +47,7 @@
     }
 
     /** Creates an empty queue. */
-    public AppendQueue(AppendLimits limits, AppendShare rateLimiter, Backoff backoff) {
+    public AppendQueue(AppendLimits limits, AppendRateLimiter rateLimiter, Backoff backoff) {
         mLimits = limits;
         mRateLimiter = rateLimiter;
         mBackoff = backoff;
@@ -95,7 +95,7 @@
     }
 
     /** Reports that the batch was appended. */
-    public List<SettledGroup> appended(long first, long end) {
+    public List<GroupResult> appended(long first, long end) {
         mEnd = OptionalLong.of(end);
         return settleAppended(first, end);
     }
@@ -108,7 +108,7 @@
     }
 
     /** Reports that the append call of the batch got no response. */
-    public void answerLost(long now) {
+    public void responseLost(long now) {
         mPhase = Phase.IN_DOUBT;
         mBatch.forEach(g -> mInDoubt.add(g.number()));
         mReadFrom = mEnd.orElseThrow();
@@ -123,7 +123,7 @@
     }
 
     /** Reports a page of the stream, read to find the batch. */
-    public List<SettledGroup> readBack(LogPage page, long now) {
+    public List<GroupResult> readBack(LogPage page, long now) {
         mPhase = Phase.IN_DOUBT;
         mBackoff.reset();
         if (page.oldest() > mReadFrom) {
@@ -135,7 +135,7 @@
             return settleUnresolved("the log came back shorter");
         }
         RecordId wanted = mBatch.get(0).ids().get(0);
-        for (LogItem record : page.records()) {
+        for (LoggedRecord record : page.records()) {
             if (record.id().equals(wanted)) {
                 mEnd = OptionalLong.of(page.end());
                 return settleAppended(record.offset(), page.end());
@@ -149,13 +149,13 @@
     }
 
     /** Removes groups whose deadline has passed, and returns their outcomes. */
-    public List<SettledGroup> giveUp(long now) {
-        List<SettledGroup> results = new ArrayList<>();
+    public List<GroupResult> removeExpired(long now) {
+        List<GroupResult> results = new ArrayList<>();
         mWaiting.removeIf(
                 g -> {
                     boolean expired = g.deadline() <= now;
                     if (expired) {
-                        results.add(new SettledGroup(g, expiredOutcome(g)));
+                        results.add(new GroupResult(g, expiredOutcome(g)));
                     }
                     return expired;
                 });
@@ -215,11 +215,11 @@
         mBatch = List.of();
     }
 
-    private List<SettledGroup> settleAppended(long first, long end) {
-        List<SettledGroup> settled = new ArrayList<>();
+    private List<GroupResult> settleAppended(long first, long end) {
+        List<GroupResult> settled = new ArrayList<>();
         long offset = first;
         for (AppendGroup group : mBatch) {
-            settled.add(new SettledGroup(group, new AppendOutcome.Appended(offset, end)));
+            settled.add(new GroupResult(group, new AppendOutcome.Appended(offset, end)));
             offset += group.ids().size();
         }
         endBatch();
@@ -227,10 +227,10 @@
         return settled;
     }
 
-    private List<SettledGroup> settleUnresolved(String reason) {
-        List<SettledGroup> settled =
+    private List<GroupResult> settleUnresolved(String reason) {
+        List<GroupResult> settled =
                 mBatch.stream()
-                        .map(g -> new SettledGroup(g, new AppendOutcome.Unresolved(reason)))
+                        .map(g -> new GroupResult(g, new AppendOutcome.Unresolved(reason)))
                         .toList();
         endBatch();
         return settled;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendShare.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendRateLimiter.java
@@ -13,7 +13,7 @@
  * busy; the platform then rejects appends and the writers back off. A peer without a recent report
  * lends nothing.
  */
-public final class AppendShare {
+public final class AppendRateLimiter {
 
     private static final double NANOS = 1e9;
     private static final double MAX_LENT_FRACTION = 0.875;
@@ -39,7 +39,7 @@
      * @param reportTtlNanos time for which the reported rate of a peer is valid
      * @param now current time
      */
-    public AppendShare(
+    public AppendRateLimiter(
             double budget, int nodes, double burstSeconds, long reportTtlNanos, long now) {
         mBudget = budget;
         mNodes = Math.max(1, nodes);
@@ -51,7 +51,7 @@
     }
 
     /** Updates the append rate that a peer reports. */
-    public void peerUses(NodeId peer, double perSecond, long now) {
+    public void updatePeerRate(NodeId peer, double perSecond, long now) {
         mPeers.put(peer, new PeerRate(perSecond, now));
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Returns this node's append rate per second, averaged over about a second. */
-    public double use(long now) {
+    public double measuredRate(long now) {
         decay(now);
         return mMeasuredRate;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/SettledGroup.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/GroupResult.java
@@ -6,4 +6,4 @@
  * @param group the group
  * @param outcome final outcome
  */
-public record SettledGroup(AppendGroup group, AppendOutcome outcome) {}
+public record GroupResult(AppendGroup group, AppendOutcome outcome) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogPage.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogPage.java
@@ -9,7 +9,7 @@
  * @param end end offset of the stream
  * @param records records from the requested offset on
  */
-public record LogPage(long oldest, long end, List<LogItem> records) {
+public record LogPage(long oldest, long end, List<LoggedRecord> records) {
 
     public LogPage {
         records = List.copyOf(records);
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/LogItem.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/LoggedRecord.java
@@ -8,4 +8,4 @@
  * @param offset offset of the record
  * @param id id of the record
  */
-public record LogItem(long offset, RecordId id) {}
+public record LoggedRecord(long offset, RecordId id) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/CatchUp.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/CatchUp.java
@@ -73,13 +73,13 @@
     }
 
     /** Excludes a peer for a while after a failed request. */
-    public void failed(NodeId peer, long now) {
+    public void peerFailed(NodeId peer, long now) {
         mAvoidUntil.values().removeIf(until -> until <= now);
         mAvoidUntil.put(peer, now + mAvoidNanos);
     }
 
     /** Records progress through a peer, which doesn't restart the grace period. */
-    public void helped(StatePosition own) {
+    public void peerHelped(StatePosition own) {
         mBehindAt = own;
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/TryBudget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/ConnectRateLimiter.java
@@ -5,7 +5,7 @@
  *
  * <p>Prevents a connection storm when a partition heals.
  */
-public final class TryBudget {
+public final class ConnectRateLimiter {
 
     private static final long NANOS = 1_000_000_000L;
 
@@ -14,7 +14,7 @@
     private double mTokens;
     private long mRefilledAt;
 
-    public TryBudget(int perSecond, int burst, long now) {
+    public ConnectRateLimiter(int perSecond, int burst, long now) {
         mPerSecond = perSecond;
         mBurst = burst;
         mTokens = burst;
@@ -22,7 +22,7 @@
     }
 
     /** Takes a token if one is available. */
-    public boolean take(long now) {
+    public boolean tryAcquire(long now) {
         mTokens = Math.min(mBurst, mTokens + (double) (now - mRefilledAt) * mPerSecond / NANOS);
         mRefilledAt = now;
         if (mTokens < 1) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/BeatNews.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/HeartbeatDigest.java
@@ -4,9 +4,9 @@
  * Latest heartbeat known of a member, gossiped to other members in six bytes.
  *
  * @param tag tag of the member's incarnation
- * @param beat low 16 bits of the heartbeat's sequence number
+ * @param sequence low 16 bits of the heartbeat's sequence number
  */
-public record BeatNews(int tag, short beat) {
+public record HeartbeatDigest(int tag, short sequence) {
 
     /**
      * Returns whether a sequence number is newer than another one of the same member.
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/HeartbeatPlan.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/HeartbeatPlan.java
@@ -19,7 +19,7 @@
 public final class HeartbeatPlan<T> {
 
     /** Size of one digest in a heartbeat, in bytes. */
-    public static final int BYTES_PER_NEWS = 6;
+    public static final int BYTES_PER_DIGEST = 6;
 
     /** Size of the IP and TCP headers of a message and of its acknowledgement. */
     private static final int PACKET_BYTES = 104;
@@ -43,8 +43,8 @@
     }
 
     /** Returns the recipients of a regular heartbeat of {@code bytesEach} bytes without digests. */
-    public List<T> next(Set<T> peers, int bytesEach) {
-        int bytes = bytes(bytesEach, newsLimit(peers.size(), bytesEach));
+    public List<T> nextPeers(Set<T> peers, int bytesEach) {
+        int bytes = bytes(bytesEach, digestLimit(peers.size(), bytesEach));
         mCredit = Math.min(mCredit + mBytesPerTick, 2 * mBytesPerTick);
         int fanOut = reachesAll(peers.size(), bytesEach) ? peers.size() : (int) (mCredit / bytes);
         List<T> chosen = choose(peers, Math.max(1, fanOut));
@@ -53,14 +53,14 @@
     }
 
     /** Returns recipients of an unscheduled message, whose bytes are deducted from the budget. */
-    public List<T> atOnce(Set<T> peers, int count, int bytesEach) {
+    public List<T> immediatePeers(Set<T> peers, int count, int bytesEach) {
         List<T> chosen = choose(peers, count);
         spend(chosen.size() * bytes(bytesEach, 0));
         return chosen;
     }
 
     /** Returns the maximum number of digests in a regular heartbeat. */
-    public int newsLimit(int peers, int bytesEach) {
+    public int digestLimit(int peers, int bytesEach) {
         return reachesAll(peers, bytesEach) ? MIN_DIGESTS : Math.min(peers, MAX_DIGESTS);
     }
 
@@ -69,11 +69,11 @@
      *
      * <p>Gossip reaches all of n nodes in about 2 ln(n) / rate; this allows for twice that time.
      */
-    public Duration spread(int peers, int bytesEach) {
+    public Duration propagationDelay(int peers, int bytesEach) {
         if (peers == 0 || reachesAll(peers, bytesEach)) {
             return Duration.ZERO;
         }
-        int bytes = bytes(bytesEach, newsLimit(peers, bytesEach));
+        int bytes = bytes(bytesEach, digestLimit(peers, bytesEach));
         double messagesPerSecond = Math.max(1, mBytesPerTick / bytes) / seconds(mHeartbeat);
         double delay = PROPAGATION_FACTOR * Math.log(peers) / messagesPerSecond;
         return Duration.ofMillis((long) (delay * 1_000));
@@ -84,7 +84,7 @@
     }
 
     private static int bytes(int bytesEach, int digests) {
-        return PACKET_BYTES + bytesEach + BYTES_PER_NEWS * digests;
+        return PACKET_BYTES + bytesEach + BYTES_PER_DIGEST * digests;
     }
 
     private void spend(int bytes) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/MemberTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/MemberTable.java
@@ -47,12 +47,12 @@
     }
 
     /** Sets the failure detection timeouts. */
-    public void allow(SilenceLimits limits) {
+    public void setSilenceLimits(SilenceLimits limits) {
         mLimits = limits;
     }
 
     /** Replaces the seeds of a source. */
-    public void learn(SeedSource source, Collection<Seed> seeds) {
+    public void setSeeds(SeedSource source, Collection<Seed> seeds) {
         mSeeds.put(source, List.copyOf(seeds));
     }
 
@@ -62,8 +62,8 @@
      * <p>Any other member known at that address has been replaced and is marked as away at once, so
      * that no requests for it are sent to the wrong process.
      */
-    public void reached(PeerIdentity peer, InetSocketAddress address, long now) {
-        met(peer, now);
+    public void authenticatedAt(PeerIdentity peer, InetSocketAddress address, long now) {
+        authenticated(peer, now);
         for (TrackedMember other : mMembers.values()) {
             boolean samePeer = other.mIdentity.incarnation().equals(peer.incarnation());
             if (samePeer) {
@@ -76,7 +76,7 @@
     }
 
     /** Records that a peer authenticated on an incoming connection. */
-    public void met(PeerIdentity peer, long now) {
+    public void authenticated(PeerIdentity peer, long now) {
         if (isSelf(peer.incarnation())) {
             return;
         }
@@ -98,7 +98,7 @@
     }
 
     /** Records a heartbeat or heartbeat response received directly from a member. */
-    public void heard(Incarnation from, long sequence, long now) {
+    public void heartbeatReceived(Incarnation from, long sequence, long now) {
         TrackedMember member = mMembers.get(from);
         if (member != null) {
             member.mSequence = newest(member.mSequence, (short) sequence);
@@ -107,7 +107,7 @@
     }
 
     /** Updates the reported status of a member. */
-    public void status(Incarnation from, NodeStatus status) {
+    public void updateStatus(Incarnation from, NodeStatus status) {
         TrackedMember member = mMembers.get(from);
         if (member != null) {
             member.mStatus = status;
@@ -120,13 +120,14 @@
      *
      * <p>Otherwise two nodes that gossip about a failed member would keep it alive forever.
      */
-    public void told(BeatNews digest, long now) {
+    public void digestReceived(HeartbeatDigest digest, long now) {
         boolean known = digest.tag() == mSelf.incarnation().tag();
         for (TrackedMember member : mMembers.values()) {
             if (member.mIdentity.incarnation().tag() == digest.tag()) {
                 known = true;
-                if (BeatNews.isNewer(digest.beat(), member.mSequence) && !member.mReplaced) {
-                    member.mSequence = digest.beat();
+                if (HeartbeatDigest.isNewer(digest.sequence(), member.mSequence)
+                        && !member.mReplaced) {
+                    member.mSequence = digest.sequence();
                     markAlive(member, now);
                 }
             }
@@ -137,12 +138,12 @@
     }
 
     /** Records that a member announced its shutdown. */
-    public void left(Incarnation incarnation) {
-        leftByTag(incarnation.tag());
+    public void memberLeft(Incarnation incarnation) {
+        memberLeftByTag(incarnation.tag());
     }
 
     /** Records a gossiped departure notice. */
-    public void leftByTag(int tag) {
+    public void memberLeftByTag(int tag) {
         membersByTag(tag).forEach(member -> setState(member, MemberState.LEFT));
     }
 
@@ -160,14 +161,14 @@
     }
 
     /** Returns and clears the members whose state changed since the last call. */
-    public List<Member> takeChanges() {
+    public List<Member> drainChanges() {
         List<Member> changes = List.copyOf(mPendingChanges);
         mPendingChanges.clear();
         return changes;
     }
 
     /** Returns digests to gossip, least recently sent first. */
-    public List<BeatNews> news(int limit) {
+    public List<HeartbeatDigest> nextDigests(int limit) {
         mGossipRound++;
         List<TrackedMember> selected =
                 mMembers.values().stream()
@@ -177,12 +178,12 @@
                         .toList();
         selected.forEach(member -> member.mLastGossipRound = mGossipRound);
         return selected.stream()
-                .map(m -> new BeatNews(m.mIdentity.incarnation().tag(), m.mSequence))
+                .map(m -> new HeartbeatDigest(m.mIdentity.incarnation().tag(), m.mSequence))
                 .toList();
     }
 
     /** Returns tags of departed members to gossip; each tag is sent a limited number of times. */
-    public List<Integer> farewells(int limit) {
+    public List<Integer> nextDepartures(int limit) {
         List<TrackedMember> selected =
                 mMembers.values().stream()
                         .filter(m -> m.mState == MemberState.LEFT && m.mDepartureNotices > 0)
@@ -193,14 +194,14 @@
     }
 
     /** Returns and clears the tags in received digests that match no known member. */
-    public List<Integer> takeStrangers() {
+    public List<Integer> drainUnknownTags() {
         List<Integer> unknown = List.copyOf(mUnknownTags);
         mUnknownTags.clear();
         return unknown;
     }
 
     /** Returns the identities of live members with the given tags. */
-    public List<PeerIdentity> introduce(Collection<Integer> tags) {
+    public List<PeerIdentity> identitiesOf(Collection<Integer> tags) {
         return tags.stream()
                 .flatMap(this::membersByTag)
                 .filter(m -> m.mState == MemberState.ALIVE)
@@ -285,7 +286,7 @@
     }
 
     private static short newest(short a, short b) {
-        return BeatNews.isNewer(b, a) ? b : a;
+        return HeartbeatDigest.isNewer(b, a) ? b : a;
     }
 
     private boolean isSelf(Incarnation incarnation) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/IndexedPlacer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/IndexedPlacer.java
@@ -45,13 +45,13 @@
     }
 
     @Override
-    public void quotas(Map<TeamId, Double> quotas) {
+    public void setQuotas(Map<TeamId, Double> quotas) {
         quotas.forEach((team, quota) -> mState.team(team).setQuota(quota));
         mState.pools().forEach(this::reconsiderRefused);
     }
 
     @Override
-    public void worker(Worker worker, long nowMs) {
+    public void updateWorker(Worker worker, long nowMs) {
         mState.worker(worker.id())
                 .filter(w -> !w.worker().pool().equals(worker.pool()))
                 .ifPresent(w -> removeFromPool(w));
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void workerGone(VmId worker, long nowMs) {
+    public void removeWorker(VmId worker, long nowMs) {
         mState.worker(worker).ifPresent(this::removeFromPool);
     }
 
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void job(JobState job, long nowMs) {
+    public void updateJob(JobState job, long nowMs) {
         JobEntry entry = mState.jobs().get(job.id());
         if (entry == null) {
             entry = new JobEntry(job.id(), job.spec(), mState.team(job.spec().team()));
@@ -132,12 +132,12 @@
     }
 
     @Override
-    public void task(TaskId task, TaskState state, long nowMs) {
+    public void updateTask(TaskId task, TaskState state, long nowMs) {
         mUpdater.apply(task, state, nowMs);
     }
 
     @Override
-    public void renewed(TaskId task, long nowMs) {
+    public void renewLease(TaskId task, long nowMs) {
         placedTask(task).ifPresent(t -> t.recordHeartbeat(nowMs));
     }
 
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void report(WorkerReport report, long nowMs) {
+    public void applyReport(WorkerReport report, long nowMs) {
         Optional<WorkerEntry> worker = mState.worker(report.worker());
         if (worker.isEmpty()) {
             return;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementPass.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/placement/PlacementPass.java
@@ -49,7 +49,7 @@
         Map<TeamShare, Set<JobEntry>> waiting = mPool.waiting(mUrgency);
         PriorityQueue<RankedTeam> teams = new PriorityQueue<>();
         waiting.keySet().forEach(t -> teams.add(new RankedTeam(t, t.usagePerQuota())));
-        while (mState.outbox().actionCount() < mState.settings().mostActions()) {
+        while (mState.outbox().actionCount() < mState.settings().maxActions()) {
             RankedTeam next = teams.poll();
             if (next == null) {
                 return;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/AttemptEnd.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/AttemptOutcome.java
@@ -1,15 +1,15 @@
 package org.foxtailplank.internal.routing;
 
 /** Outcome of an attempt at an instance, as far as it affects routing. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
     /** A complete response without a server error. */
-    GOOD(true, false),
+    SUCCESS(true, false),
     /** A complete response with a server error. */
     SERVER_ERROR(false, false),
     /** The instance rejected the request because it has no capacity. */
     BUSY(true, false),
     /** The connection failed or the response timed out. */
-    BROKEN(false, false),
+    NO_RESPONSE(false, false),
     /** No connection became available in time; nothing was sent. */
     NOT_CONNECTED(false, false),
     /** The instance refused the connection; nothing was sent. */
@@ -18,7 +18,7 @@
     private final boolean mInstanceHealthy;
     private final boolean mInstanceDown;
 
-    AttemptEnd(boolean instanceHealthy, boolean instanceDown) {
+    AttemptOutcome(boolean instanceHealthy, boolean instanceDown) {
         mInstanceHealthy = instanceHealthy;
         mInstanceDown = instanceDown;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Router.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Router.java
@@ -46,7 +46,7 @@
     }
 
     /** Replaces the list of instances; removed instances receive no new requests. */
-    public void list(
+    public void updateInstances(
             Collection<BackendServer> servers, Function<BackendServer, ConnectionShare> shares) {
         Map<VmId, BackendServer> listed = new HashMap<>();
         servers.forEach(s -> listed.put(s.vm(), s));
@@ -107,7 +107,7 @@
     }
 
     /** Allows a trial request to each instance whose ejection time is over. */
-    public void wake(long now) {
+    public void endDueEjections(long now) {
         mTargets.values().forEach(t -> t.endDueEjection(now));
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Target.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/routing/Target.java
@@ -89,19 +89,19 @@
     }
 
     /** Records the start of an attempt. */
-    public void begin() {
+    public void attemptStarted() {
         mInFlight++;
         mCandidates.update(this);
     }
 
     /** Records the outcome of an attempt. */
-    public void attemptEnded(AttemptEnd outcome, long nanos, long now) {
+    public void attemptEnded(AttemptOutcome outcome, long nanos, long now) {
         mInFlight--;
         if (outcome.isInstanceDown()) {
             mHealth = Health.SILENT;
         }
         // Server errors and rejections are excluded, because failing fast would lower the latency.
-        if (outcome == AttemptEnd.GOOD || outcome == AttemptEnd.BROKEN) {
+        if (outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.NO_RESPONSE) {
             mLatency.add(nanos);
             mServiceLatency.add(nanos);
         }
@@ -110,7 +110,7 @@
     }
 
     /** Ends an attempt without an outcome for the instance. */
-    public void release() {
+    public void attemptAbandoned() {
         mInFlight--;
         mCandidates.update(this);
     }
@@ -121,13 +121,13 @@
      * <p>Otherwise requests would take each free connection under steady load, and the entry would
      * never learn that the instance is draining.
      */
-    public void hold(boolean reserved) {
+    public void reserveForProbe(boolean reserved) {
         mReservedForProbe = reserved;
         mCandidates.update(this);
     }
 
     /** Updates the health of the instance. */
-    public void saw(Health health) {
+    public void updateHealth(Health health) {
         mHealth = health;
         mCandidates.update(this);
     }
@@ -141,7 +141,7 @@
      * @param inFlight requests from all entries that run or wait at the instance
      * @param slots number of requests that the instance runs concurrently
      */
-    public void heard(int inFlight, int slots) {
+    public void updateLoad(int inFlight, int slots) {
         double factor = slots * BUSY_FACTOR / Math.max(1, inFlight);
         boolean hasFreeSlots = inFlight < slots;
         double change = hasFreeSlots ? Math.min(MAX_WINDOW_FACTOR, factor) : Math.min(1, factor);
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
@@ -15,19 +15,19 @@
 import org.foxtailplank.state.ConfigurationChange;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.ObjectKey;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.PoolState;
 import org.foxtailplank.state.Verdict;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.state.VmPhase;
-import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.VmState;
 
 /** Folds configuration changes into the configuration in force, the VMs and the pools. */
 public final class ConfigurationFold {
     private final FleetIndex mIndex;
-    private final Map<PoolId, PoolShape> mShapes = new HashMap<>();
+    private final Map<PoolId, PoolDefinition> mShapes = new HashMap<>();
     private final Map<ZoneId, PatchedText> mOverlays = new TreeMap<>();
     private PatchedText mBase = new PatchedText("");
     private Optional<Configuration> mCurrent = Optional.empty();
@@ -53,7 +53,7 @@
     }
 
     /** Returns the pools as configured. */
-    public Map<PoolId, PoolShape> shapes() {
+    public Map<PoolId, PoolDefinition> shapes() {
         return Collections.unmodifiableMap(mShapes);
     }
 
@@ -91,7 +91,7 @@
         if (!readable) {
             return Verdicts.malformed("a merge patch is not a JSON object");
         }
-        Map<PoolId, PoolShape> pools = new HashMap<>(mShapes);
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(mShapes);
         pools.putAll(c.shapePatch().pools());
         Optional<Verdict> wrong = checkAdditions(c.shapePatch(), pools);
         if (wrong.isPresent()) {
@@ -119,7 +119,7 @@
     }
 
     /** Restores the configured definition of a pool. */
-    public void restore(PoolId id, PoolShape shape) {
+    public void restore(PoolId id, PoolDefinition shape) {
         mShapes.put(id, shape);
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** Rejects the removal of a VM or pool in use: its VMs would stop without a drain. */
-    private Optional<Verdict> checkRemovals(FleetShape shape) {
+    private Optional<Verdict> checkRemovals(FleetTopology shape) {
         Set<PoolId> pools = shape.pools().keySet();
         for (VmState vm : mIndex.vms()) {
             boolean kept = shape.vms().containsKey(vm.id());
@@ -148,16 +148,17 @@
         return Optional.empty();
     }
 
-    private Optional<Verdict> checkAdditions(FleetShape shape, Map<PoolId, PoolShape> pools) {
-        for (Map.Entry<VmId, VmPlace> e : shape.vms().entrySet()) {
+    private Optional<Verdict> checkAdditions(
+            FleetTopology shape, Map<PoolId, PoolDefinition> pools) {
+        for (Map.Entry<VmId, VmLocation> e : shape.vms().entrySet()) {
             if (!pools.containsKey(e.getValue().pool())) {
                 return Optional.of(
                         Verdicts.malformed(
                                 "VM " + e.getKey() + " names an initial pool that does not exist"));
             }
         }
-        for (Map.Entry<PoolId, PoolShape> e : shape.pools().entrySet()) {
-            PoolShape old = mShapes.get(e.getKey());
+        for (Map.Entry<PoolId, PoolDefinition> e : shape.pools().entrySet()) {
+            PoolDefinition old = mShapes.get(e.getKey());
             if (old != null && !old.service().equals(e.getValue().service())) {
                 Optional<Verdict> wrong = checkServiceChange(e.getKey());
                 if (wrong.isPresent()) {
@@ -184,7 +185,7 @@
         return down && vm.pending().isEmpty() && vm.joining().isEmpty();
     }
 
-    private void removeMissing(FleetShape shape) {
+    private void removeMissing(FleetTopology shape) {
         for (VmState vm : Set.copyOf(mIndex.vms())) {
             if (!shape.vms().containsKey(vm.id())) {
                 mIndex.remove(vm.id());
@@ -203,7 +204,7 @@
         }
     }
 
-    private void add(long offset, FleetShape shape) {
+    private void add(long offset, FleetTopology shape) {
         shape.minAvailable().forEach(mIndex::setMinAvailable);
         shape.pools().forEach((id, p) -> addPool(offset, id, p));
         shape.vms()
@@ -220,8 +221,8 @@
     }
 
     /** Keeps the target that was set through the log unless the configured pool changes. */
-    private void addPool(long offset, PoolId id, PoolShape shape) {
-        PoolShape old = mShapes.put(id, shape);
+    private void addPool(long offset, PoolId id, PoolDefinition shape) {
+        PoolDefinition old = mShapes.put(id, shape);
         if (!shape.equals(old)) {
             mIndex.put(new PoolState(id, shape.service(), shape.target(), shape.reserve(), offset));
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/RecordWindow.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/RecordWindow.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.foxtailplank.id.RecordId;
 import org.foxtailplank.state.Basis;
-import org.foxtailplank.state.WindowContents;
+import org.foxtailplank.state.RecordWindowContents;
 
 /**
  * Ids of the newest records and digests of the log before each, in bounded memory.
@@ -46,13 +46,13 @@
     }
 
     /** Returns a window with the given contents. */
-    public static RecordWindow of(WindowContents contents) {
+    public static RecordWindow of(RecordWindowContents contents) {
         return new RecordWindow(contents.ids().clone(), contents.digests().clone());
     }
 
     /** Returns a copy of the contents. */
-    public WindowContents contents() {
-        return new WindowContents(mIds.clone(), mDigests.clone());
+    public RecordWindowContents contents() {
+        return new RecordWindowContents(mIds.clone(), mDigests.clone());
     }
 
     /**
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/VmFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/VmFold.java
@@ -124,7 +124,7 @@
         if (c.generation() != vm.generation()) {
             return staleGeneration(vm, c.generation(), vm.generation());
         }
-        Optional<VmPhase> next = c.health().observedIn(vm.phase());
+        Optional<VmPhase> next = c.health().observedPhase(vm.phase());
         if (next.isEmpty() || vm.pending().isPresent() || vm.joining().isPresent()) {
             return Verdicts.wrongPhase(vm, "observation " + c.health());
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/AvailabilityBudget.java
@@ -11,7 +11,7 @@
  *
  * <p>Racks are counted by size, so that the largest one is updated in constant time.
  */
-public final class Budget {
+public final class AvailabilityBudget {
 
     private final String mSubject;
     private final int mMinAvailable;
@@ -23,7 +23,7 @@
     private int mPowered;
     private int mStopped;
 
-    Budget(String subject, int minAvailable, int demand) {
+    AvailabilityBudget(String subject, int minAvailable, int demand) {
         mSubject = subject;
         mMinAvailable = minAvailable;
         mDemand = demand;
@@ -104,7 +104,7 @@
         return mStopped;
     }
 
-    public int largest() {
+    public int largestRackSize() {
         return mLargest;
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/Budgets.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/AvailabilityBudgets.java
@@ -13,30 +13,30 @@
 import org.foxtailplank.state.VmState;
 
 /** Availability budgets of all services; accounts for pending intents and failures. */
-public final class Budgets {
+public final class AvailabilityBudgets {
 
-    private final Map<PoolId, Budget> mByPool = new HashMap<>();
+    private final Map<PoolId, AvailabilityBudget> mByPool = new HashMap<>();
 
-    private Budgets() {}
+    private AvailabilityBudgets() {}
 
     /** Computes the budgets from one pass over the fleet. */
-    public static Budgets of(FleetView view, Observation observation) {
-        Budgets budgets = new Budgets();
+    public static AvailabilityBudgets of(FleetView view, Observation observation) {
+        AvailabilityBudgets budgets = new AvailabilityBudgets();
         Map<ServiceId, Integer> demand = new HashMap<>();
         for (PoolState pool : view.pools()) {
             pool.service()
                     .ifPresent(s -> demand.merge(s, demandOf(pool, observation), Integer::sum));
         }
-        Map<ServiceId, Budget> byService = new HashMap<>();
+        Map<ServiceId, AvailabilityBudget> byService = new HashMap<>();
         for (PoolState pool : view.pools()) {
-            Budget budget =
+            AvailabilityBudget budget =
                     pool.service()
                             .map(
                                     s ->
                                             byService.computeIfAbsent(
                                                     s,
                                                     k ->
-                                                            new Budget(
+                                                            new AvailabilityBudget(
                                                                     "service " + k,
                                                                     view.minAvailable(k),
                                                                     demand.get(k))))
@@ -50,8 +50,8 @@
     }
 
     /** Returns the budget of a pool without a service: only its demand limits stops. */
-    private static Budget ofJobs(PoolState pool, Observation observation) {
-        return new Budget("pool " + pool.id(), 0, demandOf(pool, observation));
+    private static AvailabilityBudget ofJobs(PoolState pool, Observation observation) {
+        return new AvailabilityBudget("pool " + pool.id(), 0, demandOf(pool, observation));
     }
 
     private static int demandOf(PoolState pool, Observation observation) {
@@ -60,7 +60,7 @@
     }
 
     private void count(VmState vm, Observation observation) {
-        Budget budget = mByPool.get(vm.pool());
+        AvailabilityBudget budget = mByPool.get(vm.pool());
         if (budget == null) {
             return;
         }
@@ -85,11 +85,11 @@
                 && !observation.notServing().contains(vm.id());
     }
 
-    public Budget of(PoolId pool) {
+    public AvailabilityBudget of(PoolId pool) {
         return mByPool.get(pool);
     }
 
-    Collection<Budget> all() {
+    Collection<AvailabilityBudget> all() {
         return mByPool.values();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/RackWavePlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/RackWavePlanner.java
@@ -45,7 +45,7 @@
         if (scope.waiting().isEmpty()) {
             return finish(scope);
         }
-        Budgets budgets = Budgets.of(view, observation);
+        AvailabilityBudgets budgets = AvailabilityBudgets.of(view, observation);
         StepSelector chooser =
                 StepSelector.select(budgets, scope.waiting(), maxWidth(scope) - scope.inProgress());
         return chooser.selected().isEmpty()
@@ -97,7 +97,7 @@
     @Override
     public WavePlan plan(FleetView view, WaveState wave, Observation observation) {
         WaveScope scope = WaveScope.of(view, wave, wave.zones(), observation);
-        Budgets budgets = Budgets.of(view, observation);
+        AvailabilityBudgets budgets = AvailabilityBudgets.of(view, observation);
         List<WaveStep> steps = new ArrayList<>();
         List<WaveLimit> blocked = List.of();
         int done = scope.maintained();
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/StepSelector.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/StepSelector.java
@@ -18,22 +18,24 @@
 /** Selects the VMs of one step within the budgets: whole racks first, then parts of racks. */
 final class StepSelector {
 
-    private final Budgets mBudgets;
+    private final AvailabilityBudgets mBudgets;
     private final Map<RackId, List<VmState>> mWaiting;
     private final int mMaxWidth;
     private final List<VmState> mSelected = new ArrayList<>();
     private final Set<RackId> mRacks = new LinkedHashSet<>();
-    private final Set<Budget> mLimiting = new LinkedHashSet<>();
+    private final Set<AvailabilityBudget> mLimiting = new LinkedHashSet<>();
     private boolean mRampLimited;
 
-    private StepSelector(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
+    private StepSelector(
+            AvailabilityBudgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
         mBudgets = budgets;
         mWaiting = waiting;
         mMaxWidth = widest;
     }
 
     /** Selects the widest step; removes its VMs from the budgets and from the waiting VMs. */
-    static StepSelector select(Budgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
+    static StepSelector select(
+            AvailabilityBudgets budgets, Map<RackId, List<VmState>> waiting, int widest) {
         StepSelector chooser = new StepSelector(budgets, waiting, widest);
         List<RackId> racks = chooser.racksBySize();
         racks.forEach(chooser::addWholeRack);
@@ -87,7 +89,7 @@
     }
 
     private boolean tryStop(VmState vm) {
-        Budget budget = budget(vm);
+        AvailabilityBudget budget = budget(vm);
         if (!budget.canStop(vm.rack())) {
             return false;
         }
@@ -95,7 +97,7 @@
         return true;
     }
 
-    private Budget budget(VmState vm) {
+    private AvailabilityBudget budget(VmState vm) {
         return mBudgets.of(vm.pool());
     }
 
@@ -122,7 +124,7 @@
     /** Returns the limits of the step's width, one for each budget that was exhausted. */
     List<WaveLimit> limits() {
         List<WaveLimit> limits = new ArrayList<>();
-        for (Budget budget : mLimiting) {
+        for (AvailabilityBudget budget : mLimiting) {
             limits.add(limit(kindOf(budget), budget));
         }
         if (mRampLimited) {
@@ -132,11 +134,11 @@
         return limits;
     }
 
-    static List<WaveLimit> limitsOf(Collection<Budget> budgets) {
+    static List<WaveLimit> limitsOf(Collection<AvailabilityBudget> budgets) {
         return budgets.stream().map(b -> limit(kindOf(b), b)).toList();
     }
 
-    private static WaveLimit limit(LimitKind kind, Budget budget) {
+    private static WaveLimit limit(LimitKind kind, AvailabilityBudget budget) {
         int needed = kind == LimitKind.DEMAND ? budget.demand() : budget.minAvailable();
         return new WaveLimit(
                 kind,
@@ -144,13 +146,13 @@
                 budget.largestRack(),
                 budget.serving(),
                 needed,
-                kind == LimitKind.DEMAND ? 0 : budget.largest(),
+                kind == LimitKind.DEMAND ? 0 : budget.largestRackSize(),
                 budget.stopped());
     }
 
-    private static LimitKind kindOf(Budget budget) {
+    private static LimitKind kindOf(AvailabilityBudget budget) {
         boolean allServing = budget.serving() + budget.stopped() >= budget.powered();
-        boolean byDemand = budget.serving() - budget.largest() > budget.minAvailable();
+        boolean byDemand = budget.serving() - budget.largestRackSize() > budget.minAvailable();
         if (byDemand) {
             return LimitKind.DEMAND;
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/CallLease.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/CallLease.java
@@ -10,8 +10,9 @@
  * raised the writer epoch, the shared log rejects appends of earlier owners. A successful append
  * therefore proves that the owner was current when it sent the append, and extends the lease to
  * {@link #DURATION_MS} after that time. Calls are aborted when the lease expires. A successor waits
- * for {@link #WAIT_MS} after raising the epoch, unless its predecessor stopped with no pending
- * calls. It never waits for more than one lease, since raising the epoch fences all predecessors.
+ * for {@link #TAKEOVER_WAIT_MS} after raising the epoch, unless its predecessor stopped with no
+ * pending calls. It never waits for more than one lease, since raising the epoch fences all
+ * predecessors.
  *
  * <p>Only calls to the VM service are delayed. Workers compare tokens themselves.
  *
@@ -21,7 +22,7 @@
  * @param waitUntilMs monotonic time from which calls are allowed
  */
 public record CallLease(
-        boolean tokensChecked, Optional<Moment> lastAppendSentAt, long waitUntilMs) {
+        boolean tokensChecked, Optional<ClockReading> lastAppendSentAt, long waitUntilMs) {
     /**
      * Lease duration, in milliseconds. It exceeds the 400 ms append interval plus the latency of an
      * append to a slow store, so that the lease doesn't lapse there. A longer lease would delay VM
@@ -33,7 +34,7 @@
     public static final long MARGIN_MS = 150;
 
     /** Time after which no call of an earlier owner can be pending, in milliseconds. */
-    public static final long WAIT_MS = DURATION_MS + MARGIN_MS;
+    public static final long TAKEOVER_WAIT_MS = DURATION_MS + MARGIN_MS;
 
     /** Minimum remaining lease to start a call, in milliseconds; allows for a few round trips. */
     public static final long MIN_CALL_MS = 200;
@@ -53,7 +54,7 @@
      *
      * @param sentAt when the append was first sent
      */
-    public CallLease proved(Moment sentAt) {
+    public CallLease extendedFrom(ClockReading sentAt) {
         boolean newer = lastAppendSentAt.map(p -> sentAt.steadyMs() >= p.steadyMs()).orElse(true);
         return newer ? new CallLease(tokensChecked, Optional.of(sentAt), waitUntilMs) : this;
     }
@@ -64,22 +65,22 @@
      * @param predecessorStopped whether the predecessor is known to have no pending calls and to
      *     start no more
      */
-    public CallLease tookOver(long nowMs, boolean predecessorStopped) {
-        long wait = predecessorStopped ? 0 : WAIT_MS;
+    public CallLease epochRaised(long nowMs, boolean predecessorStopped) {
+        long wait = predecessorStopped ? 0 : TAKEOVER_WAIT_MS;
         return new CallLease(tokensChecked, lastAppendSentAt, nowMs + wait);
     }
 
     /** Returns whether all calls of earlier owners have ended. */
-    public boolean isOpen(long nowMs) {
+    public boolean isWaitOver(long nowMs) {
         return tokensChecked || nowMs >= waitUntilMs;
     }
 
     /** Returns the time limit for a call started now, in milliseconds; 0 if none is allowed. */
-    public long leftMs(Moment now) {
+    public long remainingMs(ClockReading now) {
         if (tokensChecked) {
             return Long.MAX_VALUE;
         }
-        if (lastAppendSentAt.isEmpty() || !isOpen(now.steadyMs())) {
+        if (lastAppendSentAt.isEmpty() || !isWaitOver(now.steadyMs())) {
             return 0;
         }
         long remaining = DURATION_MS - now.elapsedSince(lastAppendSentAt.get());
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/Moment.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/ClockReading.java
@@ -7,13 +7,13 @@
  * @param steadyMs monotonic clock, in milliseconds
  * @param wallMs milliseconds since the Unix epoch
  */
-public record Moment(long steadyMs, long wallMs) {
+public record ClockReading(long steadyMs, long wallMs) {
 
     /**
      * Returns the time elapsed since an earlier reading, by whichever clock advanced more. A
      * suspension or a wall clock step can then only overestimate it, unless the two coincide.
      */
-    public long elapsedSince(Moment earlier) {
+    public long elapsedSince(ClockReading earlier) {
         return Math.max(steadyMs - earlier.steadyMs, wallMs - earlier.wallMs);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/lease/RenewalWindow.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/lease/RenewalWindow.java
@@ -12,12 +12,12 @@
  *
  * <p>A successful append under an owner's epoch proves that the owner was current when it sent the
  * append. The leases that it grants end at most {@link #DURATION_MS} plus one lease duration after
- * that time. A successor raises the epoch first, and adds {@link #WAIT_MS} to the lease of each
- * worker that it hasn't reached.
+ * that time. A successor raises the epoch first, and adds {@link #TAKEOVER_WAIT_MS} to the lease of
+ * each worker that it hasn't reached.
  *
  * @param lastAppendSentAt when the latest successful append under the owner's epoch was first sent
  */
-public record RenewalWindow(Optional<Moment> lastAppendSentAt) {
+public record RenewalWindow(Optional<ClockReading> lastAppendSentAt) {
     /**
      * Time for which full leases are granted after an append was sent, in milliseconds. A longer
      * window lets tasks survive longer outages of the store, but delays a successor by the same
@@ -26,7 +26,7 @@
     public static final long DURATION_MS = 3000;
 
     /** Time that a successor adds, with an allowance for 2% drift of either clock. */
-    public static final long WAIT_MS = DURATION_MS + 150;
+    public static final long TAKEOVER_WAIT_MS = DURATION_MS + 150;
 
     /** Returns the window of an owner without a successful append. */
     public static RenewalWindow closed() {
@@ -41,7 +41,7 @@
      *
      * @param sentAt when the append was first sent
      */
-    public RenewalWindow proved(Moment sentAt) {
+    public RenewalWindow extendedFrom(ClockReading sentAt) {
         boolean newer = lastAppendSentAt.map(p -> sentAt.steadyMs() >= p.steadyMs()).orElse(true);
         return newer ? new RenewalWindow(Optional.of(sentAt)) : this;
     }
@@ -51,7 +51,7 @@
      *
      * @param maxMs duration of a full lease
      */
-    public long leaseMs(Moment now, long maxMs) {
+    public long leaseMs(ClockReading now, long maxMs) {
         if (lastAppendSentAt.isEmpty()) {
             return 0;
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/Incarnation.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/Incarnation.java
@@ -17,7 +17,7 @@
     }
 
     /** Generates a random incarnation. */
-    public static Incarnation draw(RandomGenerator random) {
+    public static Incarnation random(RandomGenerator random) {
         long value = random.nextLong();
         return new Incarnation(value == 0 ? 1 : value);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/membership/LoadSummary.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/membership/LoadSummary.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the number of requests in flight at an instance. */
-    public int at(String instance) {
+    public int inFlightAt(String instance) {
         return inFlight.getOrDefault(hash(instance), 0);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/settings/ConfigurationCheck.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/settings/ConfigurationCheck.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 
 /**
  * A base with all its overlays, checked as a whole before it is published.
@@ -16,7 +16,7 @@
  * @param shape what the fold needs to know of it; empty where there are problems
  * @param problems all that is wrong
  */
-public record ConfigurationCheck(Optional<FleetShape> shape, List<SettingsProblem> problems) {
+public record ConfigurationCheck(Optional<FleetTopology> shape, List<SettingsProblem> problems) {
     /** Name of the base file in problems. */
     public static final String BASE = "base";
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Change.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Change.java
@@ -12,7 +12,7 @@
                 WaveChange,
                 JobChange,
                 StateRestored,
-                NotUnderstood {
+                UnknownChange {
     /** Returns the objects that the change modifies. */
     Set<ObjectKey> touches();
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
@@ -13,7 +13,10 @@
  * @param author who made the change, and why
  */
 public record ConfigurationChanged(
-        String basePatch, Map<ZoneId, String> overlayPatches, FleetShape shapePatch, Author author)
+        String basePatch,
+        Map<ZoneId, String> overlayPatches,
+        FleetTopology shapePatch,
+        Author author)
         implements ConfigurationChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
@@ -24,9 +24,9 @@
  */
 public record FleetSnapshot(
         long nextOffset,
-        WindowContents window,
+        RecordWindowContents window,
         Optional<Configuration> configuration,
-        Map<PoolId, PoolShape> shapes,
+        Map<PoolId, PoolDefinition> shapes,
         Map<ServiceId, Integer> minAvailable,
         List<PoolState> pools,
         List<VmState> vms,
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
@@ -89,14 +89,14 @@
 
     /** Returns whether the last folded record may have this id. */
     public boolean endsWith(RecordId id) {
-        return mayHold(id, mNext - 1);
+        return mayContain(id, mNext - 1);
     }
 
     /**
      * Returns whether the record at an offset may have this id; false if the offset has left the
      * window.
      */
-    public boolean mayHold(RecordId id, long offset) {
+    public boolean mayContain(RecordId id, long offset) {
         boolean known = offset >= 1 && offset < mNext && mNext < offset + RecordWindow.SIZE;
         return known && mWindow.mayContain(id, offset);
     }
@@ -104,7 +104,7 @@
     /**
      * Returns whether a newer state may extend this one; true if the window is too short to tell.
      */
-    public boolean leadsTo(FleetSnapshot further) {
+    public boolean isPrefixOf(FleetSnapshot further) {
         RecordWindow w = RecordWindow.of(further.window());
         boolean known = further.nextOffset() < mNext + RecordWindow.SIZE;
         return !known || w.digest(mNext) == mWindow.digest(mNext);
@@ -137,7 +137,7 @@
             return stale.get();
         }
         Optional<ObjectKey> obstacle = mFrozen.blockingKey(record);
-        if (obstacle.isPresent() || record.change() instanceof NotUnderstood) {
+        if (obstacle.isPresent() || record.change() instanceof UnknownChange) {
             mFrozen.freeze(record.change().touches());
             return Verdict.refused(
                     VoidReason.NOT_UNDERSTOOD,
@@ -168,7 +168,7 @@
     }
 
     /** Returns whether a basis is within the window and does not match the records folded here. */
-    public boolean contradicts(Basis basis) {
+    public boolean conflictsWith(Basis basis) {
         return RecordWindow.covers(basis, mNext) && !matchesHistory(basis);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetShape.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetTopology.java
@@ -12,12 +12,12 @@
  * @param pools definition of each pool
  * @param minAvailable availability budget of each service: instances that must be serving
  */
-public record FleetShape(
-        Map<VmId, VmPlace> vms,
-        Map<PoolId, PoolShape> pools,
+public record FleetTopology(
+        Map<VmId, VmLocation> vms,
+        Map<PoolId, PoolDefinition> pools,
         Map<ServiceId, Integer> minAvailable) {
 
-    public FleetShape {
+    public FleetTopology {
         vms = Map.copyOf(vms);
         pools = Map.copyOf(pools);
         minAvailable = Map.copyOf(minAvailable);
--- a/foxtail-core/src/main/java/org/foxtailplank/state/LogRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/LogRecord.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns a copy of this record with another basis. */
-    public LogRecord basedOn(Basis other) {
+    public LogRecord withBasis(Basis other) {
         return new LogRecord(id, writer, epoch, expects, change, other);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/PoolShape.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/PoolDefinition.java
@@ -10,4 +10,4 @@
  * @param target VMs powered on for the declared jobs
  * @param reserve VMs powered on beyond the target
  */
-public record PoolShape(Optional<ServiceId> service, int target, int reserve) {}
+public record PoolDefinition(Optional<ServiceId> service, int target, int reserve) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
@@ -19,7 +19,7 @@
  * @param author who publishes it, and why
  */
 public record Publication(
-        String base, Map<ZoneId, String> overlays, FleetShape shape, Author author) {
+        String base, Map<ZoneId, String> overlays, FleetTopology shape, Author author) {
     /**
      * Longest configuration that is always published whole, with its comments. Larger ones are
      * patched, which bounds the log traffic of frequent changes.
@@ -34,7 +34,7 @@
      * @param from version that the publication is based on; if another one is in force, a patch
      *     would mix the two, so the whole configuration is published
      */
-    public ConfigurationChange on(FleetView view, long from) {
+    public ConfigurationChange toChange(FleetView view, long from) {
         return view.configuration()
                 .filter(c -> c.version() == from && length() > MAX_FULL_LENGTH)
                 .flatMap(c -> patch(view, c))
@@ -46,7 +46,7 @@
     }
 
     private Optional<ConfigurationChange> patch(FleetView view, Configuration current) {
-        Optional<FleetShape> shapePatch = shapePatch(view);
+        Optional<FleetTopology> shapePatch = shapePatch(view);
         Optional<String> basePatch = diff(current.base(), base);
         Map<ZoneId, String> overlayPatches = new HashMap<>();
         for (Map.Entry<ZoneId, String> e : overlays.entrySet()) {
@@ -79,28 +79,28 @@
     /**
      * Returns new and changed entries; empty if an entry is removed, which a patch can't express.
      */
-    private Optional<FleetShape> shapePatch(FleetView view) {
+    private Optional<FleetTopology> shapePatch(FleetView view) {
         boolean removed =
                 view.vms().stream().anyMatch(v -> !shape.vms().containsKey(v.id()))
                         || view.pools().stream().anyMatch(p -> !shape.pools().containsKey(p.id()));
         if (removed) {
             return Optional.empty();
         }
-        Map<VmId, VmPlace> vms = new HashMap<>(shape.vms());
+        Map<VmId, VmLocation> vms = new HashMap<>(shape.vms());
         vms.entrySet().removeIf(e -> view.vm(e.getKey()).filter(v -> hasPlace(v, e)).isPresent());
-        Map<PoolId, PoolShape> pools = new HashMap<>(shape.pools());
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(shape.pools());
         pools.entrySet()
                 .removeIf(e -> view.pool(e.getKey()).filter(p -> hasShape(p, e)).isPresent());
         Map<ServiceId, Integer> min = new HashMap<>(shape.minAvailable());
         min.entrySet().removeIf(e -> view.minAvailable(e.getKey()) == e.getValue());
-        return Optional.of(new FleetShape(vms, pools, min));
+        return Optional.of(new FleetTopology(vms, pools, min));
     }
 
-    private static boolean hasPlace(VmState vm, Map.Entry<VmId, VmPlace> e) {
+    private static boolean hasPlace(VmState vm, Map.Entry<VmId, VmLocation> e) {
         return vm.zone().equals(e.getValue().zone()) && vm.rack().equals(e.getValue().rack());
     }
 
-    private static boolean hasShape(PoolState p, Map.Entry<PoolId, PoolShape> e) {
-        return new PoolShape(p.service(), p.target(), p.reserve()).equals(e.getValue());
+    private static boolean hasShape(PoolState p, Map.Entry<PoolId, PoolDefinition> e) {
+        return new PoolDefinition(p.service(), p.target(), p.reserve()).equals(e.getValue());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WindowContents.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/RecordWindowContents.java
@@ -8,10 +8,10 @@
  * @param ids hash of the id at each offset modulo the window's size; 0 for none
  * @param digests digest of all records before each offset, modulo the window's size
  */
-public record WindowContents(long[] ids, long[] digests) {
+public record RecordWindowContents(long[] ids, long[] digests) {
     @Override
     public boolean equals(Object other) {
-        return other instanceof WindowContents w
+        return other instanceof RecordWindowContents w
                 && Arrays.equals(ids, w.ids)
                 && Arrays.equals(digests, w.digests);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/NotUnderstood.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/UnknownChange.java
@@ -7,8 +7,8 @@
  *
  * @param touches objects of known kinds that the record's envelope names
  */
-public record NotUnderstood(Set<ObjectKey> touches) implements Change {
-    public NotUnderstood {
+public record UnknownChange(Set<ObjectKey> touches) implements Change {
+    public UnknownChange {
         touches = Set.copyOf(touches);
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmPlace.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmLocation.java
@@ -11,4 +11,4 @@
  * @param rack rack
  * @param pool initial pool
  */
-public record VmPlace(ZoneId zone, RackId rack, PoolId pool) {}
+public record VmLocation(ZoneId zone, RackId rack, PoolId pool) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
@@ -37,7 +37,7 @@
         long lastMaintained,
         long version) {
     /** Returns the initial state of a VM that the configuration adds. */
-    public static VmState of(VmId id, VmPlace place, long version) {
+    public static VmState of(VmId id, VmLocation place, long version) {
         return new VmState(
                 id,
                 place.zone(),
@@ -54,7 +54,7 @@
     }
 
     /** Returns a copy at another location. */
-    public VmState withPlace(VmPlace place, long offset) {
+    public VmState withPlace(VmLocation place, long offset) {
         return new VmState(
                 id,
                 place.zone(),
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
@@ -79,7 +79,8 @@
     @Test
     public void admitsAnUrgentRequestDespiteABatchBacklog() {
         backlog(100, 10 * MS);
-        Ticket<String> urgent = ticket("x", RequestClass.URGENT, "big", 1000 * MS + 500 * MS);
+        QueuedRequest<String> urgent =
+                ticket("x", RequestClass.URGENT, "big", 1000 * MS + 500 * MS);
         assertTrue(mQueue.check(urgent, 0, 1000 * MS).admitted());
     }
 
@@ -87,7 +88,7 @@
     public void reportsThatATeamIsOverItsQuota() {
         backlog(100, 10 * MS);
         mQueue.add(ticket("other", RequestClass.BATCH, "small", FAR));
-        Ticket<String> t = ticket("x", RequestClass.BATCH, "big", 1100 * MS);
+        QueuedRequest<String> t = ticket("x", RequestClass.BATCH, "big", 1100 * MS);
         assertEquals(mQueue.check(t, 0, 1000 * MS).reason(), Admission.Reason.OVER_QUOTA);
     }
 
@@ -95,14 +96,15 @@
     public void removesRequestsThatCanNoLongerMeetTheirDeadline() {
         mQueue.add(ticket("soon", RequestClass.BATCH, "big", 100 * MS));
         mQueue.add(ticket("later", RequestClass.BATCH, "big", 300 * MS));
-        List<Ticket<String>> expired = mQueue.removeExpired(20 * MS, 90 * MS);
-        assertEquals(expired.stream().map(Ticket::request).toList(), List.of("soon"));
+        List<QueuedRequest<String>> expired = mQueue.removeExpired(20 * MS, 90 * MS);
+        assertEquals(expired.stream().map(QueuedRequest::request).toList(), List.of("soon"));
         assertEquals(mQueue.size(), 1);
     }
 
     @Test
     public void enforcesTheMemoryLimit() {
-        Ticket<String> large = new Ticket<>("x", RequestClass.URGENT, "big", FAR, 6000);
+        QueuedRequest<String> large =
+                new QueuedRequest<>("x", RequestClass.URGENT, "big", FAR, 6000);
         assertTrue(mQueue.check(large, 0, 0).admitted());
         mQueue.add(large);
         assertEquals(mQueue.check(large, 0, 0).reason(), Admission.Reason.FULL);
@@ -136,7 +138,8 @@
         return mQueue.take(0).orElseThrow().request();
     }
 
-    private static Ticket<String> ticket(String item, RequestClass c, String team, long deadline) {
-        return new Ticket<>(item, c, team, deadline, 10);
+    private static QueuedRequest<String> ticket(
+            String item, RequestClass c, String team, long deadline) {
+        return new QueuedRequest<>(item, c, team, deadline, 10);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/control/VmProcedureTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/control/VmProcedureTest.java
@@ -8,9 +8,9 @@
 import org.foxtailplank.id.RackId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.internal.control.VmAtPlatform.Power;
-import org.foxtailplank.internal.control.VmAtPlatform.Progress;
-import org.foxtailplank.internal.control.VmAtPlatform.ReportedAction;
+import org.foxtailplank.internal.control.PlatformVmStatus.Power;
+import org.foxtailplank.internal.control.PlatformVmStatus.Progress;
+import org.foxtailplank.internal.control.PlatformVmStatus.ReportedAction;
 import org.foxtailplank.state.ActionOutcome;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmPhase;
@@ -25,13 +25,14 @@
     private static final Optional<BackendReport> BUSY = Optional.of(new BackendReport(true, 1));
     private static final Optional<BackendReport> IDLE = Optional.of(new BackendReport(true, 0));
 
-    private final VmProcedure mProcedure = new VmProcedure(new VmWaits(SETTLE, TIMEOUT, TIMEOUT));
+    private final VmProcedure mProcedure =
+            new VmProcedure(new VmTimeouts(SETTLE, TIMEOUT, TIMEOUT));
 
     @Test
     public void drainsAVmBeforeItIsRebooted() {
         assertEquals(
                 next(rebooting(), up(false, 0, "old"), SERVING, Duration.ZERO),
-                new VmStep.AskDrain(new PlatformCall("vm-4-drain", 16)));
+                new VmProcedureStep.RequestDrain(new PlatformCall("vm-4-drain", 16)));
     }
 
     /**
@@ -43,27 +44,28 @@
         Duration early = SETTLE.minusMillis(1);
         assertEquals(
                 next(rebooting(), up(true, 16, "vm-4-drain"), IDLE, early),
-                new VmStep.Wait("entries to learn that it is leaving"));
+                new VmProcedureStep.Wait("entries to learn that it is leaving"));
     }
 
     @Test
     public void waitsForWorkInFlightAndForTheBackendServersReport() {
-        VmAtPlatform draining = up(true, 16, "vm-4-drain");
+        PlatformVmStatus draining = up(true, 16, "vm-4-drain");
         assertEquals(
-                next(rebooting(), draining, BUSY, SETTLE), new VmStep.Wait("1 requests in flight"));
+                next(rebooting(), draining, BUSY, SETTLE),
+                new VmProcedureStep.Wait("1 requests in flight"));
         assertEquals(
                 next(rebooting(), draining, SERVING, SETTLE),
-                new VmStep.Wait("its backend server to report that it is leaving"));
+                new VmProcedureStep.Wait("its backend server to report that it is leaving"));
         assertEquals(
                 next(rebooting(), draining, Optional.empty(), SETTLE),
-                new VmStep.Wait("an answer to the health check"));
+                new VmProcedureStep.Wait("an answer to the health check"));
     }
 
     @Test
     public void rebootsOnceTheBackendServerReportsNothingInFlight() {
         assertEquals(
                 next(rebooting(), up(true, 16, "vm-4-drain"), IDLE, SETTLE),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         new PlatformCall("vm-4-action", 17),
                         VmAction.REBOOT,
                         "nothing in flight, reported by its backend server"));
@@ -71,17 +73,17 @@
 
     @Test
     public void proceedsAfterTheDrainTimeoutAndReportsWhatWasLeft() {
-        VmAtPlatform draining = up(true, 16, "vm-4-drain");
+        PlatformVmStatus draining = up(true, 16, "vm-4-drain");
         PlatformCall call = new PlatformCall("vm-4-action", 17);
         assertEquals(
                 next(rebooting(), draining, BUSY, TIMEOUT),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         call,
                         VmAction.REBOOT,
                         "drain timed out after 60000 ms, 1 in flight, 0 tasks"));
         assertEquals(
                 next(rebooting(), draining, Optional.empty(), TIMEOUT),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         call,
                         VmAction.REBOOT,
                         "drain timed out after 60000 ms, no health answer, 0 tasks"));
@@ -89,16 +91,16 @@
 
     @Test
     public void requestsTheActionAtOnceWhenNothingRuns() {
-        VmAtPlatform off = new VmAtPlatform(Power.DOWN, false, 0, Optional.empty());
+        PlatformVmStatus off = new PlatformVmStatus(Power.DOWN, false, 0, Optional.empty());
         assertEquals(
                 next(rebooting(), off, Optional.empty(), Duration.ZERO),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         new PlatformCall("vm-4-action", 17),
                         VmAction.REBOOT,
                         "nothing runs on it"));
         assertEquals(
                 next(waking(), off, Optional.empty(), Duration.ZERO),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         new PlatformCall("vm-4-action", 17), VmAction.WAKE, "nothing runs on it"));
     }
 
@@ -108,13 +110,13 @@
      */
     @Test
     public void confirmsAnActionOnlyOnceTheBackendServerServes() {
-        VmAtPlatform done = ended(Progress.DONE);
+        PlatformVmStatus done = ended(Progress.DONE);
         assertEquals(
                 next(rebooting(), done, Optional.empty(), Duration.ZERO),
-                new VmStep.Wait("its backend server to serve"));
+                new VmProcedureStep.Wait("its backend server to serve"));
         assertEquals(
                 next(rebooting(), done, SERVING, Duration.ZERO),
-                new VmStep.Confirm(ActionOutcome.DONE, "its backend server serves"));
+                new VmProcedureStep.Confirm(ActionOutcome.DONE, "its backend server serves"));
     }
 
     @Test
@@ -130,7 +132,7 @@
                         TIMEOUT);
         assertEquals(
                 mProcedure.next(rebooting(), seen),
-                new VmStep.Confirm(
+                new VmProcedureStep.Confirm(
                         ActionOutcome.FAILED, "its backend server did not serve within 60000 ms"));
     }
 
@@ -138,14 +140,14 @@
     public void confirmsAFailureThatThePlatformReports() {
         assertEquals(
                 next(rebooting(), ended(Progress.FAILED), Optional.empty(), Duration.ZERO),
-                new VmStep.Confirm(ActionOutcome.FAILED, "reported by the platform"));
+                new VmProcedureStep.Confirm(ActionOutcome.FAILED, "reported by the platform"));
     }
 
     @Test
     public void withdrawsAnActionThatThePlatformCanNoLongerTake() {
         assertEquals(
                 next(rebooting(), up(false, 17, "by-hand"), SERVING, Duration.ZERO),
-                new VmStep.Confirm(
+                new VmProcedureStep.Confirm(
                         ActionOutcome.WITHDRAWN, "superseded by an action from outside"));
     }
 
@@ -154,31 +156,32 @@
         VmState vm = vm(VmPhase.RELEASING, Optional.empty(), Optional.of(QUOTES));
         assertEquals(
                 next(vm, up(false, 17, "vm-4-action"), SERVING, Duration.ZERO),
-                new VmStep.AskDrain(new PlatformCall("vm-4-release", 19)));
+                new VmProcedureStep.RequestDrain(new PlatformCall("vm-4-release", 19)));
         assertEquals(
                 next(vm, up(true, 19, "vm-4-release"), BUSY, SETTLE),
-                new VmStep.Wait("1 requests in flight"));
+                new VmProcedureStep.Wait("1 requests in flight"));
         assertEquals(
                 next(vm, up(true, 19, "vm-4-release"), IDLE, SETTLE),
-                new VmStep.Join(QUOTES, "nothing in flight, reported by its backend server"));
+                new VmProcedureStep.Join(
+                        QUOTES, "nothing in flight, reported by its backend server"));
     }
 
     @Test
     public void wakesAVmThatWasReassignedWhileItWasOff() {
         VmState vm = vm(VmPhase.RELEASING, Optional.of(VmAction.REASSIGN), Optional.empty());
         ReportedAction done = new ReportedAction("vm-4-action", Progress.DONE);
-        VmAtPlatform off = new VmAtPlatform(Power.DOWN, false, 17, Optional.of(done));
+        PlatformVmStatus off = new PlatformVmStatus(Power.DOWN, false, 17, Optional.of(done));
         assertEquals(
                 next(vm, off, Optional.empty(), Duration.ZERO),
-                new VmStep.AskAction(
+                new VmProcedureStep.RequestAction(
                         new PlatformCall("vm-4-wake", 18),
                         VmAction.WAKE,
                         "it was reassigned while off"));
         ReportedAction woken = new ReportedAction("vm-4-wake", Progress.DONE);
-        VmAtPlatform up = new VmAtPlatform(Power.UP, false, 18, Optional.of(woken));
+        PlatformVmStatus up = new PlatformVmStatus(Power.UP, false, 18, Optional.of(woken));
         assertEquals(
                 next(vm, up, SERVING, Duration.ZERO),
-                new VmStep.Confirm(ActionOutcome.DONE, "its backend server serves"));
+                new VmProcedureStep.Confirm(ActionOutcome.DONE, "its backend server serves"));
     }
 
     @Test
@@ -194,7 +197,7 @@
                         Duration.ZERO);
         assertEquals(
                 mProcedure.next(rebooting(), seen),
-                new VmStep.Wait("2 tasks to write checkpoints"));
+                new VmProcedureStep.Wait("2 tasks to write checkpoints"));
     }
 
     @Test
@@ -202,23 +205,26 @@
         VmState vm = vm(VmPhase.SERVING, Optional.empty(), Optional.empty());
         assertEquals(
                 next(vm, up(false, 17, "vm-4-action"), SERVING, Duration.ZERO),
-                new VmStep.Nothing());
+                new VmProcedureStep.Nothing());
     }
 
-    private VmStep next(
-            VmState vm, VmAtPlatform report, Optional<BackendReport> backend, Duration draining) {
+    private VmProcedureStep next(
+            VmState vm,
+            PlatformVmStatus report,
+            Optional<BackendReport> backend,
+            Duration draining) {
         return mProcedure.next(
                 vm, new VmObservation(report, true, true, 0, backend, draining, Duration.ZERO));
     }
 
-    private static VmAtPlatform up(boolean leaving, long generation, String lastAction) {
+    private static PlatformVmStatus up(boolean leaving, long generation, String lastAction) {
         ReportedAction last = new ReportedAction(lastAction, Progress.DONE);
-        return new VmAtPlatform(Power.UP, leaving, generation, Optional.of(last));
+        return new PlatformVmStatus(Power.UP, leaving, generation, Optional.of(last));
     }
 
-    private static VmAtPlatform ended(Progress progress) {
+    private static PlatformVmStatus ended(Progress progress) {
         ReportedAction own = new ReportedAction("vm-4-action", progress);
-        return new VmAtPlatform(Power.UP, false, 17, Optional.of(own));
+        return new PlatformVmStatus(Power.UP, false, 17, Optional.of(own));
     }
 
     private static VmState rebooting() {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/RoutingExperiment.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/dispatch/RoutingExperiment.java
@@ -13,8 +13,8 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.internal.admission.Ticket;
-import org.foxtailplank.internal.routing.AttemptEnd;
+import org.foxtailplank.internal.admission.QueuedRequest;
+import org.foxtailplank.internal.routing.AttemptOutcome;
 import org.foxtailplank.internal.routing.ConnectionShare;
 import org.foxtailplank.internal.routing.Health;
 import org.foxtailplank.internal.routing.Router;
@@ -189,7 +189,7 @@
     private final class Entry {
         private final int mZone;
         private final Router mRouter;
-        private final Lane<SimulatedRequest> mDispatcher;
+        private final ServiceDispatcher<SimulatedRequest> mDispatcher;
         private final int[] mMisses = new int[INSTANCES];
 
         Entry(int index) {
@@ -199,26 +199,26 @@
                     mStrategy == Strategy.HOME
                             ? new ConnectionShare(SLOTS, SLOTS)
                             : ConnectionShare.of(64, 3, 6);
-            mRouter.list(mInstances.stream().map(i -> i.mServer).toList(), s -> share);
-            mDispatcher = new Lane<>(SERVICE, mRouter, t -> 1, 0.1);
+            mRouter.updateInstances(mInstances.stream().map(i -> i.mServer).toList(), s -> share);
+            mDispatcher = new ServiceDispatcher<>(SERVICE, mRouter, t -> 1, 0.1);
         }
 
         void take(SimulatedRequest r) {
             PendingRequest<SimulatedRequest> p =
                     PendingRequest.of(
-                            new Ticket<>(r, r.requestClass(), "t", mNow + DEADLINE, 100),
-                            RunRule.REPEATABLE);
-            if (!mDispatcher.check(p, mNow).admitted()) {
+                            new QueuedRequest<>(r, r.requestClass(), "t", mNow + DEADLINE, 100),
+                            RetrySafety.IDEMPOTENT);
+            if (!mDispatcher.checkAdmission(p, mNow).admitted()) {
                 refused(r);
                 return;
             }
-            mDispatcher.add(p);
+            mDispatcher.enqueue(p);
             pump();
         }
 
         void tick() {
-            mDispatcher.giveUp(mNow).forEach(RoutingExperiment.this::refused);
-            mRouter.wake(mNow);
+            mDispatcher.removeExpired(mNow).forEach(RoutingExperiment.this::refused);
+            mRouter.endDueEjections(mNow);
             pump();
             if (mNow % PROBE == 0) {
                 mRouter.targets().forEach(this::probe);
@@ -230,21 +230,22 @@
             Instance i = mInstances.get(Integer.parseInt(t.server().vm().value()));
             if (isCut(mZone, i.mZone)) {
                 if (++mMisses[i.mIndex] >= 2) {
-                    t.saw(Health.SILENT);
+                    t.updateHealth(Health.SILENT);
                 }
                 return;
             }
             mMisses[i.mIndex] = 0;
-            t.saw(Health.SERVING);
+            t.updateHealth(Health.SERVING);
             if (mStrategy == Strategy.OWN_AND_WINDOW) {
-                t.heard(i.inFlight(), SLOTS);
+                t.updateLoad(i.inFlight(), SLOTS);
             }
         }
 
         void pump() {
-            for (Optional<Attempt<SimulatedRequest>> a = mDispatcher.next(mNow); a.isPresent(); ) {
+            for (Optional<Attempt<SimulatedRequest>> a = mDispatcher.nextAttempt(mNow);
+                    a.isPresent(); ) {
                 send(a.get());
-                a = mDispatcher.next(mNow);
+                a = mDispatcher.nextAttempt(mNow);
             }
         }
 
@@ -253,12 +254,12 @@
             boolean[] done = new boolean[1];
             if (isCut(mZone, i.mZone)) {
                 long wait = Math.min(CONNECT_TIMEOUT, a.timeout());
-                schedule(mNow + wait, () -> ended(a, AttemptEnd.NOT_CONNECTED, done));
+                schedule(mNow + wait, () -> ended(a, AttemptOutcome.NOT_CONNECTED, done));
                 return;
             }
             long forwardDelay = mStrategy == Strategy.HOME && i.mIndex != mZone ? NEAR_DELAY : 0;
             long delay = forwardDelay + (mZone == i.mZone ? NEAR_DELAY : FAR_DELAY);
-            schedule(mNow + a.timeout(), () -> ended(a, AttemptEnd.BROKEN, done));
+            schedule(mNow + a.timeout(), () -> ended(a, AttemptOutcome.NO_RESPONSE, done));
             schedule(
                     mNow + delay,
                     () ->
@@ -268,12 +269,13 @@
                                             schedule(mNow + delay, () -> ended(a, outcome, done))));
         }
 
-        private void ended(Attempt<SimulatedRequest> a, AttemptEnd outcome, boolean[] done) {
+        private void ended(Attempt<SimulatedRequest> a, AttemptOutcome outcome, boolean[] done) {
             if (done[0]) {
                 return;
             }
             done[0] = true;
-            Optional<Attempt<SimulatedRequest>> another = mDispatcher.ended(a, outcome, mNow);
+            Optional<Attempt<SimulatedRequest>> another =
+                    mDispatcher.attemptEnded(a, outcome, mNow);
             if (another.isPresent()) {
                 send(another.get());
             } else {
@@ -288,14 +290,14 @@
         mLateAfterHealing += isAfterHealing(r.arrived()) ? 1 : 0;
     }
 
-    private void finished(SimulatedRequest r, AttemptEnd outcome) {
+    private void finished(SimulatedRequest r, AttemptOutcome outcome) {
         if (!isCounted(r.arrived())) {
             return;
         }
         long latency = mNow - r.arrived();
-        if (outcome != AttemptEnd.GOOD || latency > DEADLINE) {
-            mLost += outcome == AttemptEnd.BUSY || outcome.nothingSent() ? 0 : 1;
-            mRefused += outcome == AttemptEnd.BUSY || outcome.nothingSent() ? 1 : 0;
+        if (outcome != AttemptOutcome.SUCCESS || latency > DEADLINE) {
+            mLost += outcome == AttemptOutcome.BUSY || outcome.nothingSent() ? 0 : 1;
+            mRefused += outcome == AttemptOutcome.BUSY || outcome.nothingSent() ? 1 : 0;
             mLateAfterHealing += isAfterHealing(r.arrived()) ? 1 : 0;
             return;
         }
@@ -328,16 +330,16 @@
             return mBusy + mQueue.size();
         }
 
-        void arrive(long remainingTime, java.util.function.Consumer<AttemptEnd> answer) {
+        void arrive(long remainingTime, java.util.function.Consumer<AttemptOutcome> answer) {
             boolean faulty = mIndex == 0 && mFault != Fault.NONE && mFault != Fault.CUT;
             mSentToFaulty += faulty && isCounted(mNow) ? 1 : 0;
             if (faulty && mFault == Fault.FAILS_FAST) {
-                schedule(mNow + MS / 2, () -> answer.accept(AttemptEnd.SERVER_ERROR));
+                schedule(mNow + MS / 2, () -> answer.accept(AttemptOutcome.SERVER_ERROR));
                 return;
             }
             long wait = (long) (mQueue.size() / (double) SLOTS * SERVICE_TIME) + SERVICE_TIME;
             if (mStrategy == Strategy.HOME && wait > remainingTime) {
-                answer.accept(AttemptEnd.BUSY);
+                answer.accept(AttemptOutcome.BUSY);
                 return;
             }
             mQueue.add(() -> serve(faulty, answer));
@@ -354,13 +356,13 @@
             }
         }
 
-        private void serve(boolean slow, java.util.function.Consumer<AttemptEnd> answer) {
+        private void serve(boolean slow, java.util.function.Consumer<AttemptOutcome> answer) {
             long time = (long) (SERVICE_TIME * (0.5 + mRandom.nextDouble()) * (slow ? 10 : 1));
             schedule(
                     mNow + time,
                     () -> {
                         mBusy--;
-                        answer.accept(AttemptEnd.GOOD);
+                        answer.accept(AttemptOutcome.SUCCESS);
                         startNext();
                     });
         }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/HashOwnershipTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/idempotency/HashOwnershipCounterexampleTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Demonstrates why key ownership by hash and lease was rejected: a key may run twice. */
-public class HashOwnershipTest {
+public class HashOwnershipCounterexampleTest {
 
     private static final int KEYS = 10_000;
     private static final Duration LEASE = Duration.ofSeconds(2);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
@@ -40,7 +40,7 @@
         offer(2, HOUR);
         findEnd(5);
         assertEquals(appendStep(), List.of(1L, 2L));
-        List<SettledGroup> settled = mQueue.appended(5, 7);
+        List<GroupResult> settled = mQueue.appended(5, 7);
         assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 7));
         assertEquals(settled.get(1).outcome(), new AppendOutcome.Appended(6, 7));
         assertTrue(mQueue.isEmpty());
@@ -81,9 +81,9 @@
         offer(1, HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         assertEquals(readBackStep(), 5);
-        List<SettledGroup> settled = mQueue.readBack(page(1, 8, item(5, 9), item(6, 1)), mNow);
+        List<GroupResult> settled = mQueue.readBack(page(1, 8, item(5, 9), item(6, 1)), mNow);
         assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(6, 8));
         assertTrue(mQueue.isEmpty());
     }
@@ -94,11 +94,11 @@
         offer(1, HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         readBackStep();
         assertTrue(mQueue.readBack(page(1, 5), mNow).isEmpty());
         assertEquals(readBackStep(), 5);
-        List<SettledGroup> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
+        List<GroupResult> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
         assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 6));
     }
 
@@ -107,7 +107,7 @@
         offer(1, HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         long lost = mNow;
         while (mNow < lost + LATE) {
             assertEquals(readBackStep(), 5);
@@ -122,7 +122,7 @@
         offer(1, 10 * HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         int attempts = 0;
         while (mNow < 5 * HOUR) {
             readBackStep();
@@ -131,7 +131,7 @@
         }
         assertTrue(attempts < 5 * 3600, "attempts: " + attempts);
         readBackStep();
-        List<SettledGroup> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
+        List<GroupResult> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
         assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 6));
     }
 
@@ -141,9 +141,9 @@
         findEnd(5);
         appendStep();
         offer(2, 100 * MILLI);
-        mQueue.answerLost(mNow);
-        assertTrue(mQueue.giveUp(99 * MILLI).isEmpty());
-        Map<Long, AppendOutcome> outcomes = byNumber(mQueue.giveUp(100 * MILLI));
+        mQueue.responseLost(mNow);
+        assertTrue(mQueue.removeExpired(99 * MILLI).isEmpty());
+        Map<Long, AppendOutcome> outcomes = byNumber(mQueue.removeExpired(100 * MILLI));
         assertTrue(outcomes.get(1L) instanceof AppendOutcome.Unresolved);
         assertTrue(outcomes.get(2L) instanceof AppendOutcome.NotAppended);
         assertTrue(mQueue.isEmpty());
@@ -155,9 +155,9 @@
         offer(1, HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         readBackStep();
-        List<SettledGroup> settled = mQueue.readBack(page(9, 12), mNow);
+        List<GroupResult> settled = mQueue.readBack(page(9, 12), mNow);
         assertTrue(settled.get(0).outcome() instanceof AppendOutcome.Unresolved);
     }
 
@@ -166,9 +166,9 @@
         offer(1, HOUR);
         findEnd(5);
         appendStep();
-        mQueue.answerLost(mNow);
+        mQueue.responseLost(mNow);
         readBackStep();
-        List<SettledGroup> settled = mQueue.readBack(page(1, 1), mNow);
+        List<GroupResult> settled = mQueue.readBack(page(1, 1), mNow);
         assertTrue(settled.get(0).outcome() instanceof AppendOutcome.Unresolved);
         offer(2, HOUR);
         assertEquals(appendStep(), List.of(2L));
@@ -188,7 +188,7 @@
      * responses and delayed calls.
      */
     @Test(dataProvider = "seeds")
-    public void callersAreToldWhatTheLogSays(long seed) {
+    public void reportedOutcomesMatchTheLog(long seed) {
         Random random = new Random(seed);
         mQueue = queue(seed);
         List<Long> log = new ArrayList<>();
@@ -202,7 +202,7 @@
             }
             applyLateCalls(lateCalls, log);
             outcomes.putAll(byNumber(step(random, log, lateCalls)));
-            outcomes.putAll(byNumber(mQueue.giveUp(mNow)));
+            outcomes.putAll(byNumber(mQueue.removeExpired(mNow)));
         }
         mNow += HOUR;
         applyLateCalls(lateCalls, log);
@@ -224,7 +224,7 @@
                 });
     }
 
-    private List<SettledGroup> step(Random random, List<Long> log, List<LateCall> lateCalls) {
+    private List<GroupResult> step(Random random, List<Long> log, List<LateCall> lateCalls) {
         AppendStep step = mQueue.next(mNow);
         boolean answered = random.nextInt(3) > 0;
         if (step instanceof AppendStep.Wait wait) {
@@ -243,20 +243,20 @@
         return List.of();
     }
 
-    private List<SettledGroup> append(
+    private List<GroupResult> append(
             Random random, AppendStep.Append append, List<Long> log, List<LateCall> lateCalls) {
         List<Long> numbers = append.groups().stream().map(AppendGroup::number).toList();
         long first = log.size() + 1;
         switch (random.nextInt(5)) {
             case 0 -> mQueue.refused(mNow);
-            case 1 -> mQueue.answerLost(mNow);
+            case 1 -> mQueue.responseLost(mNow);
             case 2 -> {
                 log.addAll(numbers);
-                mQueue.answerLost(mNow);
+                mQueue.responseLost(mNow);
             }
             case 3 -> {
                 lateCalls.add(new LateCall(mNow + random.nextInt((int) LATE), numbers));
-                mQueue.answerLost(mNow);
+                mQueue.responseLost(mNow);
             }
             default -> {
                 log.addAll(numbers);
@@ -281,7 +281,7 @@
 
     private static AppendQueue queue(long seed) {
         AppendLimits limits = new AppendLimits(MAX_GROUPS, 3, 1000, LATE);
-        AppendShare share = new AppendShare(1e6, 1, 1, 0, 0);
+        AppendRateLimiter share = new AppendRateLimiter(1e6, 1, 1, 0, 0);
         return new AppendQueue(
                 limits, share, new Backoff(10 * MILLI, 2000 * MILLI, new Random(seed)));
     }
@@ -317,26 +317,26 @@
         return step;
     }
 
-    private static Map<Long, AppendOutcome> byNumber(List<SettledGroup> settled) {
+    private static Map<Long, AppendOutcome> byNumber(List<GroupResult> settled) {
         Map<Long, AppendOutcome> outcomes = new HashMap<>();
         settled.forEach(s -> outcomes.put(s.group().number(), s.outcome()));
         return outcomes;
     }
 
     private static LogPage pageOf(List<Long> log, long from, int limit) {
-        List<LogItem> items = new ArrayList<>();
+        List<LoggedRecord> items = new ArrayList<>();
         for (long offset = from; offset <= log.size() && items.size() < limit; offset++) {
             items.add(item(offset, log.get((int) offset - 1)));
         }
         return new LogPage(1, log.size() + 1, items);
     }
 
-    private static LogPage page(long oldest, long end, LogItem... items) {
+    private static LogPage page(long oldest, long end, LoggedRecord... items) {
         return new LogPage(oldest, end, List.of(items));
     }
 
-    private static LogItem item(long offset, long number) {
-        return new LogItem(offset, id(number));
+    private static LoggedRecord item(long offset, long number) {
+        return new LoggedRecord(offset, id(number));
     }
 
     private static RecordId id(long number) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendShareTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendRateLimiterTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Tests the shared append budget with a fake clock. */
-public final class AppendShareTest {
+public final class AppendRateLimiterTest {
 
     private static final long MILLI = 1_000_000;
     private static final long SECOND = 1_000 * MILLI;
@@ -20,13 +20,13 @@
 
     @Test
     public void shareIsTheBudgetDividedByTheNodes() {
-        AppendShare limiter = limiter();
+        AppendRateLimiter limiter = limiter();
         assertEquals(limiter.permittedRate(0), BUDGET / NODES);
     }
 
     @Test
     public void nextPermitIsAvailableAtTheAnnouncedTime() {
-        AppendShare limiter = limiter();
+        AppendRateLimiter limiter = limiter();
         long now = 0;
         while (limiter.tryAcquire(now)) {
             continue;
@@ -39,8 +39,8 @@
 
     @Test
     public void peerWithoutARecentReportLendsNothing() {
-        AppendShare limiter = limiter();
-        limiter.peerUses(NodeId.of("n1"), 0, 0);
+        AppendRateLimiter limiter = limiter();
+        limiter.updatePeerRate(NodeId.of("n1"), 0, 0);
         assertTrue(limiter.permittedRate(HEARTBEAT) > BUDGET / NODES);
         assertEquals(limiter.permittedRate(10 * SECOND), BUDGET / NODES);
     }
@@ -79,7 +79,7 @@
 
     /** Simulates nodes that exchange heartbeats; the first {@code busy} append at full rate. */
     private static long[] run(int busy, int seconds) {
-        List<AppendShare> limiters = new ArrayList<>();
+        List<AppendRateLimiter> limiters = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             limiters.add(limiter());
         }
@@ -95,18 +95,18 @@
         return taken;
     }
 
-    private static void exchange(List<AppendShare> limiters, long now) {
+    private static void exchange(List<AppendRateLimiter> limiters, long now) {
         for (int from = 0; from < limiters.size(); from++) {
-            double use = limiters.get(from).use(now);
+            double use = limiters.get(from).measuredRate(now);
             for (int to = 0; to < limiters.size(); to++) {
                 if (to != from) {
-                    limiters.get(to).peerUses(NodeId.of("n" + from), use, now);
+                    limiters.get(to).updatePeerRate(NodeId.of("n" + from), use, now);
                 }
             }
         }
     }
 
-    private static AppendShare limiter() {
-        return new AppendShare(BUDGET, NODES, 1, 2 * HEARTBEAT, 0);
+    private static AppendRateLimiter limiter() {
+        return new AppendRateLimiter(BUDGET, NODES, 1, 2 * HEARTBEAT, 0);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
@@ -21,15 +21,15 @@
 
     @Test
     public void connectionAttemptsAreRateLimited() {
-        TryBudget limiter = new TryBudget(10, 3, 0);
+        ConnectRateLimiter limiter = new ConnectRateLimiter(10, 3, 0);
         assertEquals(taken(limiter, 0), 3);
         assertEquals(taken(limiter, 200_000_000L), 2);
         assertEquals(taken(limiter, 3_600_000_000_000L), 3);
     }
 
-    private static int taken(TryBudget limiter, long now) {
+    private static int taken(ConnectRateLimiter limiter, long now) {
         int taken = 0;
-        while (limiter.take(now)) {
+        while (limiter.tryAcquire(now)) {
             taken++;
         }
         return taken;
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/CatchUpTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/CatchUpTest.java
@@ -58,7 +58,7 @@
     public void progressThroughAPeerDoesNotRestartTheGracePeriod() {
         List<Member> members = List.of(member("x", "a", 20));
         mCatchUp.peerToAsk(at(9), members, 0);
-        mCatchUp.helped(at(12));
+        mCatchUp.peerHelped(at(12));
         assertEquals(mCatchUp.peerToAsk(at(12), members, GRACE), Optional.of(NodeId.of("x")));
     }
 
@@ -73,7 +73,7 @@
     public void asksAnotherPeerAfterOneFailed() {
         List<Member> members = List.of(member("near", "a", 10), member("far", "b", 10));
         mCatchUp.peerToAsk(at(9), members, 0);
-        mCatchUp.failed(NodeId.of("near"), GRACE);
+        mCatchUp.peerFailed(NodeId.of("near"), GRACE);
         assertEquals(mCatchUp.peerToAsk(at(9), members, GRACE), Optional.of(NodeId.of("far")));
         assertEquals(
                 mCatchUp.peerToAsk(at(9), members, GRACE + AVOID), Optional.of(NodeId.of("near")));
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/HeartbeatPlanTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/HeartbeatPlanTest.java
@@ -19,9 +19,9 @@
     @Test
     public void sendsToAllPeersWithinTheBudget() {
         HeartbeatPlan<Integer> plan = plan(1_000);
-        assertEquals(new HashSet<>(plan.next(peers(8), 9)), peers(8));
-        assertEquals(plan.newsLimit(8, 9), 2);
-        assertEquals(plan.spread(8, 9), Duration.ZERO);
+        assertEquals(new HashSet<>(plan.nextPeers(peers(8), 9)), peers(8));
+        assertEquals(plan.digestLimit(8, 9), 2);
+        assertEquals(plan.propagationDelay(8, 9), Duration.ZERO);
     }
 
     @Test
@@ -29,20 +29,20 @@
         HeartbeatPlan<Integer> plan = plan(1_000);
         Set<Integer> reached = new HashSet<>();
         for (int tick = 0; tick < 10; tick++) {
-            List<Integer> chosen = plan.next(peers(20), 276);
+            List<Integer> chosen = plan.nextPeers(peers(20), 276);
             assertEquals(chosen.size(), 2);
             assertTrue(reached.addAll(chosen));
         }
         assertEquals(reached, peers(20));
-        assertTrue(plan.spread(20, 276).compareTo(Duration.ZERO) > 0);
+        assertTrue(plan.propagationDelay(20, 276).compareTo(Duration.ZERO) > 0);
     }
 
     @Test
     public void selectsNoPeerTwiceNorRemovedPeers() {
         HeartbeatPlan<Integer> plan = plan(1_000);
-        plan.next(peers(5), 500);
+        plan.nextPeers(peers(5), 500);
         for (int tick = 0; tick < 20; tick++) {
-            List<Integer> chosen = plan.atOnce(peers(3), 2, 500);
+            List<Integer> chosen = plan.immediatePeers(peers(3), 2, 500);
             assertEquals(Set.copyOf(chosen).size(), 2);
             assertTrue(peers(3).containsAll(chosen));
         }
@@ -51,18 +51,18 @@
     @Test
     public void unscheduledMessagesAreDeductedFromTheBudget() {
         HeartbeatPlan<Integer> plan = plan(1_000);
-        plan.atOnce(peers(20), 8, 500);
+        plan.immediatePeers(peers(20), 8, 500);
         int sent = 8;
         for (int tick = 0; tick < 20; tick++) {
-            sent += plan.next(peers(20), 276).size();
+            sent += plan.nextPeers(peers(20), 276).size();
         }
         assertTrue(sent <= 8 + 20 * 2, "heartbeats sent: " + sent);
-        assertEquals(plan.next(peers(20), 276).size(), 2);
+        assertEquals(plan.nextPeers(peers(20), 276).size(), 2);
     }
 
     @Test
     public void sendsNothingWithoutPeers() {
-        assertTrue(plan(1_000).next(Set.of(), 100).isEmpty());
+        assertTrue(plan(1_000).nextPeers(Set.of(), 100).isEmpty());
     }
 
     private static HeartbeatPlan<Integer> plan(int bytesPerSecond) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MembershipScaleTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/MembershipScaleTest.java
@@ -47,7 +47,9 @@
         }
         long now = 0;
         for (Node node : nodes) {
-            nodes.stream().filter(n -> n != node).forEach(n -> node.mTable.met(n.mSelf, 0));
+            nodes.stream()
+                    .filter(n -> n != node)
+                    .forEach(n -> node.mTable.authenticated(n.mSelf, 0));
         }
         for (int tick = 0; tick < 120; tick++, now += TICK) {
             sendHeartbeats(nodes, nodes, now);
@@ -94,7 +96,7 @@
             mSelf =
                     new PeerIdentity(
                             NodeId.of("n" + index),
-                            Incarnation.draw(random),
+                            Incarnation.random(random),
                             ZoneId.of("a"),
                             new InetSocketAddress("127.0.0.1", 1_000 + index),
                             Set.of(NodeRole.ENTRY));
@@ -107,15 +109,15 @@
             Set<Integer> peers = new LinkedHashSet<>();
             all.forEach(node -> peers.add(node.mIndex));
             peers.remove(mIndex);
-            Duration delay = mPlan.spread(peers.size(), BYTES_EACH);
-            mTable.allow(SilenceLimits.of(SILENCE).allowing(delay));
+            Duration delay = mPlan.propagationDelay(peers.size(), BYTES_EACH);
+            mTable.setSilenceLimits(SilenceLimits.of(SILENCE).plusPropagationDelay(delay));
             mTable.tick(now);
             mSequence++;
-            int digests = mPlan.newsLimit(peers.size(), BYTES_EACH);
-            for (int peer : mPlan.next(peers, BYTES_EACH)) {
+            int digests = mPlan.digestLimit(peers.size(), BYTES_EACH);
+            for (int peer : mPlan.nextPeers(peers, BYTES_EACH)) {
                 MemberTable table = all.get(peer).mTable;
-                table.heard(mSelf.incarnation(), mSequence, now);
-                mTable.news(digests).forEach(n -> table.told(n, now));
+                table.heartbeatReceived(mSelf.incarnation(), mSequence, now);
+                mTable.nextDigests(digests).forEach(n -> table.digestReceived(n, now));
             }
         }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/placement/FakeWorkers.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/placement/FakeWorkers.java
@@ -51,11 +51,11 @@
         Resources capacity = Resources.of(processors, processors * 4 * GIB, 0);
         VmId id = VmId.of(pool + i);
         RackId rack = RackId.of("r" + i / 4);
-        placer.worker(new Worker(id, PoolId.of(pool), rack, capacity, open), now);
+        placer.updateWorker(new Worker(id, PoolId.of(pool), rack, capacity, open), now);
     }
 
     FakeWorkers team(String name, double quota) {
-        placer.quotas(Map.of(TeamId.of(name), quota));
+        placer.setQuotas(Map.of(TeamId.of(name), quota));
         return this;
     }
 
@@ -71,13 +71,13 @@
                         count);
         JobState job = new JobState(JobId.of(name), spec, false, Map.of(), 1);
         jobs.put(job.id(), job);
-        placer.job(job, now);
+        placer.updateJob(job, now);
         return job.id();
     }
 
     void cancel(JobId id) {
         JobState j = jobs.get(id);
-        placer.job(new JobState(id, j.spec(), true, Map.of(), 2), now);
+        placer.updateJob(new JobState(id, j.spec(), true, Map.of(), 2), now);
     }
 
     /** Executes one decision of the placer. */
@@ -121,14 +121,14 @@
     private void set(PlacementAction a, Optional<TaskOutcome> outcome) {
         TaskState state = new TaskState(a.worker(), a.attempt(), a.action(), outcome);
         tasks.put(a.task(), state);
-        placer.task(a.task(), state, now);
+        placer.updateTask(a.task(), state, now);
     }
 
     void end(TaskId task, TaskOutcome outcome) {
         TaskState t = tasks.get(task);
         TaskState ended = new TaskState(t.worker(), t.attempt(), t.action(), Optional.of(outcome));
         tasks.put(task, ended);
-        placer.task(task, ended, now);
+        placer.updateTask(task, ended, now);
     }
 
     long running(JobId job) {
@@ -151,7 +151,7 @@
         tasks.forEach(
                 (id, t) -> {
                     if (runs(t) && !silent.contains(t.worker())) {
-                        placer.renewed(id, now);
+                        placer.renewLease(id, now);
                     }
                 });
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/placement/IndexedPlacerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/placement/IndexedPlacerTest.java
@@ -28,7 +28,7 @@
 
     private static FakeWorkers fleet(int workers) {
         FakeWorkers fleet = new FakeWorkers().workers("p", workers, 16);
-        fleet.placer.quotas(Map.of(TeamId.of("a"), 0.5, TeamId.of("b"), 0.5));
+        fleet.placer.setQuotas(Map.of(TeamId.of("a"), 0.5, TeamId.of("b"), 0.5));
         return fleet;
     }
 
@@ -57,7 +57,7 @@
                     (id, t) -> {
                         var used = new Resources(16_000, 16 * GIB, 0);
                         var running = new WorkerReport.Running(id, t.attempt(), used);
-                        fleet.placer.report(
+                        fleet.placer.applyReport(
                                 new WorkerReport(t.worker(), fleet.now, List.of(running)),
                                 fleet.now);
                     });
@@ -88,7 +88,7 @@
     @Test
     public void letsNoTeamReclaimBeyondItsQuota() {
         FakeWorkers fleet = fleet(4);
-        fleet.placer.quotas(Map.of(TeamId.of("a"), 0.75, TeamId.of("b"), 0.25));
+        fleet.placer.setQuotas(Map.of(TeamId.of("a"), 0.75, TeamId.of("b"), 0.25));
         fleet.job("batch", "a", RequestClass.BATCH, 16, 4);
         fleet.round();
 
@@ -240,7 +240,7 @@
         assertFalse(fleet.tasks.get(task).worker().equals(paused));
 
         var old = new WorkerReport.Running(task, 1, new Resources(4_000, GIB, 0));
-        fleet.placer.report(new WorkerReport(paused, fleet.now, List.of(old)), fleet.now);
+        fleet.placer.applyReport(new WorkerReport(paused, fleet.now, List.of(old)), fleet.now);
         PlacementDecision decision = fleet.placer.decide(fleet.now);
 
         assertTrue(
@@ -301,7 +301,8 @@
                                                     e.getValue().attempt(),
                                                     new Resources(2_000, 8 * GIB, 0)))
                             .toList();
-            fleet.placer.report(new WorkerReport(VmId.of("p0"), fleet.now, running), fleet.now);
+            fleet.placer.applyReport(
+                    new WorkerReport(VmId.of("p0"), fleet.now, running), fleet.now);
             fleet.round();
         }
 
@@ -323,7 +324,7 @@
                                         new WorkerReport.Running(
                                                 id, 1, new Resources(4_000, 32 * GIB, 0)))
                         .toList();
-        fleet.placer.report(new WorkerReport(VmId.of("p0"), fleet.now, running), fleet.now);
+        fleet.placer.applyReport(new WorkerReport(VmId.of("p0"), fleet.now, running), fleet.now);
         fleet.round();
 
         assertEquals(fleet.asked(TaskAction.CHECKPOINT), 1);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RouterTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RouterTest.java
@@ -36,7 +36,7 @@
     public void prefersTheEntrysZone() {
         list(server("near", "z1"), server("far", "z2"));
         for (int i = 0; i < 5; i++) {
-            assertEquals(runAttempt(AttemptEnd.GOOD, 20 * MS), "near");
+            assertEquals(runAttempt(AttemptOutcome.SUCCESS, 20 * MS), "near");
         }
     }
 
@@ -44,7 +44,7 @@
     public void spillsOverWhenTheZoneIsFull() {
         list(server("near", "z1"), server("far", "z2"));
         for (int i = 0; i < SHARE.sameZone(); i++) {
-            choose().begin();
+            choose().attemptStarted();
         }
         assertEquals(name(choose()), "far");
     }
@@ -53,7 +53,7 @@
     public void choosesNoInstanceBeyondItsConnectionShare() {
         list(server("near", "z1"));
         for (int i = 0; i < SHARE.sameZone(); i++) {
-            choose().begin();
+            choose().attemptStarted();
         }
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
     }
@@ -74,15 +74,15 @@
         int bad = 0;
         for (int i = 0; i < 1000; i++) {
             Target t = choose();
-            t.begin();
+            t.attemptStarted();
             boolean isBad = name(t).equals("bad");
             bad += isBad ? 1 : 0;
             mNow += isBad ? MS / 10 : 20 * MS;
             t.attemptEnded(
-                    isBad ? AttemptEnd.SERVER_ERROR : AttemptEnd.GOOD,
+                    isBad ? AttemptOutcome.SERVER_ERROR : AttemptOutcome.SUCCESS,
                     isBad ? MS / 10 : 20 * MS,
                     mNow);
-            mRouter.wake(mNow);
+            mRouter.endDueEjections(mNow);
         }
         assertTrue(bad < 50, "requests sent to the failing instance: " + bad);
     }
@@ -95,19 +95,19 @@
         assertTrue(a.isEjected());
         assertEquals(name(choose()), "b");
         mNow += 1000 * MS;
-        mRouter.wake(mNow);
+        mRouter.endDueEjections(mNow);
         assertFalse(a.isEjected());
-        a.begin();
+        a.attemptStarted();
         assertFalse(a.isAvailable(), "a second request during the trial");
-        a.attemptEnded(AttemptEnd.GOOD, 20 * MS, mNow);
-        a.begin();
+        a.attemptEnded(AttemptOutcome.SUCCESS, 20 * MS, mNow);
+        a.attemptStarted();
         assertTrue(a.isAvailable());
     }
 
     @Test
     public void sendsNothingToADrainingInstanceAlthoughItIsListed() {
         list(server("a", "z1"));
-        target("a").saw(Health.LEAVING);
+        target("a").updateHealth(Health.LEAVING);
         list(server("a", "z1"));
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
         assertFalse(mRouter.hasServingInstance(SERVICE));
@@ -119,9 +119,9 @@
     @Test
     public void usesUnresponsiveInstancesWhenAllAreUnresponsive() {
         list(server("a", "z1"), server("b", "z1"));
-        target("a").saw(Health.SILENT);
+        target("a").updateHealth(Health.SILENT);
         assertEquals(name(choose()), "b");
-        target("b").saw(Health.SILENT);
+        target("b").updateHealth(Health.SILENT);
         assertTrue(mRouter.choose(SERVICE, Set.of()).isPresent());
     }
 
@@ -130,11 +130,11 @@
         list(server("a", "z1"));
         Target a = target("a");
         for (int i = 0; i < 6; i++) {
-            a.heard(40, 8);
+            a.updateLoad(40, 8);
         }
-        a.begin();
+        a.attemptStarted();
         assertFalse(a.isAvailable(), "a second request at a time");
-        a.heard(2, 8);
+        a.updateLoad(2, 8);
         assertTrue(a.isAvailable());
     }
 
@@ -143,12 +143,12 @@
         list(server("a", "z1"));
         Target a = target("a");
         for (int i = 0; i < SHARE.sameZone(); i++) {
-            choose().begin();
+            choose().attemptStarted();
         }
-        a.hold(true);
-        a.attemptEnded(AttemptEnd.GOOD, 20 * MS, mNow);
+        a.reserveForProbe(true);
+        a.attemptEnded(AttemptOutcome.SUCCESS, 20 * MS, mNow);
         assertFalse(mRouter.choose(SERVICE, Set.of()).isPresent());
-        a.hold(false);
+        a.reserveForProbe(false);
         assertTrue(mRouter.choose(SERVICE, Set.of()).isPresent());
     }
 
@@ -163,16 +163,16 @@
 
     private void fail(Target t) {
         for (int i = 0; i < 5; i++) {
-            t.begin();
+            t.attemptStarted();
         }
         for (int i = 0; i < 5; i++) {
-            t.attemptEnded(AttemptEnd.SERVER_ERROR, MS, mNow);
+            t.attemptEnded(AttemptOutcome.SERVER_ERROR, MS, mNow);
         }
     }
 
-    private String runAttempt(AttemptEnd outcome, long nanos) {
+    private String runAttempt(AttemptOutcome outcome, long nanos) {
         Target t = choose();
-        t.begin();
+        t.attemptStarted();
         mNow += nanos;
         t.attemptEnded(outcome, nanos, mNow);
         return name(t);
@@ -188,7 +188,7 @@
 
     private void list(BackendServer... servers) {
         List<BackendServer> list = new ArrayList<>(List.of(servers));
-        mRouter.list(list, s -> SHARE);
+        mRouter.updateInstances(list, s -> SHARE);
     }
 
     private static BackendServer server(String vm, String zone) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RoutingDecisionBench.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/routing/RoutingDecisionBench.java
@@ -46,13 +46,13 @@
                             ZoneId.of("z" + i % 3),
                             new InetSocketAddress("127.0.0.1", 1)));
         }
-        router.list(servers, s -> new ConnectionShare(6, 2));
+        router.updateInstances(servers, s -> new ConnectionShare(6, 2));
         router.targets().stream()
                 .limit(size / 10)
                 .forEach(
                         t -> {
                             for (int i = 0; i < t.limit(); i++) {
-                                t.begin();
+                                t.attemptStarted();
                             }
                         });
         return router;
@@ -64,15 +64,15 @@
         for (int i = 0; i < DECISIONS; i++) {
             Target old = running[i & 3];
             if (old != null) {
-                old.attemptEnded(AttemptEnd.GOOD, 20_000_000, start);
+                old.attemptEnded(AttemptOutcome.SUCCESS, 20_000_000, start);
             }
             Target t = router.choose(SERVICE, Set.of()).orElseThrow();
-            t.begin();
+            t.attemptStarted();
             running[i & 3] = t;
         }
         double nanos = (System.nanoTime() - start) / (double) DECISIONS;
         for (Target t : running) {
-            t.attemptEnded(AttemptEnd.GOOD, 20_000_000, start);
+            t.attemptEnded(AttemptOutcome.SUCCESS, 20_000_000, start);
         }
         return nanos;
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/wave/WaveOnTheFoldTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerFoldTest.java
@@ -23,24 +23,24 @@
 import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.ConfigurationPublished;
-import org.foxtailplank.state.FleetShape;
 import org.foxtailplank.state.FleetState;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmActionConfirmed;
 import org.foxtailplank.state.VmActionIntended;
 import org.foxtailplank.state.VmHealth;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.state.VmObserved;
-import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.WaveStarted;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Tests the wave planner on {@link FleetState}: both agree on allowed stops and on failures. */
-public class WaveOnTheFoldTest {
+public class RackWavePlannerFoldTest {
 
     private static final Author AUTHOR = new Author("test", "test");
     private static final ZoneId ZONE = ZoneId.of("a");
@@ -52,16 +52,16 @@
     @BeforeMethod
     public void publish() {
         mState = new FleetState();
-        Map<VmId, VmPlace> places = new HashMap<>();
+        Map<VmId, VmLocation> places = new HashMap<>();
         PoolId pool = PoolId.of("claims");
         ServiceId service = ServiceId.of("claims");
         for (int i = 0; i < 20; i++) {
-            places.put(VmId.of("vm" + i), new VmPlace(ZONE, RackId.of("r" + i % 10), pool));
+            places.put(VmId.of("vm" + i), new VmLocation(ZONE, RackId.of("r" + i % 10), pool));
         }
-        FleetShape shape =
-                new FleetShape(
+        FleetTopology shape =
+                new FleetTopology(
                         places,
-                        Map.of(pool, new PoolShape(Optional.of(service), 18, 0)),
+                        Map.of(pool, new PoolDefinition(Optional.of(service), 18, 0)),
                         Map.of(service, 9));
         apply(
                 new ConfigurationPublished("{}", Map.of(), shape, AUTHOR),
@@ -76,7 +76,7 @@
                 new LogRecord(
                         RecordId.of("r" + at), NodeId.of("n"), Optional.empty(), expects, change);
         assertEquals(
-                mState.apply(at, record.basedOn(mState.basis())),
+                mState.apply(at, record.withBasis(mState.basis())),
                 Verdict.APPLIED,
                 change.toString());
     }
@@ -112,7 +112,7 @@
     }
 
     @Test
-    public void rebootsThatTheLogCallsFailedPauseTheWave() {
+    public void failedRebootsInTheLogPauseTheWave() {
         // Guards against a restarted controller that misses failures which only the log shows.
         intendStep().forEach(vm -> confirm(vm, ActionOutcome.FAILED));
 
--- a/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseModel.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseModel.java
@@ -79,9 +79,9 @@
             return new Owner(token, lease, 0, 0, false, false, Optional.empty(), Optional.empty());
         }
 
-        Moment clock(int now) {
+        ClockReading clock(int now) {
             long ms = now * STEP_MS;
-            return new Moment(ms - suspendedMs, ms + wallOffsetMs);
+            return new ClockReading(ms - suspendedMs, ms + wallOffsetMs);
         }
 
         Owner withLease(CallLease newLease) {
@@ -170,7 +170,7 @@
     }
 
     /** An append in progress, with the store's response once it has been processed. */
-    record Append(Moment sentAt, boolean raisesEpoch, StoreResponse response) {}
+    record Append(ClockReading sentAt, boolean raisesEpoch, StoreResponse response) {}
 
     /** Response of the store, which the owner hasn't received yet. */
     enum StoreResponse {
@@ -180,13 +180,13 @@
     }
 
     /** A call in progress, which its owner aborts when its remaining time is over. */
-    record Call(Moment sentAt, long remainingMs) {}
+    record Call(ClockReading sentAt, long remainingMs) {}
 
     static LeaseModel initial(Guards guards, Scope scope) {
         // The first owner's wait is over, and its lease has just been extended.
         Owner first = Owner.create(1);
-        Moment zero = first.clock(0);
-        CallLease lease = first.lease().proved(zero).tookOver(zero.steadyMs(), true);
+        ClockReading zero = first.clock(0);
+        CallLease lease = first.lease().extendedFrom(zero).epochRaised(zero.steadyMs(), true);
         return new LeaseModel(guards, scope, 0, 1, 0, false, List.of(first.withLease(lease)));
     }
 
@@ -247,20 +247,20 @@
     }
 
     private long remainingMs(Owner o) {
-        Moment m = o.clock(now);
+        ClockReading m = o.clock(now);
         CallLease lease = o.lease();
         if (lease.lastAppendSentAt().isEmpty()) {
             return 0;
         }
-        Moment sentAt = lease.lastAppendSentAt().get();
+        ClockReading sentAt = lease.lastAppendSentAt().get();
         if (!guards.usesWallClock()) {
-            m = new Moment(m.steadyMs(), sentAt.wallMs());
+            m = new ClockReading(m.steadyMs(), sentAt.wallMs());
         }
         if (!guards.usesMonotonicClock()) {
             long frozenMs = Math.max(sentAt.steadyMs(), lease.waitUntilMs());
-            m = lease.isOpen(m.steadyMs()) ? new Moment(frozenMs, m.wallMs()) : m;
+            m = lease.isWaitOver(m.steadyMs()) ? new ClockReading(frozenMs, m.wallMs()) : m;
         }
-        return lease.leftMs(m);
+        return lease.remainingMs(m);
     }
 
     /** Lets the store accept or reject the append. */
@@ -287,11 +287,11 @@
         if (append.response() == StoreResponse.FENCED) {
             return replaceOwner(after.stop());
         }
-        Moment sentAt = guards.extendsFromSendTime() ? append.sentAt() : o.clock(now);
-        CallLease lease = o.lease().proved(sentAt);
+        ClockReading sentAt = guards.extendsFromSendTime() ? append.sentAt() : o.clock(now);
+        CallLease lease = o.lease().extendedFrom(sentAt);
         if (append.raisesEpoch()) {
             boolean waitSkipped = !guards.successorWaits() || predecessorStopped(o);
-            lease = lease.tookOver(o.clock(now).steadyMs(), waitSkipped);
+            lease = lease.epochRaised(o.clock(now).steadyMs(), waitSkipped);
         }
         return replaceOwner(after.withLease(lease));
     }
@@ -301,7 +301,7 @@
         Owner predecessor = owners.get(o.token() - 2);
         boolean callsOver =
                 predecessor.pendingCall().isEmpty()
-                        && predecessor.lease().isOpen(predecessor.clock(now).steadyMs());
+                        && predecessor.lease().isWaitOver(predecessor.clock(now).steadyMs());
         return predecessor.stopped() && (callsOver || !guards.reportsPendingCalls());
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/settings/SettingsReaderTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/settings/SettingsReaderTest.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -73,7 +73,7 @@
             throws IOException {
         Path dir = EXAMPLES.resolve(name);
         String base = Files.readString(dir.resolve("base.jsonc"));
-        FleetShape shape =
+        FleetTopology shape =
                 FleetShapes.of(valid(SettingsReader.base("base.jsonc", base)).settings());
         for (int zone = 1; zone <= zones; zone++) {
             String file = city + "-" + zone + ".jsonc";
--- a/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
@@ -18,7 +18,7 @@
 /** Tests folding of configuration changes. */
 public class ConfigurationTest {
     private static final ZoneId SITE = ZoneId.of("sofia-2");
-    private static final FleetShape NOTHING = new FleetShape(Map.of(), Map.of(), Map.of());
+    private static final FleetTopology NOTHING = new FleetTopology(Map.of(), Map.of(), Map.of());
 
     /** Guards against a lost update by a publication that is based on an old version. */
     @Test
@@ -68,11 +68,11 @@
     @Test
     public void refusesToRemoveAVmThatServes() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        FleetShape shape = FoldDriver.shape(4, 2);
-        Map<VmId, VmPlace> fewer = new HashMap<>(shape.vms());
+        FleetTopology shape = FoldDriver.shape(4, 2);
+        Map<VmId, VmLocation> fewer = new HashMap<>(shape.vms());
         fewer.remove(VmId.of("claims1"));
         ConfigurationPublished without =
-                published(new FleetShape(fewer, shape.pools(), shape.minAvailable()));
+                published(new FleetTopology(fewer, shape.pools(), shape.minAvailable()));
         LogRecord early = d.record(without, configuration(version(d)));
         assertRefused(VoidReason.WRONG_PHASE, d.write(early));
         d.writeApplied(d.intent("claims1", VmAction.SLEEP));
@@ -84,13 +84,13 @@
     @Test
     public void refusesANewServiceForAPoolThatServes() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        FleetShape shape = FoldDriver.shape(4, 2);
-        Map<PoolId, PoolShape> pools = new HashMap<>(shape.pools());
+        FleetTopology shape = FoldDriver.shape(4, 2);
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(shape.pools());
         Optional<ServiceId> other = Optional.of(ServiceId.of("letters"));
-        pools.put(PoolId.of("claims"), new PoolShape(other, 4, 0));
+        pools.put(PoolId.of("claims"), new PoolDefinition(other, 4, 0));
         LogRecord r =
                 d.record(
-                        published(new FleetShape(shape.vms(), pools, shape.minAvailable())),
+                        published(new FleetTopology(shape.vms(), pools, shape.minAvailable())),
                         configuration(version(d)));
         assertRefused(VoidReason.WRONG_PHASE, d.write(r));
     }
@@ -110,7 +110,7 @@
         d.writeApplied(change(patch), configuration(version(d)));
     }
 
-    private static ConfigurationPublished published(FleetShape shape) {
+    private static ConfigurationPublished published(FleetTopology shape) {
         return new ConfigurationPublished("{}", Map.of(), shape, AUTHOR);
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
@@ -24,25 +24,25 @@
     private int mIds;
 
     /** Returns two pools that run a service of the same name, with one VM in each rack. */
-    public static FleetShape shape(int racks, int minAvailable) {
-        Map<VmId, VmPlace> vms = new HashMap<>();
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+    public static FleetTopology shape(int racks, int minAvailable) {
+        Map<VmId, VmLocation> vms = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> min = new HashMap<>();
         for (String name : new String[] {"claims", "photos"}) {
             PoolId pool = PoolId.of(name);
-            pools.put(pool, new PoolShape(Optional.of(ServiceId.of(name)), racks, 0));
+            pools.put(pool, new PoolDefinition(Optional.of(ServiceId.of(name)), racks, 0));
             min.put(ServiceId.of(name), minAvailable);
             for (int i = 1; i <= racks; i++) {
-                vms.put(VmId.of(name + i), new VmPlace(ZONE, RackId.of("rack" + i), pool));
+                vms.put(VmId.of(name + i), new VmLocation(ZONE, RackId.of("rack" + i), pool));
             }
         }
-        return new FleetShape(vms, pools, min);
+        return new FleetTopology(vms, pools, min);
     }
 
     /** Returns a driver whose state has all VMs of {@link #shape} serving. */
     public static FoldDriver serving(int racks, int minAvailable) {
         FoldDriver d = new FoldDriver();
-        FleetShape shape = shape(racks, minAvailable);
+        FleetTopology shape = shape(racks, minAvailable);
         d.writeApplied(new ConfigurationPublished("{}", Map.of(), shape, AUTHOR), configuration(0));
         shape.vms().keySet().forEach(d::serve);
         return d;
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
@@ -122,7 +122,7 @@
     private static ExploredState start() {
         List<LogRecord> log = new ArrayList<>();
         FoldDriver d = new FoldDriver();
-        FleetShape shape = FoldDriver.shape(4, 2);
+        FleetTopology shape = FoldDriver.shape(4, 2);
         Change first = new ConfigurationPublished("{}", Map.of(), shape, FoldDriver.AUTHOR);
         log.add(d.record(first, FoldDriver.configuration(0)));
         d.write(log.get(0));
--- a/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
@@ -42,10 +42,10 @@
     @Test
     public void publishesASmallChangeOfALargeConfigurationAsAPatch() {
         FoldDriver d = published("{" + FILLER + ",\"n\":1 /* first */ }");
-        FleetShape shape = FoldDriver.shape(4, 1);
+        FleetTopology shape = FoldDriver.shape(4, 1);
         Publication p =
                 new Publication("{" + FILLER + ",\"n\":2}", Map.of(SITE, "{}"), shape, AUTHOR);
-        ConfigurationChange c = p.on(d.state(), version(d));
+        ConfigurationChange c = p.toChange(d.state(), version(d));
         assertTrue(c instanceof ConfigurationChanged, c.toString());
         assertEquals(((ConfigurationChanged) c).basePatch(), "{\"n\":2}");
         assertTrue(((ConfigurationChanged) c).shapePatch().vms().isEmpty());
@@ -59,7 +59,7 @@
     @Test
     public void publishesWholeWhatAPatchCannotExpress() {
         FoldDriver d = published("{" + FILLER + "}");
-        FleetShape same = FoldDriver.shape(4, 2);
+        FleetTopology same = FoldDriver.shape(4, 2);
         assertWhole(d, "{" + FILLER + ",\"n\":null}", Map.of(SITE, "{}"), same);
         assertWhole(d, "{" + FILLER + "}", Map.of(), same);
         assertWhole(d, "{" + FILLER + "}", Map.of(SITE, "{}"), FoldDriver.shape(3, 2));
@@ -70,11 +70,11 @@
     @Test
     public void publishesWholeOnAnUnknownVersion() {
         FoldDriver d = published("{" + FILLER + "}");
-        FleetShape shape = FoldDriver.shape(4, 2);
+        FleetTopology shape = FoldDriver.shape(4, 2);
         String base = "{" + FILLER + ",\"n\":1}";
         Publication p = new Publication(base, Map.of(SITE, "{}"), shape, AUTHOR);
-        assertTrue(p.on(d.state(), version(d)) instanceof ConfigurationChanged);
-        assertTrue(p.on(d.state(), version(d) + 1) instanceof ConfigurationPublished);
+        assertTrue(p.toChange(d.state(), version(d)) instanceof ConfigurationChanged);
+        assertTrue(p.toChange(d.state(), version(d) + 1) instanceof ConfigurationPublished);
     }
 
     private static long version(FoldDriver d) {
@@ -82,9 +82,9 @@
     }
 
     private static void assertWhole(
-            FoldDriver d, String base, Map<ZoneId, String> overlays, FleetShape shape) {
+            FoldDriver d, String base, Map<ZoneId, String> overlays, FleetTopology shape) {
         ConfigurationChange c =
-                new Publication(base, overlays, shape, AUTHOR).on(d.state(), version(d));
+                new Publication(base, overlays, shape, AUTHOR).toChange(d.state(), version(d));
         assertEquals(c, new ConfigurationPublished(base, overlays, shape, AUTHOR));
     }
 
--- a/foxtail-demo/src/main/java/org/foxtailplank/demo/internal/DemoSystem.java
+++ b/foxtail-demo/src/main/java/org/foxtailplank/demo/internal/DemoSystem.java
@@ -103,7 +103,7 @@
         }
         mController = start(runtime, nodes.get(ENTRIES), NodeRole.CONTROL);
         List<Seed> seeds = nodes().stream().map(FoxtailNode::seed).toList();
-        nodes().forEach(n -> n.meet(seeds));
+        nodes().forEach(n -> n.setSeeds(seeds));
     }
 
     private FoxtailNode start(PekkoRuntime runtime, NodeId node, NodeRole role)
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryParts.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryContext.java
@@ -16,17 +16,17 @@
  * @param metrics registry for the entry's counters
  * @param inWave whether a maintenance wave has taken an instance of a service out of use
  */
-public record EntryParts(
+public record EntryContext(
         NodeId node,
         Settings settings,
         Directory directory,
-        KeyedRequests keyedRequests,
+        KeyedRequestHandler keyedRequests,
         MetricRegistry metrics,
         Predicate<ServiceId> inWave) {
 
     /** Returns dependencies without key protection and waves, and with a registry of their own. */
-    public static EntryParts of(NodeId node, Settings settings, Directory directory) {
-        return new EntryParts(
+    public static EntryContext of(NodeId node, Settings settings, Directory directory) {
+        return new EntryContext(
                 node,
                 settings,
                 directory,
@@ -36,17 +36,17 @@
     }
 
     /** Returns a copy with a handler of keyed requests. */
-    public EntryParts withKeys(KeyedRequests keyed) {
-        return new EntryParts(node, settings, directory, keyed, metrics, inWave);
+    public EntryContext withKeys(KeyedRequestHandler keyed) {
+        return new EntryContext(node, settings, directory, keyed, metrics, inWave);
     }
 
     /** Returns a copy with a metric registry. */
-    public EntryParts withMetrics(MetricRegistry registry) {
-        return new EntryParts(node, settings, directory, keyedRequests, registry, inWave);
+    public EntryContext withMetrics(MetricRegistry registry) {
+        return new EntryContext(node, settings, directory, keyedRequests, registry, inWave);
     }
 
     /** Returns a copy with a test for services in a maintenance wave. */
-    public EntryParts withWaves(Predicate<ServiceId> waves) {
-        return new EntryParts(node, settings, directory, keyedRequests, metrics, waves);
+    public EntryContext withWaves(Predicate<ServiceId> waves) {
+        return new EntryContext(node, settings, directory, keyedRequests, metrics, waves);
     }
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryServer.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryServer.java
@@ -34,7 +34,7 @@
 
     /** Starts an entry that listens on its node's address for callers. */
     public static CompletionStage<EntryServer> start(
-            ClassicActorSystemProvider system, EntryParts parts) {
+            ClassicActorSystemProvider system, EntryContext parts) {
         NodeSettings node = parts.settings().nodes().get(parts.node());
         RequestFlow flow = RequestFlow.start(system, parts, node.zone());
         RequestCounters counters = new RequestCounters(parts.metrics(), parts.inWave());
@@ -45,7 +45,7 @@
     }
 
     /** Returns a handler that refuses keyed requests as {@code not-run}. */
-    public static KeyedRequests refusingKeys() {
+    public static KeyedRequestHandler refusingKeys() {
         return (request, attempt) ->
                 CompletableFuture.completedFuture(EntryAnswers.keysUnavailable());
     }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/FoxtailNode.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/FoxtailNode.java
@@ -17,10 +17,10 @@
 import org.apache.pekko.http.javadsl.server.Route;
 import org.foxtailplank.controller.ConfigurationFollower;
 import org.foxtailplank.controller.Controller;
-import org.foxtailplank.controller.ControllerParts;
+import org.foxtailplank.controller.ControllerContext;
+import org.foxtailplank.entry.internal.idempotency.ClaimingRequestHandler;
 import org.foxtailplank.entry.internal.idempotency.KeyOptions;
-import org.foxtailplank.entry.internal.idempotency.PeerLinkClaims;
-import org.foxtailplank.entry.internal.idempotency.ProtectedKeys;
+import org.foxtailplank.entry.internal.idempotency.PeerLinkClaimPeers;
 import org.foxtailplank.entry.internal.node.WaveTracker;
 import org.foxtailplank.membership.Incarnation;
 import org.foxtailplank.membership.NodeRole;
@@ -76,7 +76,7 @@
 
     private Optional<EntryServer> mEntry = Optional.empty();
     private Optional<PlatformDirectory> mDirectory = Optional.empty();
-    private Optional<ProtectedKeys> mKeys = Optional.empty();
+    private Optional<ClaimingRequestHandler> mKeys = Optional.empty();
     private Optional<Controller> mController = Optional.empty();
     private Optional<HttpListener> mListener = Optional.empty();
     private Optional<Cancellable> mBurnTimer = Optional.empty();
@@ -95,7 +95,7 @@
         mLog = LogClient.of(mPlatform.log(), settings);
         mFleet = FleetFollower.start(mLog, FollowOptions.of(options.node(), settings.platform()));
         mConfiguration = new ConfigurationFollower(settings, options.node(), mFleet, peers);
-        StateExchange.start(peers, SharedFleetState.of(mFleet), StateExchangeLimits.usual());
+        StateExchange.start(peers, SharedFleetState.of(mFleet), StateExchangeLimits.defaults());
         mBurnLog =
                 BurnLog.of(
                         mLog,
@@ -108,11 +108,11 @@
     /** Starts a node, which is serving when this method returns. */
     public static FoxtailNode start(PekkoRuntime runtime, NodeOptions options)
             throws ProcessException {
-        Incarnation incarnation = Incarnation.draw(new SecureRandom());
+        Incarnation incarnation = Incarnation.random(new SecureRandom());
         FoxtailNode node =
                 new FoxtailNode(runtime, options, incarnation, startPeerLink(options, incarnation));
         try {
-            node.meet(Seed.from(options.settings()));
+            node.setSeeds(Seed.from(options.settings()));
             node.startEntry();
             node.startBurnTimer();
             node.startAdmin();
@@ -139,8 +139,8 @@
     }
 
     /** Replaces the configured addresses of peers. */
-    public void meet(Collection<Seed> seeds) {
-        mPeers.learn(
+    public void setSeeds(Collection<Seed> seeds) {
+        mPeers.setSeeds(
                 SeedSource.SETTINGS,
                 seeds.stream().filter(s -> !s.node().equals(mOptions.node())).toList());
     }
@@ -170,7 +170,7 @@
         mController.ifPresent(Controller::stop);
         mListener.ifPresent(HttpListener::unbind);
         mDirectory.ifPresent(PlatformDirectory::stop);
-        mKeys.ifPresent(ProtectedKeys::close);
+        mKeys.ifPresent(ClaimingRequestHandler::close);
         mPeers.close();
         mFleet.close();
         mLog.close();
@@ -182,7 +182,8 @@
         NodeSettings node = settings.nodes().get(options.node());
         try {
             return PeerLink.start(
-                    PeerLinkClaims.options(options.node(), settings, incarnation, options.roles()));
+                    PeerLinkClaimPeers.options(
+                            options.node(), settings, incarnation, options.roles()));
         } catch (PeerLinkException e) {
             throw ProcessException.failed(
                     "Can't listen for peers on " + node.peers() + ": " + e.getMessage(), e);
@@ -196,9 +197,9 @@
         PlatformDirectory directory =
                 PlatformDirectory.polling(mPlatform.vms(), LIST_INTERVAL, mRuntime.system());
         mDirectory = Optional.of(directory);
-        PeerLinkClaims peers = PeerLinkClaims.of(mPeers, mOptions.settings());
-        ProtectedKeys keys =
-                ProtectedKeys.start(
+        PeerLinkClaimPeers peers = PeerLinkClaimPeers.of(mPeers, mOptions.settings());
+        ClaimingRequestHandler keys =
+                ClaimingRequestHandler.start(
                         mRuntime.system(),
                         peers.self(),
                         KeyOptions.of(mOptions.settings(), mOptions.newDeployment()),
@@ -206,8 +207,8 @@
                         peers,
                         mMetrics);
         mKeys = Optional.of(keys);
-        EntryParts parts =
-                EntryParts.of(mOptions.node(), mOptions.settings(), directory)
+        EntryContext parts =
+                EntryContext.of(mOptions.node(), mOptions.settings(), directory)
                         .withMetrics(mMetrics)
                         .withWaves(WaveTracker.of(mFleet))
                         .withKeys(keys);
@@ -244,8 +245,8 @@
         mListener = Optional.of(HttpListener.bind(mRuntime, address, routes));
     }
 
-    private ControllerParts controllerParts() {
-        return ControllerParts.of(mOptions.node(), mOptions.settings(), mFleet, mPlatform)
+    private ControllerContext controllerParts() {
+        return ControllerContext.of(mOptions.node(), mOptions.settings(), mFleet, mPlatform)
                 .withPeers(mPeers)
                 .withMetrics(mMetrics)
                 .withBurn(mBurnLog);
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/KeyedRequests.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/KeyedRequestHandler.java
@@ -8,7 +8,7 @@
  * Runs each request with an idempotency key at most once across all entries, and returns the first
  * answer to repeated requests while it is cached.
  */
-public interface KeyedRequests {
+public interface KeyedRequestHandler {
 
     /**
      * Answers a request whose {@link CallerRequest#key} is present.
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Exchange.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Exchange.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.CompletionStage;
 import org.foxtailplank.entry.Answer;
 import org.foxtailplank.entry.CallerRequest;
-import org.foxtailplank.internal.admission.Ticket;
+import org.foxtailplank.internal.admission.QueuedRequest;
 import org.foxtailplank.internal.dispatch.PendingRequest;
-import org.foxtailplank.internal.dispatch.RunRule;
+import org.foxtailplank.internal.dispatch.RetrySafety;
 
 /** A caller's request and its future answer. */
 final class Exchange {
@@ -37,8 +37,8 @@
     }
 
     PendingRequest<Exchange> pending() {
-        Ticket<Exchange> ticket =
-                new Ticket<>(
+        QueuedRequest<Exchange> ticket =
+                new QueuedRequest<>(
                         this,
                         mRequest.requestClass(),
                         team(),
@@ -47,10 +47,10 @@
         return PendingRequest.of(ticket, rule());
     }
 
-    private RunRule rule() {
+    private RetrySafety rule() {
         if (mRequest.repeatable()) {
-            return RunRule.REPEATABLE;
+            return RetrySafety.IDEMPOTENT;
         }
-        return mRequest.key().isPresent() ? RunRule.ONCE_BY_KEY : RunRule.ONCE;
+        return mRequest.key().isPresent() ? RetrySafety.KEYED : RetrySafety.NON_IDEMPOTENT;
     }
 }
