--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/InstancePools.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/InstancePools.java
@@ -81,7 +81,7 @@
     private void apply() {
         Map<VmId, BackendServer> before = new HashMap<>();
         mRouter.targets().forEach(t -> before.put(t.server().vm(), t.server()));
-        mRouter.list(
+        mRouter.updateInstances(
                 mServers.stream()
                         .filter(server -> mSettings.services().containsKey(server.service()))
                         .toList(),
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Prober.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Prober.java
@@ -43,9 +43,9 @@
             Probe probe = mProbes.computeIfAbsent(target, key -> new Probe(now));
             boolean due = !probe.mInFlight && now - probe.mNext >= 0;
             if (due && target.inFlight() >= target.limit()) {
-                target.hold(true);
+                target.reserveForProbe(true);
             } else if (due) {
-                target.hold(false);
+                target.reserveForProbe(false);
                 sendProbe(target, probe, pools.pool(target), now);
             }
         }
@@ -53,7 +53,7 @@
 
     /** Handles the result of a probe. */
     void probeCompleted(Target target, AttemptResult result) {
-        target.release();
+        target.attemptAbandoned();
         Probe probe = mProbes.get(target);
         if (probe == null) {
             return;
@@ -67,14 +67,14 @@
         probe.mMisses++;
         boolean refused = result instanceof AttemptResult.NotSent n && n.refused();
         if (refused || probe.mMisses >= MAX_MISSES) {
-            target.saw(Health.SILENT);
+            target.updateHealth(Health.SILENT);
         }
     }
 
     private void sendProbe(Target target, Probe probe, ConnectionPool pool, long now) {
         probe.mInFlight = true;
         probe.mNext = now + INTERVAL;
-        target.begin();
+        target.attemptStarted();
         pool.send(HttpRequest.GET("/health"), TIMEOUT, false)
                 .whenComplete((result, e) -> mOnResult.accept(target, result));
     }
@@ -83,12 +83,12 @@
         try {
             JsonNode json = mJson.readTree(body);
             boolean leaving = json.path("state").asText().equals("leaving");
-            target.saw(leaving ? Health.LEAVING : Health.SERVING);
+            target.updateHealth(leaving ? Health.LEAVING : Health.SERVING);
             if (json.path("slots").asInt() > 0) {
-                target.heard(json.path("inFlight").asInt(), json.path("slots").asInt());
+                target.updateLoad(json.path("inFlight").asInt(), json.path("slots").asInt());
             }
         } catch (IOException e) {
-            target.saw(Health.SILENT);
+            target.updateHealth(Health.SILENT);
         }
     }
 
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestDispatcher.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestDispatcher.java
@@ -20,10 +20,10 @@
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.internal.admission.Admission;
 import org.foxtailplank.internal.dispatch.Attempt;
-import org.foxtailplank.internal.dispatch.Lane;
 import org.foxtailplank.internal.dispatch.PendingRequest;
-import org.foxtailplank.internal.dispatch.RunRule;
-import org.foxtailplank.internal.routing.AttemptEnd;
+import org.foxtailplank.internal.dispatch.RetrySafety;
+import org.foxtailplank.internal.dispatch.ServiceDispatcher;
+import org.foxtailplank.internal.routing.AttemptOutcome;
 import org.foxtailplank.process.Log;
 import org.foxtailplank.settings.Settings;
 import org.foxtailplank.settings.TeamSettings;
@@ -39,7 +39,7 @@
     private final Directory mDirectory;
     private final InstancePools mPools;
     private final Prober mProber;
-    private final Map<ServiceId, Lane<Exchange>> mLanes = new HashMap<>();
+    private final Map<ServiceId, ServiceDispatcher<Exchange>> mLanes = new HashMap<>();
     private Settings mSettings;
 
     private RequestDispatcher(
@@ -88,24 +88,24 @@
     }
 
     private Behavior<Command> queue(Exchange x) {
-        Lane<Exchange> lane = lane(x);
+        ServiceDispatcher<Exchange> lane = lane(x);
         PendingRequest<Exchange> pending = x.pending();
         Optional<Answer> refusal = refusal(x, pending, lane);
         if (refusal.isPresent()) {
             x.complete(refusal.get());
             return this;
         }
-        lane.add(pending);
+        lane.enqueue(pending);
         sendWaiting(lane);
         return this;
     }
 
     private Optional<Answer> refusal(
-            Exchange x, PendingRequest<Exchange> pending, Lane<Exchange> lane) {
-        if (!lane.serves()) {
+            Exchange x, PendingRequest<Exchange> pending, ServiceDispatcher<Exchange> lane) {
+        if (!lane.hasServingInstance()) {
             return Optional.of(EntryAnswers.noBackendServer());
         }
-        Admission a = lane.check(pending, System.nanoTime());
+        Admission a = lane.checkAdmission(pending, System.nanoTime());
         Duration wait = Duration.ofNanos(a.waitNanos());
         return switch (a.reason()) {
             case ADMITTED -> Optional.empty();
@@ -116,17 +116,17 @@
     }
 
     /** Sends waiting requests while an instance has capacity. */
-    private void sendWaiting(Lane<Exchange> lane) {
-        Optional<Attempt<Exchange>> next = lane.next(System.nanoTime());
+    private void sendWaiting(ServiceDispatcher<Exchange> lane) {
+        Optional<Attempt<Exchange>> next = lane.nextAttempt(System.nanoTime());
         while (next.isPresent()) {
             send(next.get());
-            next = lane.next(System.nanoTime());
+            next = lane.nextAttempt(System.nanoTime());
         }
     }
 
     private void send(Attempt<Exchange> attempt) {
         CallerRequest r = attempt.request().item().request();
-        boolean fresh = attempt.request().rule() != RunRule.REPEATABLE;
+        boolean fresh = attempt.request().retrySafety() != RetrySafety.IDEMPOTENT;
         LOG.with("request", r.id()).debug("Sent to {0}.", attempt.target());
         var self = getContext().getSelf();
         mPools.pool(attempt.target())
@@ -136,9 +136,9 @@
 
     private Behavior<Command> ended(Command.Ended e) {
         Exchange x = e.attempt().request().item();
-        Lane<Exchange> lane = lane(x);
+        ServiceDispatcher<Exchange> lane = lane(x);
         Optional<Attempt<Exchange>> another =
-                lane.ended(e.attempt(), endOf(e.result()), System.nanoTime());
+                lane.attemptEnded(e.attempt(), endOf(e.result()), System.nanoTime());
         if (another.isPresent()) {
             LOG.with("request", x.request().id()).info("Tried again after {0}.", e.result());
             send(another.get());
@@ -160,22 +160,24 @@
         return EntryAnswers.noServerAccepted(why);
     }
 
-    private static AttemptEnd endOf(AttemptResult result) {
+    private static AttemptOutcome endOf(AttemptResult result) {
         if (result instanceof AttemptResult.Answered a) {
-            return a.status() >= SERVER_ERROR ? AttemptEnd.SERVER_ERROR : AttemptEnd.GOOD;
+            return a.status() >= SERVER_ERROR
+                    ? AttemptOutcome.SERVER_ERROR
+                    : AttemptOutcome.SUCCESS;
         }
         if (result instanceof AttemptResult.Declined) {
-            return AttemptEnd.BUSY;
+            return AttemptOutcome.BUSY;
         }
         if (result instanceof AttemptResult.NotSent n) {
-            return n.refused() ? AttemptEnd.REFUSED : AttemptEnd.NOT_CONNECTED;
+            return n.refused() ? AttemptOutcome.REFUSED : AttemptOutcome.NOT_CONNECTED;
         }
-        return AttemptEnd.BROKEN;
+        return AttemptOutcome.NO_RESPONSE;
     }
 
     private Behavior<Command> probed(Command.Probed p) {
         mProber.probeCompleted(p.target(), p.result());
-        Lane<Exchange> lane = mLanes.get(p.target().server().service());
+        ServiceDispatcher<Exchange> lane = mLanes.get(p.target().server().service());
         if (lane != null) {
             sendWaiting(lane);
         }
@@ -191,17 +193,20 @@
     private Behavior<Command> tick() {
         long now = System.nanoTime();
         mPools.updateServers(mDirectory.live());
-        mPools.router().wake(now);
+        mPools.router().endDueEjections(now);
         mPools.closeIdle();
         mProber.tick(mPools, now);
         mLanes.values().forEach(lane -> tick(lane, now));
         return this;
     }
 
-    private void tick(Lane<Exchange> lane, long now) {
-        Duration wait = Duration.ofNanos(lane.usualTime());
-        for (Exchange x : lane.giveUp(now)) {
-            x.complete(lane.serves() ? EntryAnswers.tooLate(wait) : EntryAnswers.noBackendServer());
+    private void tick(ServiceDispatcher<Exchange> lane, long now) {
+        Duration wait = Duration.ofNanos(lane.meanLatency());
+        for (Exchange x : lane.removeExpired(now)) {
+            x.complete(
+                    lane.hasServingInstance()
+                            ? EntryAnswers.tooLate(wait)
+                            : EntryAnswers.noBackendServer());
         }
         sendWaiting(lane);
     }
@@ -211,10 +216,12 @@
         return this;
     }
 
-    private Lane<Exchange> lane(Exchange x) {
+    private ServiceDispatcher<Exchange> lane(Exchange x) {
         return mLanes.computeIfAbsent(
                 x.request().service(),
-                s -> new Lane<>(s, mPools.router(), this::quota, mSettings.limits().retryRatio()));
+                s ->
+                        new ServiceDispatcher<>(
+                                s, mPools.router(), this::quota, mSettings.limits().retryRatio()));
     }
 
     private double quota(String team) {
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestFlow.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestFlow.java
@@ -11,8 +11,8 @@
 import org.apache.pekko.actor.typed.javadsl.Adapter;
 import org.foxtailplank.entry.Answer;
 import org.foxtailplank.entry.CallerRequest;
-import org.foxtailplank.entry.EntryParts;
-import org.foxtailplank.entry.KeyedRequests;
+import org.foxtailplank.entry.EntryContext;
+import org.foxtailplank.entry.KeyedRequestHandler;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.process.Log;
 import org.foxtailplank.settings.Settings;
@@ -23,16 +23,16 @@
     private static final Log LOG = Log.of("entry");
 
     private final ActorRef<Command> mDispatcher;
-    private final KeyedRequests mKeyedRequests;
+    private final KeyedRequestHandler mKeyedRequests;
 
-    private RequestFlow(ActorRef<Command> dispatcher, KeyedRequests keyedRequests) {
+    private RequestFlow(ActorRef<Command> dispatcher, KeyedRequestHandler keyedRequests) {
         mDispatcher = dispatcher;
         mKeyedRequests = keyedRequests;
     }
 
     /** Starts a flow for the instances listed by the directory. */
     public static RequestFlow start(
-            ClassicActorSystemProvider system, EntryParts parts, ZoneId zone) {
+            ClassicActorSystemProvider system, EntryContext parts, ZoneId zone) {
         Behavior<Command> dispatcher =
                 RequestDispatcher.create(
                         parts.directory(), zone, parts.settings(), RandomGenerator.getDefault());
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ProtectedKeys.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/ClaimingRequestHandler.java
@@ -13,21 +13,21 @@
 import org.apache.pekko.actor.typed.javadsl.Adapter;
 import org.foxtailplank.entry.Answer;
 import org.foxtailplank.entry.CallerRequest;
-import org.foxtailplank.entry.KeyedRequests;
+import org.foxtailplank.entry.KeyedRequestHandler;
 import org.foxtailplank.internal.idempotency.Claimant;
 import org.foxtailplank.internal.idempotency.KeyIssuer;
 import org.foxtailplank.internal.idempotency.Position;
 import org.foxtailplank.platform.PlatformLog;
 
 /** Protects callers' keys by claims on the log, and issued keys by running them at the issuer. */
-public final class ProtectedKeys implements KeyedRequests, AutoCloseable {
+public final class ClaimingRequestHandler implements KeyedRequestHandler, AutoCloseable {
 
     private final ActorRef<KeyMessage> mActor;
     private final KeyIssuer mIssuer;
     private final KeyOptions mOptions;
     private final MonotonicWallClock mClock;
 
-    private ProtectedKeys(
+    private ClaimingRequestHandler(
             ActorRef<KeyMessage> actor,
             KeyIssuer issuer,
             KeyOptions options,
@@ -39,7 +39,7 @@
     }
 
     /** Starts an actor that follows the claims stream. */
-    public static ProtectedKeys start(
+    public static ClaimingRequestHandler start(
             ClassicActorSystemProvider system,
             Claimant self,
             KeyOptions options,
@@ -54,7 +54,7 @@
         ActorRef<KeyMessage> actor =
                 Adapter.toTyped(system.classicSystem())
                         .systemActorOf(KeyCoordinatorActor.create(parts), name, Props.empty());
-        return new ProtectedKeys(actor, issuer, options, clock);
+        return new ClaimingRequestHandler(actor, issuer, options, clock);
     }
 
     @Override
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaims.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaimPeers.java
@@ -33,7 +33,7 @@
 import org.foxtailplank.wire.RequestHandoverResult;
 
 /** Calls other entries over the peer link, and serves their calls. */
-public final class PeerLinkClaims implements ClaimPeers {
+public final class PeerLinkClaimPeers implements ClaimPeers {
 
     private static final Duration POSITION_TIMEOUT = Duration.ofMillis(500);
     private static final Duration CONNECT_POLL_INTERVAL = Duration.ofMillis(20);
@@ -47,15 +47,16 @@
     private final int mPeerCount;
     private final long mConnectDeadline;
 
-    private PeerLinkClaims(PeerLink link, int peerCount, Duration connectTime) {
+    private PeerLinkClaimPeers(PeerLink link, int peerCount, Duration connectTime) {
         mLink = link;
         mPeerCount = peerCount;
         mConnectDeadline = System.nanoTime() + connectTime.toNanos();
     }
 
     /** Creates the peers of a link that has just started. */
-    public static PeerLinkClaims of(PeerLink link, Settings settings) {
-        return new PeerLinkClaims(link, settings.nodes().size() - 1, settings.peers().silence());
+    public static PeerLinkClaimPeers of(PeerLink link, Settings settings) {
+        return new PeerLinkClaimPeers(
+                link, settings.nodes().size() - 1, settings.peers().silence());
     }
 
     /** Returns options of a link for requests and answers of the maximum allowed size. */
@@ -67,7 +68,7 @@
                         + MESSAGE_OVERHEAD;
         return PeerLinkOptions.of(
                         node, settings.nodes().get(node), settings.peers(), incarnation, roles)
-                .withMessagesOf((int) largest);
+                .withMinMessageLimit((int) largest);
     }
 
     /** Returns the claimant that identifies this process. */
@@ -77,7 +78,7 @@
 
     /** Starts to answer peers; {@code attempt} runs the requests that they hand over. */
     public void serve(
-            ProtectedKeys keys, Function<CallerRequest, CompletionStage<Answer>> attempt) {
+            ClaimingRequestHandler keys, Function<CallerRequest, CompletionStage<Answer>> attempt) {
         mLink.handle(
                 ClaimsPositionRequest.class,
                 (from, m) -> keys.position().thenApply(ClaimsPosition::new));
--- a/foxtail-entry/src/test/java/org/foxtailplank/entry/EntryFixture.java
+++ b/foxtail-entry/src/test/java/org/foxtailplank/entry/EntryFixture.java
@@ -25,7 +25,8 @@
     EntryFixture(Settings settings, BackendServer... live) {
         mLive = List.of(live);
         mEntry =
-                EntryServer.start(mSystem, EntryParts.of(TestSettings.NODE, settings, () -> mLive))
+                EntryServer.start(
+                                mSystem, EntryContext.of(TestSettings.NODE, settings, () -> mLive))
                         .toCompletableFuture()
                         .join();
     }
--- a/foxtail-entry/src/test/java/org/foxtailplank/entry/EntryOverheadBench.java
+++ b/foxtail-entry/src/test/java/org/foxtailplank/entry/EntryOverheadBench.java
@@ -71,7 +71,7 @@
         EntryServer entry =
                 EntryServer.start(
                                 PekkoRuntime.start("entry", THREADS).system(),
-                                EntryParts.of(
+                                EntryContext.of(
                                         TestSettings.NODE, TestSettings.standard(), () -> list))
                         .toCompletableFuture()
                         .join();
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpClient.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpClient.java
@@ -71,7 +71,7 @@
     }
 
     /** Closes the idle connections to an address and removes its pool. */
-    public void forget(InetSocketAddress target) {
+    public void removeTarget(InetSocketAddress target) {
         TargetPool pool = mPools.remove(target);
         if (pool != null) {
             pool.close();
--- a/foxtail-http/src/main/java/org/foxtailplank/http/HttpServer.java
+++ b/foxtail-http/src/main/java/org/foxtailplank/http/HttpServer.java
@@ -78,7 +78,7 @@
     }
 
     /** Disables keep-alive: closes each connection after its pending responses. */
-    public void stopKeepingOpen() {
+    public void disableKeepAlive() {
         mStopping = true;
     }
 
--- a/foxtail-it/src/test/java/org/foxtailplank/it/history/KeyedEntries.java
+++ b/foxtail-it/src/test/java/org/foxtailplank/it/history/KeyedEntries.java
@@ -21,12 +21,12 @@
 import org.apache.pekko.actor.ActorSystem;
 import org.foxtailplank.entry.Answer;
 import org.foxtailplank.entry.CallerRequest;
-import org.foxtailplank.entry.EntryParts;
+import org.foxtailplank.entry.EntryContext;
 import org.foxtailplank.entry.EntryServer;
-import org.foxtailplank.entry.KeyedRequests;
+import org.foxtailplank.entry.KeyedRequestHandler;
+import org.foxtailplank.entry.internal.idempotency.ClaimingRequestHandler;
 import org.foxtailplank.entry.internal.idempotency.KeyOptions;
-import org.foxtailplank.entry.internal.idempotency.PeerLinkClaims;
-import org.foxtailplank.entry.internal.idempotency.ProtectedKeys;
+import org.foxtailplank.entry.internal.idempotency.PeerLinkClaimPeers;
 import org.foxtailplank.id.NodeId;
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.id.ServiceId;
@@ -59,7 +59,7 @@
     private record Entry(
             ActorSystem system,
             PeerLink link,
-            ProtectedKeys keys,
+            ClaimingRequestHandler keys,
             EntryServer server,
             MetricRegistry metrics) {}
 
@@ -201,31 +201,31 @@
                 HttpPlatform.at(mPlatform.address(), mSettings.platform().timeout(), system);
         PeerLink link =
                 PeerLink.start(
-                        PeerLinkClaims.options(
+                        PeerLinkClaimPeers.options(
                                 node,
                                 mSettings,
-                                Incarnation.draw(new SecureRandom()),
+                                Incarnation.random(new SecureRandom()),
                                 Set.of(NodeRole.ENTRY)));
-        PeerLinkClaims peers = PeerLinkClaims.of(link, mSettings);
+        PeerLinkClaimPeers peers = PeerLinkClaimPeers.of(link, mSettings);
         MetricRegistry metrics = new MetricRegistry();
         AtomicReference<EntryServer> server = new AtomicReference<>();
         Claimant self = mTampering.self(peers.self());
-        ProtectedKeys keys =
-                ProtectedKeys.start(
+        ClaimingRequestHandler keys =
+                ClaimingRequestHandler.start(
                         system,
                         self,
                         KeyOptions.of(mSettings, true),
                         mTampering.log(self, platform.log()),
                         mTampering.peers(peers, r -> server.get().attempt(r)),
                         metrics);
-        EntryParts parts = EntryParts.of(node, mSettings, this::live).withKeys(tampered(keys));
+        EntryContext parts = EntryContext.of(node, mSettings, this::live).withKeys(tampered(keys));
         server.set(EntryServer.start(system, parts).toCompletableFuture().join());
         peers.serve(keys, server.get()::attempt);
         return new Entry(system, link, keys, server.get(), metrics);
     }
 
-    private KeyedRequests tampered(ProtectedKeys keys) {
-        return new KeyedRequests() {
+    private KeyedRequestHandler tampered(ClaimingRequestHandler keys) {
+        return new KeyedRequestHandler() {
             @Override
             public CompletionStage<Answer> answer(
                     CallerRequest request, Supplier<CompletionStage<Answer>> attempt) {
@@ -246,7 +246,7 @@
                             .filter(e -> e != entry)
                             .map(e -> new Seed(e.link().self().node(), e.link().self().address()))
                             .toList();
-            entry.link().learn(SeedSource.SETTINGS, others);
+            entry.link().setSeeds(SeedSource.SETTINGS, others);
         }
         for (Entry entry : mEntries) {
             mEntries.stream()
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/CapacityRun.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/CapacityRun.java
@@ -120,7 +120,7 @@
                         Optional.empty(),
                         expects,
                         change);
-        return mState.apply(at, record.basedOn(mState.basis())).equals(Verdict.APPLIED);
+        return mState.apply(at, record.withBasis(mState.basis())).equals(Verdict.APPLIED);
     }
 
     private void tick(long now) {
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/DemandModel.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/DemandModel.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Random;
 import org.foxtailplank.id.PoolId;
-import org.foxtailplank.state.FleetShape;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.FleetTopology;
+import org.foxtailplank.state.PoolDefinition;
 
 /**
  * Demand of each pool over a day, and what is declared of it; the same for every policy.
@@ -26,14 +26,14 @@
 
     private final Map<PoolId, PoolDemand> mPools = new HashMap<>();
 
-    DemandModel(FleetShape shape, long horizonMs, long seed) {
+    DemandModel(FleetTopology shape, long horizonMs, long seed) {
         Random random = new Random(seed);
         List<PoolId> ids = new ArrayList<>(shape.pools().keySet());
         ids.sort(null);
         int wrong = (int) Math.ceil(WRONG_SHARE * ids.size());
         int first = random.nextInt(ids.size());
         for (int i = 0; i < ids.size(); i++) {
-            PoolShape pool = shape.pools().get(ids.get(i));
+            PoolDefinition pool = shape.pools().get(ids.get(i));
             boolean isWrong = Math.floorMod(i - first, ids.size()) < wrong;
             double factor = isWrong ? i % 2 == 0 ? WRONG_FACTOR : 1 / WRONG_FACTOR : 1;
             long shift = (long) ((random.nextDouble() - 0.5) * 2 * HOUR_MS);
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FirstFitPlacer.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FirstFitPlacer.java
@@ -48,22 +48,22 @@
     }
 
     @Override
-    public void quotas(Map<TeamId, Double> quotas) {}
+    public void setQuotas(Map<TeamId, Double> quotas) {}
 
     @Override
-    public void worker(Worker worker, long nowMs) {
+    public void updateWorker(Worker worker, long nowMs) {
         mPoolOf.put(worker.id(), worker.pool());
         mFree.computeIfAbsent(worker.pool(), p -> new TreeMap<>())
                 .put(worker.id(), worker.capacity());
     }
 
     @Override
-    public void workerGone(VmId worker, long nowMs) {
+    public void removeWorker(VmId worker, long nowMs) {
         mFree.get(mPoolOf.get(worker)).remove(worker);
     }
 
     @Override
-    public void job(JobState job, long nowMs) {
+    public void updateJob(JobState job, long nowMs) {
         JobSpec known = mJobs.putIfAbsent(job.id(), job.spec());
         Set<TaskId> waiting =
                 mWaiting.computeIfAbsent(job.spec().pool(), p -> new LinkedHashSet<>());
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void task(TaskId task, TaskState state, long nowMs) {
+    public void updateTask(TaskId task, TaskState state, long nowMs) {
         boolean ended = state.outcome().isPresent() && state.outcome().get() != TaskOutcome.RUNNING;
         Held held = ended ? mHeld.remove(task) : null;
         if (held == null) {
@@ -109,10 +109,10 @@
     }
 
     @Override
-    public void report(WorkerReport report, long nowMs) {}
+    public void applyReport(WorkerReport report, long nowMs) {}
 
     @Override
-    public void renewed(TaskId task, long nowMs) {}
+    public void renewLease(TaskId task, long nowMs) {}
 
     @Override
     public PlacementDecision decide(long nowMs) {
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FleetProgram.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FleetProgram.java
@@ -88,7 +88,7 @@
                         .run("foxtailplank", jobs),
                 new PlacementRun(
                                 scenario,
-                                new FirstFitPlacer(settings.mostActions()),
+                                new FirstFitPlacer(settings.maxActions()),
                                 times,
                                 options.seed())
                         .run("naive", jobs));
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FleetScenario.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/FleetScenario.java
@@ -14,9 +14,9 @@
 import org.foxtailplank.settings.FleetSettings;
 import org.foxtailplank.settings.FleetShapes;
 import org.foxtailplank.settings.Settings;
-import org.foxtailplank.state.FleetShape;
-import org.foxtailplank.state.PoolShape;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.FleetTopology;
+import org.foxtailplank.state.PoolDefinition;
+import org.foxtailplank.state.VmLocation;
 
 /**
  * A fleet to decide for.
@@ -29,7 +29,7 @@
  */
 public record FleetScenario(
         String name,
-        FleetShape shape,
+        FleetTopology shape,
         FleetSettings settings,
         Map<VmId, Resources> capacity,
         Map<TeamId, Double> quotas) {
@@ -65,24 +65,24 @@
 
     /** 15,000 workers in 83 pools of 82 teams over 11 zones, four to a rack. */
     public static FleetScenario large() {
-        Map<VmId, VmPlace> places = new HashMap<>();
+        Map<VmId, VmLocation> places = new HashMap<>();
         Map<VmId, Resources> capacity = new HashMap<>();
         for (int i = 0; i < LARGE_VMS; i++) {
             int rack = i / VMS_OF_RACK;
             VmId id = VmId.of("vm-" + i);
             ZoneId zone = ZoneId.of("zone-" + rack % LARGE_ZONES);
             PoolId pool = PoolId.of("pool-" + i % LARGE_POOLS);
-            places.put(id, new VmPlace(zone, RackId.of("rack-" + rack), pool));
+            places.put(id, new VmLocation(zone, RackId.of("rack-" + rack), pool));
             capacity.put(id, Resources.of(32, 128 * GIB, 0));
         }
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> budgets = new HashMap<>();
         int size = LARGE_VMS / LARGE_POOLS;
         for (int p = 0; p < LARGE_POOLS; p++) {
             ServiceId service = ServiceId.of("service-" + p);
             pools.put(
                     PoolId.of("pool-" + p),
-                    new PoolShape(Optional.of(service), size * 3 / 4, VMS_OF_RACK));
+                    new PoolDefinition(Optional.of(service), size * 3 / 4, VMS_OF_RACK));
             budgets.put(service, size / 2);
         }
         Map<TeamId, Double> quotas = new HashMap<>();
@@ -97,7 +97,7 @@
                         Duration.ofSeconds(120),
                         Duration.ofMinutes(15));
         return new FleetScenario(
-                "large", new FleetShape(places, pools, budgets), settings, capacity, quotas);
+                "large", new FleetTopology(places, pools, budgets), settings, capacity, quotas);
     }
 
     /** The same fleet with another weight of roll-out time. */
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/NaiveCapacity.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/NaiveCapacity.java
@@ -10,7 +10,7 @@
 import org.foxtailplank.fleet.Observation;
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.internal.wave.Budgets;
+import org.foxtailplank.internal.wave.AvailabilityBudgets;
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.PoolState;
@@ -58,7 +58,7 @@
                         .filter(v -> !seen.notServing().contains(v.id()))
                         .filter(v -> v.lastMaintained() <= wave.started())
                         .toList();
-        Budgets budgets = Budgets.of(view, seen);
+        AvailabilityBudgets budgets = AvailabilityBudgets.of(view, seen);
         Optional<VmState> first =
                 waiting.stream().filter(v -> budgets.of(v.pool()).canStop(v.rack())).min(BY_ID);
         if (waiting.isEmpty()) {
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/PlacementRun.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/PlacementRun.java
@@ -35,7 +35,7 @@
 import org.foxtailplank.state.TaskIntended;
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.Verdict;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.VmLocation;
 
 /** One placer on the real fold and fake workers, under a fake clock. */
 final class PlacementRun {
@@ -86,11 +86,12 @@
         apply(
                 new ConfigurationPublished("{}", Map.of(), mScenario.shape(), Changes.AUTHOR),
                 Map.of(ObjectKey.configuration(), 0L));
-        mPlacer.quotas(mScenario.quotas());
-        for (Map.Entry<VmId, VmPlace> e : new TreeMap<>(mScenario.shape().vms()).entrySet()) {
-            VmPlace place = e.getValue();
+        mPlacer.setQuotas(mScenario.quotas());
+        for (Map.Entry<VmId, VmLocation> e : new TreeMap<>(mScenario.shape().vms()).entrySet()) {
+            VmLocation place = e.getValue();
             var capacity = mScenario.capacity().get(e.getKey());
-            mPlacer.worker(new Worker(e.getKey(), place.pool(), place.rack(), capacity, true), 0);
+            mPlacer.updateWorker(
+                    new Worker(e.getKey(), place.pool(), place.rack(), capacity, true), 0);
         }
         for (PlannedJob job : jobs) {
             mPlanned.put(job.id(), job);
@@ -121,7 +122,8 @@
                         Optional.empty(),
                         expects,
                         change);
-        boolean applied = mState.apply(at, record.basedOn(mState.basis())).equals(Verdict.APPLIED);
+        boolean applied =
+                mState.apply(at, record.withBasis(mState.basis())).equals(Verdict.APPLIED);
         if (!applied) {
             mMeter.count(Count.VOIDED);
         }
@@ -139,7 +141,7 @@
         if (job.spec().urgency() == RequestClass.URGENT) {
             mMeter.submitted(new TaskId(job.id(), 0), mTimes.isTrouble(mNow), mNow);
         }
-        mPlacer.job(mState.job(job.id()).orElseThrow(), mNow);
+        mPlacer.updateJob(mState.job(job.id()).orElseThrow(), mNow);
     }
 
     private boolean isNever(PlannedJob job) {
@@ -156,7 +158,7 @@
                 Optional<JobState> job = mState.job(id);
                 if (job.isPresent() && apply(new JobCancelled(id, Changes.AUTHOR), Map.of())) {
                     mMeter.cancelled(new TaskId(id, 0));
-                    mPlacer.job(mState.job(id).orElse(job.get()), mNow);
+                    mPlacer.updateJob(mState.job(id).orElse(job.get()), mNow);
                     mLive.remove(id);
                 }
             }
@@ -204,7 +206,7 @@
     private void tellPlacer(TaskId task) {
         mState.job(task.job())
                 .map(j -> j.tasks().get(task.index()))
-                .ifPresent(t -> mPlacer.task(task, t, mNow));
+                .ifPresent(t -> mPlacer.updateTask(task, t, mNow));
     }
 
     private void call(PlacementAction a) {
@@ -285,7 +287,7 @@
 
     private void report(VmId worker) {
         WorkerReport report = mPark.report(worker, mNow);
-        at(mNow + REPORT_LAG_MS, () -> mPlacer.report(report, mNow));
+        at(mNow + REPORT_LAG_MS, () -> mPlacer.applyReport(report, mNow));
         at(mNow + REPORT_MS, () -> report(worker));
         mMeter.used(mPark.usedShare());
     }
--- a/foxtail-load/src/test/java/org/foxtailplank/load/internal/fleet/FleetMeasurementTest.java
+++ b/foxtail-load/src/test/java/org/foxtailplank/load/internal/fleet/FleetMeasurementTest.java
@@ -18,9 +18,9 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.settings.FleetSettings;
-import org.foxtailplank.state.FleetShape;
-import org.foxtailplank.state.PoolShape;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.FleetTopology;
+import org.foxtailplank.state.PoolDefinition;
+import org.foxtailplank.state.VmLocation;
 import org.testng.annotations.Test;
 
 /** The decisions keep their promises through a day of faults on the real fold. */
@@ -29,19 +29,19 @@
     private static final long STEP_MS = 60_000;
 
     private static FleetScenario scenario() {
-        Map<VmId, VmPlace> places = new HashMap<>();
+        Map<VmId, VmLocation> places = new HashMap<>();
         Map<VmId, Resources> capacity = new HashMap<>();
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> budgets = new HashMap<>();
         for (int p = 0; p < 3; p++) {
             ServiceId service = ServiceId.of("s" + p);
             PoolId pool = PoolId.of("p" + p);
-            pools.put(pool, new PoolShape(Optional.of(service), 9, 1));
+            pools.put(pool, new PoolDefinition(Optional.of(service), 9, 1));
             budgets.put(service, 5);
             for (int i = 0; i < 12; i++) {
                 VmId vm = VmId.of("vm" + p + "-" + i);
                 ZoneId zone = ZoneId.of("z" + i % 3);
-                places.put(vm, new VmPlace(zone, RackId.of("r" + i), pool));
+                places.put(vm, new VmLocation(zone, RackId.of("r" + i), pool));
                 capacity.put(vm, Resources.of(16, 64L << 30, 0));
             }
         }
@@ -53,7 +53,7 @@
                         Duration.ofSeconds(120),
                         Duration.ofMinutes(15));
         Map<TeamId, Double> quotas = Map.of(TeamId.of("a"), 0.5, TeamId.of("b"), 0.5);
-        FleetShape shape = new FleetShape(places, pools, budgets);
+        FleetTopology shape = new FleetTopology(places, pools, budgets);
         return new FleetScenario("test", shape, settings, capacity, quotas);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Clock.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Clock.java
@@ -1,6 +1,6 @@
 package org.foxtailplank.node;
 
-import org.foxtailplank.lease.Moment;
+import org.foxtailplank.lease.ClockReading;
 
 /** Source of monotonic and wall-clock time. */
 public interface Clock {
@@ -29,7 +29,7 @@
     long wallMs();
 
     /** Returns the current time on both clocks. */
-    default Moment moment() {
-        return new Moment(nowMs(), wallMs());
+    default ClockReading moment() {
+        return new ClockReading(nowMs(), wallMs());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -346,7 +346,7 @@
         mOwnership.stop();
         mOwner.ifPresent(this::resign);
         mOwner = Optional.empty();
-        mCallerServer.stopKeepingOpen();
+        mCallerServer.disableKeepAlive();
         long now = mClock.nowMs();
         drain(now + MIN_LISTEN_MS, now + mSettings.graceMs() - EXIT_MARGIN_MS, ended);
     }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalBatch.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalBatch.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.foxtailplank.lease.Moment;
+import org.foxtailplank.lease.ClockReading;
 import org.foxtailplank.node.journal.StoreOutcome;
 
 /** Records of one append and their callbacks. */
 final class JournalBatch {
     private final List<PendingRecord> mRecords;
 
-    private Optional<Moment> mFirstSent = Optional.empty();
+    private Optional<ClockReading> mFirstSent = Optional.empty();
     private boolean mMaybeStored;
     private int mUnansweredSends;
     private boolean mRerouted;
@@ -76,7 +76,7 @@
     }
 
     /** Counts a send of this append. */
-    void recordSend(Moment now) {
+    void recordSend(ClockReading now) {
         if (mFirstSent.isEmpty()) {
             mFirstSent = Optional.of(now);
             mRecords.forEach(r -> r.mAppendCount++);
@@ -85,7 +85,7 @@
     }
 
     /** When the append was first sent. */
-    Moment firstSentAt() {
+    ClockReading firstSentAt() {
         return mFirstSent.orElseThrow();
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerElection.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerElection.java
@@ -404,7 +404,7 @@
         boolean isFirst = predecessor == 0;
         boolean hasLeft =
                 mLastLeft.map(l -> l.token() == predecessor && l.vmCallsFinished()).orElse(false);
-        boolean ownedLongEnough = hasOwnedFor(predecessor, CallLease.WAIT_MS);
+        boolean ownedLongEnough = hasOwnedFor(predecessor, CallLease.TAKEOVER_WAIT_MS);
         return isFirst
                 || hasLeft
                 || ownedLongEnough && mOwnerStatus.areVmCallsFinished(predecessor);
@@ -420,7 +420,7 @@
         boolean isFirst = predecessor == 0;
         boolean hasLeft = mLastLeft.map(l -> l.token() == predecessor).orElse(false);
         boolean hasEnded = hasLeft || mOwnerStatus.areVmCallsFinished(predecessor);
-        return isFirst || hasEnded && hasOwnedFor(predecessor, RenewalWindow.WAIT_MS);
+        return isFirst || hasEnded && hasOwnedFor(predecessor, RenewalWindow.TAKEOVER_WAIT_MS);
     }
 
     /** Whether the owner with this token has owned for at least this long. */
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.foxtailplank.job.JournalRecord;
-import org.foxtailplank.lease.Moment;
+import org.foxtailplank.lease.ClockReading;
 import org.foxtailplank.node.journal.JournalCodec;
 import org.foxtailplank.node.journal.StoreOutcome;
 import org.foxtailplank.node.owner.JournalBatch.PendingRecord;
@@ -39,7 +39,7 @@
     private long mLastStoredMs;
     private boolean mPaused;
     private boolean mClosed;
-    private Consumer<Moment> mStoredListener = sent -> {};
+    private Consumer<ClockReading> mStoredListener = sent -> {};
 
     OwnerJournal(OwnerContext parts, long token, Runnable onFenced) {
         mParts = parts;
@@ -56,7 +56,7 @@
      * its first send. The store may answer a repeated append with the result of the first one, so a
      * later send proves nothing.
      */
-    void setStoredListener(Consumer<Moment> listener) {
+    void setStoredListener(Consumer<ClockReading> listener) {
         mStoredListener = listener;
     }
 
@@ -164,7 +164,7 @@
 
     private final class WriterListener implements PartitionWriter.Listener {
         @Override
-        public void stored(List<PendingRecord> records, Moment firstSent) {
+        public void stored(List<PendingRecord> records, ClockReading firstSent) {
             mLastStoredMs = mParts.clock().nowMs();
             mStoredListener.accept(firstSent);
             records.forEach(r -> r.complete(StoreOutcome.STORED));
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerLease.java
@@ -1,7 +1,7 @@
 package org.foxtailplank.node.owner;
 
 import org.foxtailplank.lease.CallLease;
-import org.foxtailplank.lease.Moment;
+import org.foxtailplank.lease.ClockReading;
 import org.foxtailplank.lease.RenewalWindow;
 import org.foxtailplank.node.Clock;
 import org.foxtailplank.port.VmClient.CallPermit;
@@ -24,15 +24,15 @@
     }
 
     /** Extends the lease: an append first sent at this time was stored under this owner's epoch. */
-    void appendStored(Moment sent) {
-        mCallLease = mCallLease.proved(sent);
-        mRenewalWindow = mRenewalWindow.proved(sent);
+    void appendStored(ClockReading sent) {
+        mCallLease = mCallLease.extendedFrom(sent);
+        mRenewalWindow = mRenewalWindow.extendedFrom(sent);
     }
 
     /** Called once earlier owners can no longer store records. */
     void epochRaised(boolean predecessorCallsFinished) {
         mTookOverMs = mClock.nowMs();
-        mCallLease = mCallLease.tookOver(mTookOverMs, predecessorCallsFinished);
+        mCallLease = mCallLease.epochRaised(mTookOverMs, predecessorCallsFinished);
     }
 
     /** Time since the takeover, in milliseconds. */
@@ -42,7 +42,7 @@
 
     /** Whether no earlier owner can have a VM call in flight. */
     boolean arePredecessorCallsFinished() {
-        return mCallLease.isOpen(mClock.nowMs());
+        return mCallLease.isWaitOver(mClock.nowMs());
     }
 
     /** Length of a worker lease that may be granted now, in milliseconds; 0 for none. */
@@ -52,6 +52,6 @@
 
     @Override
     public long leftMs() {
-        return mCallLease.leftMs(mClock.moment());
+        return mCallLease.remainingMs(mClock.moment());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerSession.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerSession.java
@@ -142,7 +142,7 @@
         ListedIncarnations lives = new ListedIncarnations(vms);
         long now = mClock.nowMs();
         if (!mTakeover.renewalsFinished()) {
-            mScheduler.renewedByOthersUntil(now + RenewalWindow.WAIT_MS);
+            mScheduler.renewedByOthersUntil(now + RenewalWindow.TAKEOVER_WAIT_MS);
         }
         for (JobProgress job : mParts.reader().book().jobs()) {
             mScheduler.addInheritedJob(job, w -> hasIncarnationEnded(w, lives), now);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.foxtailplank.lease.Moment;
+import org.foxtailplank.lease.ClockReading;
 import org.foxtailplank.node.owner.JournalBatch.PendingRecord;
 import org.foxtailplank.port.LogPartition;
 import org.foxtailplank.port.SharedLog;
@@ -50,7 +50,7 @@
     /** Receives the outcomes of appends. */
     interface Listener {
         /** The append is stored; the writer is idle. */
-        void stored(List<PendingRecord> records, Moment firstSent);
+        void stored(List<PendingRecord> records, ClockReading firstSent);
 
         /** The store rejected the append and will not store it; the writer is idle. */
         void rejected(List<PendingRecord> records);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
@@ -32,7 +32,7 @@
     public void callsOfOwnerWhoseProcessEndedAreFinished() {
         // After a power loss the next owner must not delay VM moves for the length of a lease.
         addOtherOwner();
-        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.TAKEOVER_WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
@@ -46,7 +46,7 @@
         // An owner that was killed soon after its takeover says nothing about calls of its
         // predecessor, which may still be in flight.
         addOtherOwner();
-        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS - 1));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.TAKEOVER_WAIT_MS - 1));
         startNode();
         mSigns.mState = OwnerState.GONE;
         mSigns.mCallsOver = true;
@@ -57,7 +57,7 @@
 
     @DataProvider
     public Object[][] predecessors() {
-        long longEnough = RenewalWindow.WAIT_MS;
+        long longEnough = RenewalWindow.TAKEOVER_WAIT_MS;
         return new Object[][] {
             {"killed", longEnough, OwnerState.GONE, true, true},
             {"killed soon after it had taken over", longEnough - 1, OwnerState.GONE, true, false},
@@ -88,7 +88,7 @@
     @Test
     public void renewalsAreFinishedIfOwnerLeftAfterLongTenure() {
         addOtherOwner();
-        write(new OwnerHeartbeat(1, OTHER_ADDRESS, RenewalWindow.WAIT_MS));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, RenewalWindow.TAKEOVER_WAIT_MS));
         write(new OwnerResigned(1, "other", false));
         startNode();
         pass(MAX_ATTEMPT_MS);
@@ -99,7 +99,7 @@
     @Test
     public void callsOfSilentOwnerAreNotFinished() {
         addOtherOwner();
-        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
+        write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.TAKEOVER_WAIT_MS));
         startNode();
         mSigns.mState = OwnerState.SILENT;
         mSigns.mCallsOver = true;
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/LogClient.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/LogClient.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import org.foxtailplank.id.NodeId;
-import org.foxtailplank.internal.log.AppendShare;
+import org.foxtailplank.internal.log.AppendRateLimiter;
 import org.foxtailplank.platform.PlatformException.Effect;
 import org.foxtailplank.platform.internal.append.StreamAppender;
 import org.foxtailplank.settings.Settings;
@@ -29,7 +29,7 @@
 
     private final PlatformLog mLog;
     private final LogClientOptions mOptions;
-    private final AppendShare mShare;
+    private final AppendRateLimiter mShare;
     private final Random mRandom;
     private final ScheduledExecutorService mOwner;
     private final Map<String, StreamAppender> mAppenders = new HashMap<>();
@@ -38,7 +38,7 @@
         mLog = log;
         mOptions = options;
         mShare =
-                new AppendShare(
+                new AppendRateLimiter(
                         options.appendsPerSecond(),
                         options.nodes(),
                         BURST_SECONDS,
@@ -81,12 +81,12 @@
 
     /** A peer says how many appends a second it does; it lends what it leaves of its part. */
     public void peerUses(NodeId peer, double perSecond) {
-        mOwner.execute(() -> mShare.peerUses(peer, perSecond, System.nanoTime()));
+        mOwner.execute(() -> mShare.updatePeerRate(peer, perSecond, System.nanoTime()));
     }
 
     /** Appends a second that this node does, to be told to its peers. */
     public CompletionStage<Double> use() {
-        return CompletableFuture.supplyAsync(() -> mShare.use(System.nanoTime()), mOwner);
+        return CompletableFuture.supplyAsync(() -> mShare.measuredRate(System.nanoTime()), mOwner);
     }
 
     /** Stops; whatever is not settled fails as unknown. */
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/SharedFleetState.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/SharedFleetState.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public CompletionStage<Optional<byte[]>> rollUp() {
+    public CompletionStage<Optional<byte[]>> snapshot() {
         return mFleet.encodedState();
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public CompletionStage<Boolean> offerRollUp(byte[] state) {
+    public CompletionStage<Boolean> offerSnapshot(byte[] state) {
         return mFleet.offerState(state);
     }
 
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/append/StreamAppender.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/append/StreamAppender.java
@@ -18,11 +18,11 @@
 import org.foxtailplank.internal.log.AppendLimits;
 import org.foxtailplank.internal.log.AppendOutcome;
 import org.foxtailplank.internal.log.AppendQueue;
-import org.foxtailplank.internal.log.AppendShare;
+import org.foxtailplank.internal.log.AppendRateLimiter;
 import org.foxtailplank.internal.log.AppendStep;
-import org.foxtailplank.internal.log.LogItem;
+import org.foxtailplank.internal.log.GroupResult;
 import org.foxtailplank.internal.log.LogPage;
-import org.foxtailplank.internal.log.SettledGroup;
+import org.foxtailplank.internal.log.LoggedRecord;
 import org.foxtailplank.internal.membership.Backoff;
 import org.foxtailplank.platform.AppendResult;
 import org.foxtailplank.platform.LogClientOptions;
@@ -61,7 +61,7 @@
             String stream,
             PlatformLog log,
             LogClientOptions options,
-            AppendShare share,
+            AppendRateLimiter share,
             Random random,
             ScheduledExecutorService owner) {
         mStream = stream;
@@ -105,7 +105,7 @@
     }
 
     private void giveUp() {
-        settle(mQueue.giveUp(now()));
+        settle(mQueue.removeExpired(now()));
         advance();
     }
 
@@ -168,7 +168,7 @@
                     "log-client: The answer to an append on {0} was lost; reading back. {1}",
                     mStream,
                     cause(error).getMessage());
-            mQueue.answerLost(now());
+            mQueue.responseLost(now());
         }
     }
 
@@ -192,7 +192,7 @@
         return new LogPage(
                 result.oldest(),
                 result.end(),
-                result.entries().stream().map(e -> new LogItem(e.offset(), e.id())).toList());
+                result.entries().stream().map(e -> new LoggedRecord(e.offset(), e.id())).toList());
     }
 
     private List<LogEntry> entries(AppendStep.Append append) {
@@ -201,15 +201,15 @@
         return entries;
     }
 
-    private void settle(List<SettledGroup> settled) {
-        for (SettledGroup s : settled) {
+    private void settle(List<GroupResult> settled) {
+        for (GroupResult s : settled) {
             Waiting waiting = mWaiting.remove(s.group().number());
             if (s.outcome() instanceof AppendOutcome.Appended a) {
                 waiting.result().complete(new AppendResult(a.first(), a.end()));
             } else if (s.outcome() instanceof AppendOutcome.NotAppended n) {
-                fail(waiting, n.why(), Effect.NONE);
+                fail(waiting, n.reason(), Effect.NONE);
             } else if (s.outcome() instanceof AppendOutcome.Unresolved u) {
-                fail(waiting, u.why(), Effect.UNKNOWN);
+                fail(waiting, u.reason(), Effect.UNKNOWN);
             }
         }
     }
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/FollowedFleetLog.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/FollowedFleetLog.java
@@ -21,9 +21,9 @@
 import org.foxtailplank.process.Log;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.LogRecord;
-import org.foxtailplank.state.NotUnderstood;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.StatePosition;
+import org.foxtailplank.state.UnknownChange;
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.VoidReason;
 import org.foxtailplank.wire.RecordCodec;
@@ -148,7 +148,7 @@
     @Override
     public void missing(List<LogRecord> records) {
         for (LogRecord r : records) {
-            if (!(r.change() instanceof NotUnderstood)) {
+            if (!(r.change() instanceof UnknownChange)) {
                 LOG.warn("Writes {0} again after a restoration", r.id());
                 mPending.await(r.id()).whenComplete((v, e) -> LOG.warn("{0}: {1}", r.id(), v));
                 send(r);
@@ -173,7 +173,7 @@
     private boolean isBetter(StoredState s) {
         StatePosition here = mFollower.state().position();
         boolean same = s.restorations() == here.restorations();
-        boolean leads = !same || mFollower.state().fleet().leadsTo(s.state());
+        boolean leads = !same || mFollower.state().fleet().isPrefixOf(s.state());
         if (!leads) {
             LOG.warn("A peer's state has another past; it is not taken");
         }
@@ -201,7 +201,7 @@
     }
 
     private void send(LogRecord record) {
-        byte[] data = RecordCodec.encode(record.basedOn(mFollower.state().fleet().basis()));
+        byte[] data = RecordCodec.encode(record.withBasis(mFollower.state().fleet().basis()));
         mOwner.handle(
                 mLog.append(LogFollower.STREAM, List.of(new LogEntry(record.id(), data))),
                 (done, error) -> {
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/FollowedState.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/FollowedState.java
@@ -93,7 +93,7 @@
         adopt(stored);
         List<LogRecord> missing =
                 applied.stream()
-                        .filter(r -> !mState.mayHold(r.entry().id(), r.before().nextOffset()))
+                        .filter(r -> !mState.mayContain(r.entry().id(), r.before().nextOffset()))
                         .flatMap(r -> record(r.entry()).stream())
                         .toList();
         restoredAt(restoration);
@@ -113,7 +113,7 @@
     /** Whether an older entry of the log may be one that was folded. */
     boolean mayHold(StoredEntry entry) {
         long back = mLogOffset - entry.offset();
-        return mState.mayHold(entry.id(), mState.nextOffset() - back);
+        return mState.mayContain(entry.id(), mState.nextOffset() - back);
     }
 
     /** The record in an entry; empty for bytes that are none. */
--- a/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/LogFollower.java
+++ b/foxtail-platform/src/main/java/org/foxtailplank/platform/internal/fleet/LogFollower.java
@@ -211,7 +211,7 @@
 
     /** A record made from another past; either its writer or this process is wrong. */
     private boolean isStrange(Optional<LogRecord> record) {
-        return record.map(LogRecord::basis).filter(mState.fleet()::contradicts).isPresent();
+        return record.map(LogRecord::basis).filter(mState.fleet()::conflictsWith).isPresent();
     }
 
     /**
@@ -220,7 +220,7 @@
      */
     private boolean isDue(StateRestored r) {
         Basis restored = new Basis(r.nextOffset(), r.digest());
-        return r.replaces() == mState.restorations() && mState.fleet().contradicts(restored);
+        return r.replaces() == mState.restorations() && mState.fleet().conflictsWith(restored);
     }
 
     /** Goes on from a restored state; false while its snapshot has to be loaded first. */
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ConfigurationPropagationMeasurement.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ConfigurationPropagationMeasurement.java
@@ -26,7 +26,7 @@
     private static final int ZONES = 3;
     private static final Duration GIVE_UP = Duration.ofSeconds(10);
 
-    private static final StateExchangeLimits TAIL = StateExchangeLimits.usual();
+    private static final StateExchangeLimits TAIL = StateExchangeLimits.defaults();
     private static final StateExchangeLimits STATE_ALONE =
             new StateExchangeLimits(
                     TAIL.grace(),
@@ -84,8 +84,8 @@
 
     private static void report(String way, int vms, List<ExchangingNode> cut, double[] millis) {
         Arrays.sort(millis);
-        long bytes = cut.stream().mapToLong(n -> n.counts().bytesTaken()).sum();
-        long states = cut.stream().mapToLong(n -> n.counts().statesTaken()).sum();
+        long bytes = cut.stream().mapToLong(n -> n.counts().bytesReceived()).sum();
+        long states = cut.stream().mapToLong(n -> n.counts().snapshotsReceived()).sum();
         long failures = cut.stream().mapToLong(n -> n.counts().failures()).sum();
         System.out.printf(
                 "%n%s, %d VMs: in force everywhere after ms p50 %.0f max %.0f (n=%d); bytes taken"
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/Configurations.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/Configurations.java
@@ -11,9 +11,9 @@
 import org.foxtailplank.state.Author;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
-import org.foxtailplank.state.FleetShape;
-import org.foxtailplank.state.PoolShape;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.FleetTopology;
+import org.foxtailplank.state.PoolDefinition;
+import org.foxtailplank.state.VmLocation;
 
 /** Configurations of a given size. */
 final class Configurations {
@@ -25,31 +25,32 @@
     private Configurations() {}
 
     static ConfigurationPublished whole(int vms, int pools) {
-        Map<PoolId, PoolShape> poolShapes = new HashMap<>();
+        Map<PoolId, PoolDefinition> poolShapes = new HashMap<>();
         Map<ServiceId, Integer> budgets = new HashMap<>();
         for (int i = 0; i < pools; i++) {
             ServiceId service = ServiceId.of("service-" + i);
             budgets.put(service, 1);
             poolShapes.put(
-                    PoolId.of("pool-" + i), new PoolShape(Optional.of(service), vms / pools, 1));
+                    PoolId.of("pool-" + i),
+                    new PoolDefinition(Optional.of(service), vms / pools, 1));
         }
-        Map<VmId, VmPlace> places = new HashMap<>();
+        Map<VmId, VmLocation> places = new HashMap<>();
         for (int i = 0; i < vms; i++) {
             int rack = i / VMS_PER_RACK;
             places.put(
                     VmId.of("vm-" + i),
-                    new VmPlace(
+                    new VmLocation(
                             ZoneId.of("zone-" + rack % ZONES),
                             RackId.of("rack-" + rack),
                             PoolId.of("pool-" + i % pools)));
         }
-        FleetShape shape = new FleetShape(places, poolShapes, budgets);
+        FleetTopology shape = new FleetTopology(places, poolShapes, budgets);
         return new ConfigurationPublished("{\"n\":0}", Map.of(), shape, AUTHOR);
     }
 
     /** A small change, as most are: one value of the base. */
     static ConfigurationChanged change(int number) {
-        FleetShape nothing = new FleetShape(Map.of(), Map.of(), Map.of());
+        FleetTopology nothing = new FleetTopology(Map.of(), Map.of(), Map.of());
         return new ConfigurationChanged("{\"n\":" + number + "}", Map.of(), nothing, AUTHOR);
     }
 }
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ExchangingNode.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ExchangingNode.java
@@ -58,11 +58,11 @@
                         new PeerLinkOptions(
                                 mNode,
                                 ZoneId.of(zone),
-                                Incarnation.draw(RANDOM),
+                                Incarnation.random(RANDOM),
                                 Set.of(NodeRole.ENTRY),
                                 new InetSocketAddress("127.0.0.1", 0),
                                 new PeerSettings("a key for the tests", HEARTBEAT, SILENCE),
-                                PeerLinkLimits.usual()));
+                                PeerLinkLimits.defaults()));
         mFleet =
                 FleetFollower.start(
                         log, FollowOptions.of(node, Duration.ofSeconds(20), Duration.ofDays(7)));
@@ -85,7 +85,7 @@
 
     static void meet(List<ExchangingNode> nodes) {
         List<Seed> seeds = nodes.stream().map(n -> new Seed(n.mNode, n.address())).toList();
-        nodes.forEach(n -> n.mLink.learn(SeedSource.SETTINGS, seeds));
+        nodes.forEach(n -> n.mLink.setSeeds(SeedSource.SETTINGS, seeds));
     }
 
     void cutFromPlatform(boolean cut) {
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FleetNodes.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FleetNodes.java
@@ -21,7 +21,7 @@
 import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.ConfigurationPublished;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.StatePosition;
@@ -74,7 +74,7 @@
     }
 
     LogRecord publish(String base, long version) {
-        FleetShape nothing = new FleetShape(Map.of(), Map.of(), Map.of());
+        FleetTopology nothing = new FleetTopology(Map.of(), Map.of(), Map.of());
         return record(
                 new ConfigurationPublished(base, Map.of(), nothing, AUTHOR),
                 Map.of(ObjectKey.configuration(), version));
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/MeasuredFleet.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/MeasuredFleet.java
@@ -19,18 +19,18 @@
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
-import org.foxtailplank.state.FleetShape;
 import org.foxtailplank.state.FleetState;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmActionConfirmed;
 import org.foxtailplank.state.VmActionIntended;
 import org.foxtailplank.state.VmHealth;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.state.VmObserved;
-import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.VmState;
 
 /** A fleet of a size and the records of its maintenance, made on the real fold. */
@@ -75,8 +75,8 @@
     /** One of the usual small changes of the configuration. */
     LogRecord smallChange(int n) {
         String patch = "{\"services\":{\"service-3\":{\"minAvailable\":" + n + "}}}";
-        FleetShape shape =
-                new FleetShape(Map.of(), Map.of(), Map.of(ServiceId.of("service-3"), n % 3));
+        FleetTopology shape =
+                new FleetTopology(Map.of(), Map.of(), Map.of(ServiceId.of("service-3"), n % 3));
         return record(
                 new ConfigurationChanged(patch, Map.of(), shape, AUTHOR),
                 Optional.empty(),
@@ -134,22 +134,22 @@
         return new LogRecord(id, NODE, epoch, expects, change, mState.basis());
     }
 
-    private FleetShape shape() {
-        Map<VmId, VmPlace> vms = new HashMap<>();
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+    private FleetTopology shape() {
+        Map<VmId, VmLocation> vms = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> min = new HashMap<>();
         for (int i = 0; i < mVms; i++) {
             vms.put(
                     VmId.of(name(i)),
-                    new VmPlace(zone(rack(i) % mZones), RackId.of("rack-" + rack(i)), pool(i)));
+                    new VmLocation(zone(rack(i) % mZones), RackId.of("rack-" + rack(i)), pool(i)));
         }
         for (int p = 0; p < mPools; p++) {
             ServiceId service = ServiceId.of("service-" + p);
             int size = mVms / mPools;
-            pools.put(pool(p), new PoolShape(Optional.of(service), size, 1));
+            pools.put(pool(p), new PoolDefinition(Optional.of(service), size, 1));
             min.put(service, size / 4);
         }
-        return new FleetShape(vms, pools, min);
+        return new FleetTopology(vms, pools, min);
     }
 
     private String base() {
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ZoneCutOffTest.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/ZoneCutOffTest.java
@@ -24,7 +24,7 @@
 
     private static final long PATIENCE_NANOS = Duration.ofSeconds(20).toNanos();
     private static final Optional<StateExchangeLimits> USUAL =
-            Optional.of(StateExchangeLimits.usual());
+            Optional.of(StateExchangeLimits.defaults());
 
     private final List<ExchangingNode> mNodes = new ArrayList<>();
     private MemoryPlatformLog mLog;
@@ -50,7 +50,7 @@
         cut.forEach(n -> n.cutFromPlatform(true));
         assertTrue(reached.publish("c2", Configurations.change(2)).isApplied());
         awaitAll(2);
-        assertEquals(cut.get(0).counts().statesTaken(), 0, "the tail was enough");
+        assertEquals(cut.get(0).counts().snapshotsReceived(), 0, "the tail was enough");
     }
 
     @Test
--- a/foxtail-process/src/main/java/org/foxtailplank/process/HttpCallException.java
+++ b/foxtail-process/src/main/java/org/foxtailplank/process/HttpCallException.java
@@ -22,7 +22,7 @@
         }
 
         /** Returns whether the call may have taken effect. */
-        public boolean mayHaveHappened() {
+        public boolean mayHaveTakenEffect() {
             return this != UNREACHABLE;
         }
     }
--- a/foxtail-process/src/test/java/org/foxtailplank/process/HttpTest.java
+++ b/foxtail-process/src/test/java/org/foxtailplank/process/HttpTest.java
@@ -118,7 +118,7 @@
         }
         HttpCallException e = failure("http://127.0.0.1:" + port + "/x", mClient);
         assertEquals(e.kind(), HttpCallException.Kind.UNREACHABLE);
-        assertFalse(e.kind().mayHaveHappened());
+        assertFalse(e.kind().mayHaveTakenEffect());
     }
 
     /** The server accepted the connection, so the call may have taken effect. */
@@ -129,7 +129,7 @@
             HttpCallException e =
                     failure("http://127.0.0.1:" + socket.getLocalPort() + "/x", client);
             assertEquals(e.kind(), HttpCallException.Kind.TIMEOUT);
-            assertTrue(e.kind().mayHaveHappened());
+            assertTrue(e.kind().mayHaveTakenEffect());
         }
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerFailure.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerFailure.java
@@ -5,7 +5,7 @@
     /** The message was not sent. */
     NOT_SENT("was not sent"),
     /** The peer refused the message without acting on it. */
-    NOT_TAKEN("was refused by the peer"),
+    REFUSED("was refused by the peer"),
     /** No answer was received; the peer may have acted on the message. */
     NO_ANSWER("was not answered");
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
@@ -27,7 +27,7 @@
     PeerIdentity self();
 
     /** Replaces the seed addresses that were last given by a source. */
-    void learn(SeedSource source, Collection<Seed> seeds);
+    void setSeeds(SeedSource source, Collection<Seed> seeds);
 
     /** Sets the log position that heartbeats carry. */
     void report(StatePosition position);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkLimits.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkLimits.java
@@ -24,12 +24,12 @@
             new PeerLinkLimits(2_500, 256 * 1024, 32, Duration.ofSeconds(2), 64, 20);
 
     /** Returns the default limits. */
-    public static PeerLinkLimits usual() {
+    public static PeerLinkLimits defaults() {
         return DEFAULTS;
     }
 
     /** Returns a copy that allows messages of at least this size. */
-    public PeerLinkLimits withMessagesOf(int bytes) {
+    public PeerLinkLimits withMinMessageLimit(int bytes) {
         return new PeerLinkLimits(
                 heartbeatBytesPerSecond,
                 Math.max(maxMessageBytes, bytes),
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkOptions.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLinkOptions.java
@@ -47,12 +47,12 @@
                 roles,
                 settings.peers(),
                 peers,
-                PeerLinkLimits.usual());
+                PeerLinkLimits.defaults());
     }
 
     /** Returns a copy that allows messages of at least this size. */
-    public PeerLinkOptions withMessagesOf(int bytes) {
+    public PeerLinkOptions withMinMessageLimit(int bytes) {
         return new PeerLinkOptions(
-                node, zone, incarnation, roles, bind, peers, limits.withMessagesOf(bytes));
+                node, zone, incarnation, roles, bind, peers, limits.withMinMessageLimit(bytes));
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/RecordCodec.java
@@ -13,9 +13,9 @@
 import org.foxtailplank.state.Basis;
 import org.foxtailplank.state.Change;
 import org.foxtailplank.state.LogRecord;
-import org.foxtailplank.state.NotUnderstood;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.ObjectKind;
+import org.foxtailplank.state.UnknownChange;
 import org.foxtailplank.wire.generated.records.EpochProto;
 import org.foxtailplank.wire.generated.records.ExpectationProto;
 import org.foxtailplank.wire.generated.records.ObjectProto;
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Decodes a record; a change of an unknown kind becomes a {@link NotUnderstood}.
+     * Decodes a record; a change of an unknown kind becomes a {@link UnknownChange}.
      *
      * @throws RecordFormatException if the bytes are not a valid record of any version
      */
@@ -95,7 +95,7 @@
                 NodeId.of(p.getWriter()),
                 epoch,
                 expects,
-                change.orElseGet(() -> new NotUnderstood(touches(p))),
+                change.orElseGet(() -> new UnknownChange(touches(p))),
                 new Basis(p.getBasis(), p.getBasisDigest()));
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
@@ -18,13 +18,13 @@
     CompletionStage<List<TailRecord>> tailAfter(StatePosition position, int maxBytes);
 
     /** Returns an encoded snapshot of the whole state; empty if there is no state to share. */
-    CompletionStage<Optional<byte[]>> rollUp();
+    CompletionStage<Optional<byte[]>> snapshot();
 
     /** Applies records that follow a position; false if this node is at another position. */
     CompletionStage<Boolean> offerTail(StatePosition position, List<TailRecord> tail);
 
     /** Replaces the state by the snapshot of a peer if that is newer; false otherwise. */
-    CompletionStage<Boolean> offerRollUp(byte[] state);
+    CompletionStage<Boolean> offerSnapshot(byte[] state);
 
     /** Registers a listener that is called after each change. */
     void onChange(Runnable listener);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeLimits.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/StateExchangeLimits.java
@@ -30,7 +30,7 @@
                     Duration.ofSeconds(5));
 
     /** Returns the default limits. */
-    public static StateExchangeLimits usual() {
+    public static StateExchangeLimits defaults() {
         return DEFAULTS;
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/PeerStateExchange.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/PeerStateExchange.java
@@ -135,7 +135,7 @@
             return;
         }
         mSnapshotsReceived.increment();
-        onOffered(peer, mState.offerRollUp(snapshot.get()));
+        onOffered(peer, mState.offerSnapshot(snapshot.get()));
     }
 
     private void onOffered(NodeId peer, CompletionStage<Boolean> offer) {
@@ -148,7 +148,7 @@
         mFetching = false;
         if (applied) {
             report();
-            mCatchUp.helped(mState.position());
+            mCatchUp.peerHelped(mState.position());
             check();
         } else {
             onFailure(peer, "its state is not newer or does not match");
@@ -157,7 +157,7 @@
 
     private void onFailure(NodeId peer, String reason) {
         mFailures.increment();
-        mCatchUp.failed(peer, System.nanoTime());
+        mCatchUp.peerFailed(peer, System.nanoTime());
         LOG.log(Level.INFO, "peer: Could not fetch newer state from {0}: {1}.", peer, reason);
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/StateServer.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/exchange/StateServer.java
@@ -88,7 +88,7 @@
         if (mCached.isPresent() && (fresh || requested == mNumber)) {
             return CompletableFuture.completedFuture(mCached);
         }
-        return mState.rollUp().thenApply(this::cache);
+        return mState.snapshot().thenApply(this::cache);
     }
 
     private synchronized Optional<ByteString> cache(Optional<byte[]> state) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.foxtailplank.internal.membership.BeatNews;
+import org.foxtailplank.internal.membership.HeartbeatDigest;
 import org.foxtailplank.internal.membership.HeartbeatPlan;
 import org.foxtailplank.internal.membership.MemberTable;
 import org.foxtailplank.internal.membership.SilenceLimits;
@@ -78,10 +78,12 @@
     void send() {
         long now = nextNumber();
         int peers = mLinks.open().size();
-        mTable.allow(mSilenceLimits.allowing(mPlan.spread(peers, mHeartbeatBytes)));
+        mTable.setSilenceLimits(
+                mSilenceLimits.plusPropagationDelay(
+                        mPlan.propagationDelay(peers, mHeartbeatBytes)));
         mTable.tick(now);
-        int news = mPlan.newsLimit(peers, mHeartbeatBytes);
-        for (OutgoingLink link : mPlan.next(mLinks.open(), mHeartbeatBytes)) {
+        int news = mPlan.digestLimit(peers, mHeartbeatBytes);
+        for (OutgoingLink link : mPlan.nextPeers(mLinks.open(), mHeartbeatBytes)) {
             sendTo(link, news, now);
         }
     }
@@ -90,7 +92,7 @@
         mImmediateScheduled = false;
         long now = nextNumber();
         for (OutgoingLink link :
-                mPlan.atOnce(mLinks.open(), MAX_IMMEDIATE_PEERS, mHeartbeatBytes)) {
+                mPlan.immediatePeers(mLinks.open(), MAX_IMMEDIATE_PEERS, mHeartbeatBytes)) {
             sendTo(link, 0, now);
         }
     }
@@ -111,18 +113,21 @@
             mCounters.mHeartbeatsDropped.increment();
             return;
         }
-        List<BeatNews> news = mTable.news(newsLimit);
+        List<HeartbeatDigest> news = mTable.nextDigests(newsLimit);
         EnvelopeProto.Builder envelope =
                 EnvelopeProto.newBuilder()
                         .setHeartbeat(
                                 Heartbeats.encode(
-                                        mNumber, mStatus, news, mTable.farewells(MAX_DEPARTURES)));
+                                        mNumber,
+                                        mStatus,
+                                        news,
+                                        mTable.nextDepartures(MAX_DEPARTURES)));
         if (link.needsConfirmation(mSilenceLimits.suspectNanos(), now)) {
             long request = mOutstandingRequests.nextNumber();
             link.awaitConfirmation(request, now);
             envelope.setAsk(request);
         }
         mHeartbeatBytes =
-                session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_NEWS * news.size();
+                session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_DIGEST * news.size();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.foxtailplank.internal.membership.BeatNews;
+import org.foxtailplank.internal.membership.HeartbeatDigest;
 import org.foxtailplank.membership.LoadSummary;
 import org.foxtailplank.membership.NodeStatus;
 import org.foxtailplank.wire.generated.peer.HeartbeatProto;
@@ -17,7 +17,7 @@
     private Heartbeats() {}
 
     static HeartbeatProto encode(
-            long beat, NodeStatus status, List<BeatNews> news, List<Integer> left) {
+            long beat, NodeStatus status, List<HeartbeatDigest> news, List<Integer> left) {
         HeartbeatProto.Builder proto =
                 HeartbeatProto.newBuilder()
                         .setBeat(beat)
@@ -30,9 +30,9 @@
                         (instance, count) ->
                                 proto.addLoadInstance(instance).addLoadInFlight(count));
         ByteBuffer beats = ByteBuffer.allocate(news.size() * Short.BYTES);
-        for (BeatNews entry : news) {
+        for (HeartbeatDigest entry : news) {
             proto.addHeardTag(entry.tag());
-            beats.putShort(entry.beat());
+            beats.putShort(entry.sequence());
         }
         return proto.setHeardBeat(ByteString.copyFrom(beats.flip())).build();
     }
@@ -49,12 +49,12 @@
                 new LoadSummary(load));
     }
 
-    static List<BeatNews> news(HeartbeatProto proto) {
+    static List<HeartbeatDigest> news(HeartbeatProto proto) {
         ByteBuffer beats = proto.getHeardBeat().asReadOnlyByteBuffer();
         int count = Math.min(proto.getHeardTagCount(), beats.remaining() / Short.BYTES);
-        List<BeatNews> news = new ArrayList<>(count);
+        List<HeartbeatDigest> news = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            news.add(new BeatNews(proto.getHeardTag(i), beats.getShort()));
+            news.add(new HeartbeatDigest(proto.getHeardTag(i), beats.getShort()));
         }
         return news;
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/MessageDispatcher.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/MessageDispatcher.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.foxtailplank.internal.membership.BeatNews;
+import org.foxtailplank.internal.membership.HeartbeatDigest;
 import org.foxtailplank.internal.membership.MemberTable;
 import org.foxtailplank.membership.Incarnation;
 import org.foxtailplank.membership.Member;
@@ -54,7 +54,7 @@
     void dispatch(Session from, EnvelopeProto envelope, long now) {
         switch (envelope.getBodyCase()) {
             case HEARTBEAT -> onHeartbeat(from, envelope, now);
-            case LEAVING -> mTable.left(from.peer().incarnation());
+            case LEAVING -> mTable.memberLeft(from.peer().incarnation());
             case INTRODUCTION_REQUEST ->
                     onIntroductionRequest(from, envelope.getIntroductionRequest());
             case INTRODUCTION_ANSWER -> onIntroductionAnswer(envelope.getIntroductionAnswer(), now);
@@ -66,12 +66,12 @@
     private void onHeartbeat(Session from, EnvelopeProto envelope, long now) {
         HeartbeatProto heartbeat = envelope.getHeartbeat();
         Incarnation sender = from.peer().incarnation();
-        mTable.heard(sender, heartbeat.getBeat(), now);
-        mTable.status(sender, Heartbeats.status(heartbeat));
-        for (BeatNews news : Heartbeats.news(heartbeat)) {
-            mTable.told(news, now);
+        mTable.heartbeatReceived(sender, heartbeat.getBeat(), now);
+        mTable.updateStatus(sender, Heartbeats.status(heartbeat));
+        for (HeartbeatDigest news : Heartbeats.news(heartbeat)) {
+            mTable.digestReceived(news, now);
         }
-        heartbeat.getLeftTagList().forEach(mTable::leftByTag);
+        heartbeat.getLeftTagList().forEach(mTable::memberLeftByTag);
         if (envelope.getAsk() != 0) {
             sendConfirmation(from, envelope.getAsk());
         }
@@ -90,7 +90,7 @@
     }
 
     private void requestIntroductions(Session from) {
-        List<Integer> unknownTags = mTable.takeStrangers();
+        List<Integer> unknownTags = mTable.drainUnknownTags();
         if (!unknownTags.isEmpty()) {
             IntroductionRequestProto request =
                     IntroductionRequestProto.newBuilder().addAllTag(unknownTags).build();
@@ -100,7 +100,7 @@
 
     private void onIntroductionRequest(Session from, IntroductionRequestProto request) {
         IntroductionAnswerProto.Builder answer = IntroductionAnswerProto.newBuilder();
-        mTable.introduce(request.getTagList())
+        mTable.identitiesOf(request.getTagList())
                 .forEach(peer -> answer.addIdentity(Identities.encode(peer)));
         from.write(EnvelopeProto.newBuilder().setIntroductionAnswer(answer).build());
     }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutgoingLinks.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutgoingLinks.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.foxtailplank.internal.membership.Backoff;
+import org.foxtailplank.internal.membership.ConnectRateLimiter;
 import org.foxtailplank.internal.membership.SilenceLimits;
-import org.foxtailplank.internal.membership.TryBudget;
 import org.foxtailplank.membership.Incarnation;
 import org.foxtailplank.membership.PeerIdentity;
 import org.foxtailplank.wire.DisconnectReason;
@@ -27,13 +27,13 @@
     private final Map<InetSocketAddress, OutgoingLink> mLinks = new LinkedHashMap<>();
     private final Function<InetSocketAddress, ChannelFuture> mConnect;
     private final SilenceLimits mLimits;
-    private final TryBudget mConnectBudget;
+    private final ConnectRateLimiter mConnectBudget;
     private final Random mRandom;
 
     OutgoingLinks(
             Function<InetSocketAddress, ChannelFuture> connect,
             SilenceLimits limits,
-            TryBudget connectBudget,
+            ConnectRateLimiter connectBudget,
             Random random) {
         mConnect = connect;
         mLimits = limits;
@@ -60,7 +60,7 @@
                         .sorted(Comparator.comparingLong(OutgoingLink::nextAttemptAt))
                         .toList();
         for (OutgoingLink link : due) {
-            if (!mConnectBudget.take(now)) {
+            if (!mConnectBudget.tryAcquire(now)) {
                 return;
             }
             connect(link);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutstandingRequests.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutstandingRequests.java
@@ -102,11 +102,11 @@
 
     private void onRefusal(long number, RefusalProto.Reason refusal) {
         switch (refusal) {
-            case BUSY -> failOutstanding(number, PeerFailure.NOT_TAKEN, "the peer is busy");
+            case BUSY -> failOutstanding(number, PeerFailure.REFUSED, "the peer is busy");
             case NOT_UNDERSTOOD ->
                     failOutstanding(
                             number,
-                            PeerFailure.NOT_TAKEN,
+                            PeerFailure.REFUSED,
                             "the peer does not support this kind of message");
             default ->
                     failOutstanding(number, PeerFailure.NO_ANSWER, "the peer failed to handle it");
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.foxtailplank.id.NodeId;
+import org.foxtailplank.internal.membership.ConnectRateLimiter;
 import org.foxtailplank.internal.membership.HeartbeatPlan;
 import org.foxtailplank.internal.membership.MemberTable;
 import org.foxtailplank.internal.membership.SilenceLimits;
-import org.foxtailplank.internal.membership.TryBudget;
 import org.foxtailplank.membership.Incarnation;
 import org.foxtailplank.membership.LoadSummary;
 import org.foxtailplank.membership.Member;
@@ -95,7 +95,8 @@
                 new OutgoingLinks(
                         address -> mTransport.connect(address, () -> new ConnectingHandshake(this)),
                         mSilenceLimits,
-                        new TryBudget(connectsPerSecond, connectsPerSecond, System.nanoTime()),
+                        new ConnectRateLimiter(
+                                connectsPerSecond, connectsPerSecond, System.nanoTime()),
                         random);
         mOutstandingRequests = new OutstandingRequests(mLoop);
         HeartbeatPlan<OutgoingLink> plan =
@@ -136,11 +137,11 @@
     }
 
     @Override
-    public void learn(SeedSource source, Collection<Seed> seeds) {
+    public void setSeeds(SeedSource source, Collection<Seed> seeds) {
         List<Seed> copy = List.copyOf(seeds);
         run(
                 () -> {
-                    mTable.learn(source, copy);
+                    mTable.setSeeds(source, copy);
                     maintain();
                 });
     }
@@ -282,7 +283,7 @@
         PeerIdentity peer = session.peer();
         if (session.isOutgoing()) {
             if (mLinks.onOpened(session, now)) {
-                mTable.reached(peer, session.remote(), now);
+                mTable.authenticatedAt(peer, session.remote(), now);
             }
         } else if (mIncoming.size() >= MAX_INCOMING) {
             session.disconnect(DisconnectReason.TOO_MANY_CONNECTIONS);
@@ -291,7 +292,7 @@
             if (older != null) {
                 older.disconnect(DisconnectReason.SUPERSEDED);
             }
-            mTable.met(peer, now);
+            mTable.authenticated(peer, now);
             mLinks.retrySoon(peer, now);
         }
         publish();
@@ -329,7 +330,7 @@
 
     private void onConfirmation(Session session, EnvelopeProto envelope, long now) {
         long beat = envelope.getConfirmation().getBeat();
-        mTable.heard(session.peer().incarnation(), beat, now);
+        mTable.heartbeatReceived(session.peer().incarnation(), beat, now);
     }
 
     private void maintain() {
@@ -346,7 +347,7 @@
     }
 
     private void publish() {
-        List<Member> changes = mTable.takeChanges();
+        List<Member> changes = mTable.drainChanges();
         mMembers = mTable.members();
         long now = System.nanoTime();
         for (Member member : changes) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ShapeCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ShapeCodec.java
@@ -8,9 +8,9 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.FleetShape;
-import org.foxtailplank.state.PoolShape;
-import org.foxtailplank.state.VmPlace;
+import org.foxtailplank.state.FleetTopology;
+import org.foxtailplank.state.PoolDefinition;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.wire.generated.records.PoolShapeProto;
 import org.foxtailplank.wire.generated.records.ShapeProto;
 import org.foxtailplank.wire.generated.records.VmPlaceProto;
@@ -20,7 +20,7 @@
     private ShapeCodec() {}
 
     /** Encodes a fleet shape. */
-    public static ShapeProto encode(FleetShape shape) {
+    public static ShapeProto encode(FleetTopology shape) {
         ShapeProto.Builder b = ShapeProto.newBuilder();
         shape.vms().forEach((id, v) -> b.putVms(id.value(), place(v)));
         shape.pools().forEach((id, p) -> b.putPools(id.value(), encode(p)));
@@ -29,30 +29,30 @@
     }
 
     /** Decodes a fleet shape; repeated ids share one instance. */
-    public static FleetShape decode(ShapeProto p) {
+    public static FleetTopology decode(ShapeProto p) {
         Map<String, ZoneId> zones = new HashMap<>();
         Map<String, RackId> racks = new HashMap<>();
         Map<String, PoolId> poolIds = new HashMap<>();
-        Map<VmId, VmPlace> vms = new HashMap<>();
+        Map<VmId, VmLocation> vms = new HashMap<>();
         p.getVmsMap()
                 .forEach(
                         (id, v) ->
                                 vms.put(
                                         VmId.of(id),
-                                        new VmPlace(
+                                        new VmLocation(
                                                 zones.computeIfAbsent(v.getZone(), ZoneId::of),
                                                 racks.computeIfAbsent(v.getRack(), RackId::of),
                                                 poolIds.computeIfAbsent(v.getPool(), PoolId::of))));
-        Map<PoolId, PoolShape> pools = new HashMap<>();
+        Map<PoolId, PoolDefinition> pools = new HashMap<>();
         p.getPoolsMap()
                 .forEach((id, s) -> pools.put(poolIds.computeIfAbsent(id, PoolId::of), decode(s)));
         Map<ServiceId, Integer> min = new HashMap<>();
         p.getMinAvailableMap().forEach((s, n) -> min.put(ServiceId.of(s), n));
-        return new FleetShape(vms, pools, min);
+        return new FleetTopology(vms, pools, min);
     }
 
     /** Encodes the configured shape of a pool. */
-    public static PoolShapeProto encode(PoolShape shape) {
+    public static PoolShapeProto encode(PoolDefinition shape) {
         PoolShapeProto.Builder b =
                 PoolShapeProto.newBuilder().setTarget(shape.target()).setReserve(shape.reserve());
         shape.service().ifPresent(s -> b.setService(s.value()));
@@ -60,13 +60,13 @@
     }
 
     /** Decodes the configured shape of a pool. */
-    public static PoolShape decode(PoolShapeProto p) {
+    public static PoolDefinition decode(PoolShapeProto p) {
         Optional<ServiceId> service =
                 p.hasService() ? Optional.of(ServiceId.of(p.getService())) : Optional.empty();
-        return new PoolShape(service, p.getTarget(), p.getReserve());
+        return new PoolDefinition(service, p.getTarget(), p.getReserve());
     }
 
-    private static VmPlaceProto place(VmPlace v) {
+    private static VmPlaceProto place(VmLocation v) {
         return VmPlaceProto.newBuilder()
                 .setZone(v.zone().value())
                 .setRack(v.rack().value())
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
@@ -21,15 +21,15 @@
 import org.foxtailplank.state.EpochState;
 import org.foxtailplank.state.FleetSnapshot;
 import org.foxtailplank.state.JobState;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.PoolState;
+import org.foxtailplank.state.RecordWindowContents;
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.TaskState;
 import org.foxtailplank.state.TeamQuota;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmState;
 import org.foxtailplank.state.WaveState;
-import org.foxtailplank.state.WindowContents;
 import org.foxtailplank.wire.StoredState;
 import org.foxtailplank.wire.generated.snapshot.ConfigurationProto;
 import org.foxtailplank.wire.generated.snapshot.EpochStateProto;
@@ -55,7 +55,7 @@
     /** Decodes a state. */
     public static StoredState decode(SnapshotProto p) {
         SnapshotDecoder d = new SnapshotDecoder(p);
-        Map<PoolId, PoolShape> shapes = new HashMap<>();
+        Map<PoolId, PoolDefinition> shapes = new HashMap<>();
         p.getShapesMap().forEach((id, s) -> shapes.put(PoolId.of(id), ShapeCodec.decode(s)));
         Map<ServiceId, Integer> min = new HashMap<>();
         p.getMinAvailableMap().forEach((id, n) -> min.put(ServiceId.of(id), n));
@@ -69,7 +69,7 @@
         FleetSnapshot state =
                 new FleetSnapshot(
                         p.getNextOffset(),
-                        new WindowContents(longs(p.getIdsList()), longs(p.getDigestsList())),
+                        new RecordWindowContents(longs(p.getIdsList()), longs(p.getDigestsList())),
                         p.hasConfiguration()
                                 ? Optional.of(configuration(p.getConfiguration()))
                                 : Optional.empty(),
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerCostMeasurement.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerCostMeasurement.java
@@ -88,7 +88,7 @@
             load.put("vm-" + i, 1 + i % 8);
         }
         links.forEach(link -> link.report(LoadSummary.of(load)));
-        links.forEach(link -> link.learn(SeedSource.SETTINGS, seeds));
+        links.forEach(link -> link.setSeeds(SeedSource.SETTINGS, seeds));
         return links;
     }
 
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerNodes.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/PeerNodes.java
@@ -58,11 +58,11 @@
                 new PeerLinkOptions(
                         NodeId.of(node),
                         ZoneId.of(zone),
-                        Incarnation.draw(mRandom),
+                        Incarnation.random(mRandom),
                         Set.of(NodeRole.ENTRY),
                         bind,
                         settings,
-                        PeerLinkLimits.usual());
+                        PeerLinkLimits.defaults());
         PeerLink link = PeerLink.start(options);
         mLinks.add(link);
         return link;
@@ -80,7 +80,7 @@
         for (PeerLink other : others) {
             seeds.add(new Seed(other.self().node(), other.self().address()));
         }
-        link.learn(SeedSource.SETTINGS, seeds);
+        link.setSeeds(SeedSource.SETTINGS, seeds);
     }
 
     public static boolean sees(PeerLink link, PeerLink other, MemberState state) {
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
@@ -27,14 +27,13 @@
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
-import org.foxtailplank.state.FleetShape;
+import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.JobCancelled;
 import org.foxtailplank.state.JobSpec;
 import org.foxtailplank.state.JobSubmitted;
 import org.foxtailplank.state.LogRecord;
-import org.foxtailplank.state.NotUnderstood;
 import org.foxtailplank.state.ObjectKey;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.PoolTargetChanged;
 import org.foxtailplank.state.StateRestored;
 import org.foxtailplank.state.TaskAction;
@@ -42,13 +41,14 @@
 import org.foxtailplank.state.TaskIntended;
 import org.foxtailplank.state.TaskOutcome;
 import org.foxtailplank.state.TeamQuotaChanged;
+import org.foxtailplank.state.UnknownChange;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmActionConfirmed;
 import org.foxtailplank.state.VmActionIntended;
 import org.foxtailplank.state.VmHealth;
 import org.foxtailplank.state.VmJoined;
+import org.foxtailplank.state.VmLocation;
 import org.foxtailplank.state.VmObserved;
-import org.foxtailplank.state.VmPlace;
 import org.foxtailplank.state.VmReleased;
 import org.foxtailplank.state.WaveControlled;
 import org.foxtailplank.state.WaveFinished;
@@ -71,14 +71,14 @@
     /** One change of each kind. */
     @DataProvider
     public static Object[] changes() {
-        FleetShape shape =
-                new FleetShape(
-                        Map.of(VM, new VmPlace(ZONE, RackId.of("r1"), POOL)),
+        FleetTopology shape =
+                new FleetTopology(
+                        Map.of(VM, new VmLocation(ZONE, RackId.of("r1"), POOL)),
                         Map.of(
                                 POOL,
-                                new PoolShape(Optional.of(ServiceId.of("claims")), 3, 1),
+                                new PoolDefinition(Optional.of(ServiceId.of("claims")), 3, 1),
                                 PoolId.of("spare"),
-                                new PoolShape(Optional.empty(), 0, 0)),
+                                new PoolDefinition(Optional.empty(), 0, 0)),
                         Map.of(ServiceId.of("claims"), 2));
         JobSpec spec = new JobSpec(TeamId.of("desk"), POOL, RequestClass.URGENT, 4, 1L << 34, 1, 8);
         return new Object[] {
@@ -150,7 +150,7 @@
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
         b.getExpectsBuilder(0).getObjectBuilder().setKind(NEWER_FIELD);
         LogRecord r = RecordCodec.decode(b.build().toByteArray());
-        assertEquals(r.change(), new NotUnderstood(change.touches()));
+        assertEquals(r.change(), new UnknownChange(change.touches()));
     }
 
     @Test
@@ -163,7 +163,7 @@
 
     private static void assertNotUnderstood(RecordProto record, Change change) throws Exception {
         LogRecord r = RecordCodec.decode(record.toByteArray());
-        LogRecord expected = record(new NotUnderstood(change.touches()));
+        LogRecord expected = record(new UnknownChange(change.touches()));
         assertEquals(r, expected);
     }
 
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
@@ -29,8 +29,9 @@
 import org.foxtailplank.state.FleetSnapshot;
 import org.foxtailplank.state.JobSpec;
 import org.foxtailplank.state.JobState;
-import org.foxtailplank.state.PoolShape;
+import org.foxtailplank.state.PoolDefinition;
 import org.foxtailplank.state.PoolState;
+import org.foxtailplank.state.RecordWindowContents;
 import org.foxtailplank.state.StatePosition;
 import org.foxtailplank.state.TaskAction;
 import org.foxtailplank.state.TaskOutcome;
@@ -41,7 +42,6 @@
 import org.foxtailplank.state.VmState;
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
-import org.foxtailplank.state.WindowContents;
 import org.testng.annotations.Test;
 
 /** Tests the snapshot codec and the reassembly of snapshots from chunks. */
@@ -153,9 +153,9 @@
         FleetSnapshot snapshot =
                 new FleetSnapshot(
                         next,
-                        new WindowContents(ids, digests),
+                        new RecordWindowContents(ids, digests),
                         Optional.of(new Configuration(40, base, Map.of(ZONE, "{}"), AUTHOR)),
-                        Map.of(POOL, new PoolShape(service, 3, 1)),
+                        Map.of(POOL, new PoolDefinition(service, 3, 1)),
                         Map.of(ServiceId.of("claims"), 2),
                         List.of(new PoolState(POOL, service, 4, 1, 41)),
                         List.of(vm),
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/InMemorySharedState.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/InMemorySharedState.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<Optional<byte[]>> rollUp() {
+    public synchronized CompletionStage<Optional<byte[]>> snapshot() {
         byte[] bytes = mContent.toString().getBytes(StandardCharsets.UTF_8);
         return CompletableFuture.completedFuture(Optional.of(bytes).filter(b -> b.length > 0));
     }
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<Boolean> offerRollUp(byte[] state) {
+    public synchronized CompletionStage<Boolean> offerSnapshot(byte[] state) {
         boolean newer = state.length > mContent.length();
         if (newer) {
             mContent.setLength(0);
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/StateExchangeTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/StateExchangeTest.java
@@ -138,7 +138,7 @@
         joinAll(a, c);
         joinAll(b, c);
         await("the state of the other peer", () -> starting.content().equals(LONG_STATE));
-        assertEquals(exchange.counts().statesTaken(), 1);
+        assertEquals(exchange.counts().snapshotsReceived(), 1);
     }
 
     private void start(InMemorySharedState first, InMemorySharedState second)
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/HostilePeerTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/HostilePeerTest.java
@@ -156,7 +156,8 @@
     public void anOversizedFrameAfterTheProofIsRefusedByItsLength() throws IOException {
         try (RawPeer peer = new RawPeer(mVictim.self().address()).authenticate("x", KEY)) {
             assertTrue(
-                    peer.sendLength(PeerLinkLimits.usual().maxMessageBytes() + 1).isDisconnected());
+                    peer.sendLength(PeerLinkLimits.defaults().maxMessageBytes() + 1)
+                            .isDisconnected());
             assertDisconnectedOnce(DisconnectReason.OVERSIZED);
         }
     }
@@ -180,7 +181,7 @@
     @Test
     public void unauthenticatedConnectionsAreLimited() throws IOException {
         awaitSees(mVictim, mHonest, MemberState.ALIVE);
-        int connections = PeerLinkLimits.usual().maxUnauthenticated() * 2;
+        int connections = PeerLinkLimits.defaults().maxUnauthenticated() * 2;
         List<RawPeer> peers = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
             peers.add(new RawPeer(mVictim.self().address()));
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PartitionTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PartitionTest.java
@@ -118,7 +118,7 @@
                 Duration.ofNanos(System.nanoTime() - healedAt).toMillis(),
                 attempts);
         assertTrue(attempts > 0);
-        int perSecond = PeerLinkLimits.usual().connectsPerSecond();
+        int perSecond = PeerLinkLimits.defaults().connectsPerSecond();
         assertTrue(
                 attempts <= near.size() * perSecond * (seconds + 1),
                 attempts + " connections tried in " + seconds + " s");
@@ -193,6 +193,6 @@
     }
 
     private static void learnSeeds(PeerLink link, Seed... seeds) {
-        link.learn(SeedSource.SETTINGS, List.of(seeds));
+        link.setSeeds(SeedSource.SETTINGS, List.of(seeds));
     }
 }
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PeerLinkTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/PeerLinkTest.java
@@ -85,8 +85,8 @@
                                 .isPresent());
         NodeStatus status = a.member(NodeId.of("b")).orElseThrow().status();
         assertEquals(status.position(), new StatePosition(1, 43, 7));
-        assertEquals(status.load().at("vm-7"), 5);
-        assertEquals(status.load().at("vm-8"), 0);
+        assertEquals(status.load().inFlightAt("vm-7"), 5);
+        assertEquals(status.load().inFlightAt("vm-8"), 0);
     }
 
     @Test
@@ -118,7 +118,7 @@
         PeerLink b = mNodes.start("b");
         join(a, b);
         awaitSees(a, b, MemberState.ALIVE);
-        assertEquals(failure(() -> ask(a, b, LONG)), PeerFailure.NOT_TAKEN);
+        assertEquals(failure(() -> ask(a, b, LONG)), PeerFailure.REFUSED);
         assertEquals(b.counts().notUnderstood(), 1);
     }
 
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/RawPeer.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/peer/RawPeer.java
@@ -55,7 +55,7 @@
         PeerIdentity identity =
                 new PeerIdentity(
                         NodeId.of(node),
-                        Incarnation.draw(new Random()),
+                        Incarnation.random(new Random()),
                         ZoneId.of("a"),
                         new InetSocketAddress("127.0.0.1", 1),
                         Set.of(NodeRole.ENTRY));
