--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobProgress.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobProgress.java
@@ -11,7 +11,7 @@
 
 /** State of one job, replayed from the journal. */
 public final class JobProgress {
-    private final JobDefinition mOrder;
+    private final JobDefinition mDefinition;
     private final BitSet mDoneTasks = new BitSet();
     private final Map<Integer, Set<Integer>> mFailedAttempts = new HashMap<>();
     private final Map<Integer, JournalRecord.StartedRun> mLastStarts = new HashMap<>();
@@ -24,14 +24,14 @@
     private boolean mFailed;
     private long mEndedMs;
 
-    JobProgress(JobDefinition order) {
-        mOrder = order;
-        mSnapshotMs = order.acceptedMs();
-        mTaskCount = order.tasksPerRun() * order.timetable().runs();
+    JobProgress(JobDefinition definition) {
+        mDefinition = definition;
+        mSnapshotMs = definition.acceptedMs();
+        mTaskCount = definition.tasksPerRun() * definition.timetable().runs();
     }
 
     public JobDefinition definition() {
-        return mOrder;
+        return mDefinition;
     }
 
     /** When the last snapshot was taken, in milliseconds since the epoch. */
@@ -43,13 +43,19 @@
     public JournalRecord.JobSnapshot snapshot(long nowMs) {
         mSnapshotMs = nowMs;
         List<JournalRecord.EndedRun> ends = new ArrayList<>();
-        mDoneTasks.stream().forEach(p -> ends.add(endedRun(mOrder.task(p), 0, RunOutcome.DONE)));
+        mDoneTasks.stream()
+                .forEach(p -> ends.add(endedRun(mDefinition.task(p), 0, RunOutcome.DONE)));
         mFailedAttempts.forEach(
                 (p, attempts) ->
                         attempts.forEach(
-                                a -> ends.add(endedRun(mOrder.task(p), a, RunOutcome.FAILED))));
+                                a ->
+                                        ends.add(
+                                                endedRun(
+                                                        mDefinition.task(p),
+                                                        a,
+                                                        RunOutcome.FAILED))));
         return new JournalRecord.JobSnapshot(
-                mOrder, List.copyOf(mLastStarts.values()), ends, mCancelledMs);
+                mDefinition, List.copyOf(mLastStarts.values()), ends, mCancelledMs);
     }
 
     private JournalRecord.EndedRun endedRun(TaskName task, int attempt, RunOutcome outcome) {
@@ -64,7 +70,7 @@
         if (mFailed) {
             return JobPhase.FAILED;
         }
-        if (!mOrder.isStanding() && mDoneTasks.cardinality() == mTaskCount) {
+        if (!mDefinition.isStanding() && mDoneTasks.cardinality() == mTaskCount) {
             return JobPhase.COMPLETED;
         }
         return mStarted ? JobPhase.RUNNING : JobPhase.QUEUED;
@@ -72,12 +78,12 @@
 
     /** Whether a task has ended with {@link RunOutcome#DONE}. */
     public boolean isDone(TaskName task) {
-        return mDoneTasks.get(mOrder.position(task));
+        return mDoneTasks.get(mDefinition.position(task));
     }
 
     /** Numbers of the failed attempts of a task. */
     public Set<Integer> failedAttempts(TaskName task) {
-        return Set.copyOf(mFailedAttempts.getOrDefault(mOrder.position(task), Set.of()));
+        return Set.copyOf(mFailedAttempts.getOrDefault(mDefinition.position(task), Set.of()));
     }
 
     /** When the job reached a final phase, in milliseconds since the epoch; 0 before that. */
@@ -94,12 +100,14 @@
 
     /**
      * Records a start. The job stays queued until a worker reports that the task has started, since
-     * the start order may never arrive.
+     * the start command may never arrive.
      */
     void recordStart(JournalRecord.StartedRun run) {
-        if (mOrder.contains(run.task())) {
+        if (mDefinition.contains(run.task())) {
             mLastStarts.merge(
-                    mOrder.position(run.task()), run, (a, b) -> a.attempt() > b.attempt() ? a : b);
+                    mDefinition.position(run.task()),
+                    run,
+                    (a, b) -> a.attempt() > b.attempt() ? a : b);
         }
     }
 
@@ -124,16 +132,16 @@
     }
 
     private long attemptKey(TaskName task, int attempt) {
-        return ((long) mOrder.position(task) << Integer.SIZE) + attempt;
+        return ((long) mDefinition.position(task) << Integer.SIZE) + attempt;
     }
 
     void recordEnd(JournalRecord.EndedRun run) {
-        if (!mOrder.contains(run.task()) || phase().isFinal()) {
+        if (!mDefinition.contains(run.task()) || phase().isFinal()) {
             return;
         }
         mStarted = true;
         mEndedAttempts.add(attemptKey(run.task(), run.attempt()));
-        TaskStep step = mOrder.steps().get(run.task().step());
+        TaskStep step = mDefinition.steps().get(run.task().step());
         if (step.mode().standing()) {
             return;
         }
@@ -149,11 +157,11 @@
 
     private void markDone(TaskName task, TaskStep step) {
         if (!step.placement().gang()) {
-            mDoneTasks.set(mOrder.position(task));
+            mDoneTasks.set(mDefinition.position(task));
             return;
         }
         // The members of a gang end together, so one successful member completes all of them.
-        int first = mOrder.position(new TaskName(task.job(), task.run(), task.step(), 0));
+        int first = mDefinition.position(new TaskName(task.job(), task.run(), task.step(), 0));
         mDoneTasks.set(first, first + step.tasks());
     }
 
@@ -161,14 +169,14 @@
         // A gang fails as a whole, so its failures are counted for its first task.
         TaskName task = failureTask(run.task());
         Set<Integer> attempts =
-                mFailedAttempts.computeIfAbsent(mOrder.position(task), p -> new HashSet<>());
+                mFailedAttempts.computeIfAbsent(mDefinition.position(task), p -> new HashSet<>());
         attempts.add(run.attempt());
-        mFailed |= attempts.size() >= mOrder.policy().maxAttempts();
+        mFailed |= attempts.size() >= mDefinition.policy().maxAttempts();
     }
 
     /** The task that failures of a task are counted for: the first one of its gang, or itself. */
     public TaskName failureTask(TaskName task) {
-        boolean gang = mOrder.steps().get(task.step()).placement().gang();
+        boolean gang = mDefinition.steps().get(task.step()).placement().gang();
         return gang ? new TaskName(task.job(), task.run(), task.step(), 0) : task;
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JobRegistry.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JobRegistry.java
@@ -96,21 +96,21 @@
         return Optional.empty();
     }
 
-    private Optional<JobProgress> applyAccepted(JobDefinition order) {
-        if (mJobs.containsKey(order.id())) {
+    private Optional<JobProgress> applyAccepted(JobDefinition definition) {
+        if (mJobs.containsKey(definition.id())) {
             return Optional.empty();
         }
-        return Optional.of(add(new JobProgress(order)));
+        return Optional.of(add(new JobProgress(definition)));
     }
 
-    private JobProgress add(JobProgress entry) {
-        String id = entry.definition().id();
-        mJobs.put(id, entry);
+    private JobProgress add(JobProgress progress) {
+        String id = progress.definition().id();
+        mJobs.put(id, progress);
         List<JournalRecord> buffered = mBufferedRecords.remove(id);
         if (buffered != null) {
             buffered.forEach(this::apply);
         }
-        return entry;
+        return progress;
     }
 
     /** Buffers a record of a job that isn't known yet. */
@@ -124,13 +124,13 @@
     private Optional<JobProgress> applySnapshot(JobSnapshot record) {
         Optional<JobProgress> known = job(record.definition().id());
         // After a gap in the journal, a known job may lack records that the snapshot contains.
-        JobProgress entry = known.orElseGet(() -> new JobProgress(record.definition()));
-        record.starts().forEach(entry::recordStart);
-        record.ends().forEach(entry::recordEnd);
+        JobProgress progress = known.orElseGet(() -> new JobProgress(record.definition()));
+        record.starts().forEach(progress::recordStart);
+        record.ends().forEach(progress::recordEnd);
         if (record.cancelledMs() > 0) {
-            entry.cancel(record.cancelledMs());
+            progress.cancel(record.cancelledMs());
         }
-        return known.isPresent() ? Optional.empty() : Optional.of(add(entry));
+        return known.isPresent() ? Optional.empty() : Optional.of(add(progress));
     }
 
     /** Takes a snapshot of the state of all waves as records to be written to the journal. */
--- a/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/job/JournalRecord.java
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Runs are about to be started. Written before the start orders are sent, so that a new owner
+     * Runs are about to be started. Written before the start commands are sent, so that a new owner
      * knows on which worker a task may be running.
      */
     record RunsStarted(List<StartedRun> runs) implements JournalRecord {
--- a/foxtail-core/src/main/java/org/foxtailplank/port/ChangeFeed.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/ChangeFeed.java
@@ -12,10 +12,10 @@
 public interface ChangeFeed<T> {
 
     /** Reads the latest value of each key. */
-    void latest(Consumer<Result<T>> then);
+    void latest(Consumer<Result<T>> callback);
 
     /** Reads the changes from a position on; waits up to {@code waitMs} for the first one. */
-    void changes(long position, long waitMs, Consumer<Result<T>> then);
+    void changes(long position, long waitMs, Consumer<Result<T>> callback);
 
     /** Result of a read. */
     sealed interface Result<T> {}
--- a/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvisor.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/PlacementAdvisor.java
@@ -8,7 +8,7 @@
 public interface PlacementAdvisor {
 
     /** Requests tickets for those of the workers that may run a step of one run of a job. */
-    void ask(String job, int run, int step, List<String> workers, Consumer<Advice> then);
+    void ask(String job, int run, int step, List<String> workers, Consumer<Advice> callback);
 
     /**
      * Result of a request.
--- a/foxtail-core/src/main/java/org/foxtailplank/port/SharedLog.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/SharedLog.java
@@ -7,11 +7,14 @@
 public interface SharedLog {
 
     /** Appends records atomically. */
-    void append(LogPartition partition, List<byte[]> records, Consumer<AppendResult> then);
+    void append(LogPartition partition, List<byte[]> records, Consumer<AppendResult> callback);
 
     /** Appends one record if {@code expectedEnd} is the end offset of the partition. */
     void appendAt(
-            LogPartition partition, long expectedEnd, byte[] record, Consumer<AppendResult> then);
+            LogPartition partition,
+            long expectedEnd,
+            byte[] record,
+            Consumer<AppendResult> callback);
 
     /**
      * Appends records of a writer atomically and idempotently. The log rejects an epoch lower than
@@ -22,7 +25,7 @@
             LogPartition partition,
             WriterEpoch writer,
             List<byte[]> records,
-            Consumer<AppendResult> then);
+            Consumer<AppendResult> callback);
 
     /**
      * Identity of a writer, by which an earlier holder of the same name is fenced off.
@@ -41,7 +44,7 @@
      *
      * @param page limits of the response
      */
-    void read(LogPartition partition, long from, PageRequest page, Consumer<ReadResult> then);
+    void read(LogPartition partition, long from, PageRequest page, Consumer<ReadResult> callback);
 
     /**
      * Limits of the response to a read.
--- a/foxtail-core/src/main/java/org/foxtailplank/port/VmClient.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/VmClient.java
@@ -9,19 +9,19 @@
 public interface VmClient {
 
     /** Lists all VMs. */
-    void list(Consumer<Optional<List<VmInfo>>> then);
+    void list(Consumer<Optional<List<VmInfo>>> callback);
 
     /**
      * Moves a VM to another pool, which terminates everything that runs on it. The call is sent
      * only while the holder's permit is valid, and aborted when the permit expires.
      */
-    void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then);
+    void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback);
 
     /**
      * Reboots a VM for a wave, which terminates everything that runs on it. The permit applies as
      * in {@link #move}.
      */
-    void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then);
+    void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback);
 
     /**
      * The owner that makes a call.
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WavePublisher.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WavePublisher.java
@@ -7,5 +7,5 @@
 public interface WavePublisher {
 
     /** Publishes that a wave is running or completed. */
-    void write(long wave, boolean completed, Consumer<AppendResult> then);
+    void write(long wave, boolean completed, Consumer<AppendResult> callback);
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/port/WorkerClient.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/port/WorkerClient.java
@@ -10,17 +10,20 @@
 public interface WorkerClient {
 
     /** Starts a run of a task; idempotent. */
-    void start(WorkerAddress worker, StartCommand order, Consumer<CommandResponse> then);
+    void start(WorkerAddress worker, StartCommand command, Consumer<CommandResponse> callback);
 
     /** Stops a run; a start of the same run that arrives later is rejected. */
-    void stop(WorkerAddress worker, RunCommand order, Consumer<CommandResponse> then);
+    void stop(WorkerAddress worker, RunCommand command, Consumer<CommandResponse> callback);
 
     /** Throttles a run to a percentage of its speed. */
     void throttle(
-            WorkerAddress worker, RunCommand order, int percent, Consumer<CommandResponse> then);
+            WorkerAddress worker,
+            RunCommand command,
+            int percent,
+            Consumer<CommandResponse> callback);
 
     /** Acknowledges ends, renews the lease of all runs, and lists running and ended runs. */
-    void poll(WorkerAddress worker, PollCommand order, Consumer<PollResponse> then);
+    void poll(WorkerAddress worker, PollCommand command, Consumer<PollResponse> callback);
 
     /**
      * Address of a worker.
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveJob.java
@@ -9,28 +9,28 @@
 
 /** A job that has not ended, with the runs of its steps. */
 public final class ActiveJob {
-    private final JobProgress mEntry;
+    private final JobProgress mProgress;
     private final List<ActiveRun> mRuns = new ArrayList<>();
     private boolean mEnding;
     private boolean mStarted;
 
-    ActiveJob(JobProgress entry) {
-        mEntry = entry;
-        for (int r = 0; r < entry.definition().timetable().runs(); r++) {
+    ActiveJob(JobProgress progress) {
+        mProgress = progress;
+        for (int r = 0; r < progress.definition().timetable().runs(); r++) {
             mRuns.add(new ActiveRun(this, r));
         }
     }
 
     public String id() {
-        return mEntry.definition().id();
+        return mProgress.definition().id();
     }
 
-    public JobProgress entry() {
-        return mEntry;
+    public JobProgress progress() {
+        return mProgress;
     }
 
-    public JobDefinition order() {
-        return mEntry.definition();
+    public JobDefinition definition() {
+        return mProgress.definition();
     }
 
     List<ActiveRun> runs() {
@@ -38,7 +38,7 @@
     }
 
     Optional<ActiveTask> task(TaskName name) {
-        if (!order().contains(name)) {
+        if (!definition().contains(name)) {
             return Optional.empty();
         }
         ActiveStep step = mRuns.get(name.run()).steps().get(name.step());
@@ -47,7 +47,7 @@
 
     /** Marks the job as started; returns whether the journal doesn't say so yet. */
     boolean markStarted() {
-        boolean isNew = !mStarted && !mEntry.hasStarted();
+        boolean isNew = !mStarted && !mProgress.hasStarted();
         mStarted = true;
         return isNew;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/ActiveRun.java
@@ -17,21 +17,21 @@
     ActiveRun(ActiveJob job, int number) {
         mJob = job;
         mNumber = number;
-        JobProgress entry = job.entry();
-        JobDefinition order = entry.definition();
-        mDueWallMs = order.timetable().dueMs(number);
-        for (int s = 0; s < order.steps().size(); s++) {
-            mSteps.add(step(entry, s));
+        JobProgress progress = job.progress();
+        JobDefinition definition = progress.definition();
+        mDueWallMs = definition.timetable().dueMs(number);
+        for (int s = 0; s < definition.steps().size(); s++) {
+            mSteps.add(step(progress, s));
         }
     }
 
-    private ActiveStep step(JobProgress entry, int number) {
-        TaskStep spec = entry.definition().steps().get(number);
+    private ActiveStep step(JobProgress progress, int number) {
+        TaskStep spec = progress.definition().steps().get(number);
         ActiveStep step = new ActiveStep(this, number, spec);
         List<ActiveTask> tasks = new ArrayList<>(spec.tasks());
         for (int i = 0; i < spec.tasks(); i++) {
-            TaskName name = new TaskName(entry.definition().id(), mNumber, number, i);
-            tasks.add(new ActiveTask(name, step, entry.isDone(name)));
+            TaskName name = new TaskName(progress.definition().id(), mNumber, number, i);
+            tasks.add(new ActiveTask(name, step, progress.isDone(name)));
         }
         step.setTasks(tasks);
         return step;
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/CoreDemand.java
@@ -33,7 +33,7 @@
     }
 
     /** Capacity that a new job needs if none of its tasks has to wait. */
-    static double of(JobDefinition order) {
-        return order.estimatedWork() / Math.max(1, UrgencyOrder.objectiveLengthMs(order));
+    static double of(JobDefinition definition) {
+        return definition.estimatedWork() / Math.max(1, UrgencyOrder.objectiveLengthMs(definition));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Decisions.java
@@ -11,7 +11,7 @@
     private final List<Pace> mPaces = new ArrayList<>();
     private final List<AdviceRequest> mAsks = new ArrayList<>();
 
-    /** A start order to send, for the first time or again. */
+    /** A start command to send, for the first time or again. */
     public record Start(TaskRun run, String ticket) {}
 
     /** A run that is to work at a share of its full speed. */
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/OwnerReachability.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/OwnerReachability.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 
 /**
- * Detects that the owner is cut off from most of the system and should give up ownership.
+ * Detects that the owner is cut off from most of the system and should resign ownership.
  *
  * <p>Guards against an owner whose zone is partitioned from everything but the store: its writes
  * keep other nodes from replacing it, while most workers lose their leases and no VM can be moved.
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PaceControl.java
@@ -38,7 +38,7 @@
         return serves && fills;
     }
 
-    /** Returns the pace changes to order after a poll of the worker. */
+    /** Returns the pace changes to send after a poll of the worker. */
     static List<Decisions.Pace> adjust(WorkerState worker, long nowMs) {
         if (!isMixed(worker)) {
             return List.of();
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolDemand.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/PoolDemand.java
@@ -30,7 +30,8 @@
     private double sum(String service, Predicate<ActiveRun> filter, long nowWallMs) {
         double sum = 0;
         for (ActiveJob job : mScheduler.runs().jobs()) {
-            boolean matches = !job.order().isStanding() && job.order().service().equals(service);
+            boolean matches =
+                    !job.definition().isStanding() && job.definition().service().equals(service);
             if (!matches || job.isEnding()) {
                 continue;
             }
@@ -56,7 +57,8 @@
         int most = 0;
         long room = 0;
         for (ActiveJob job : mScheduler.runs().jobs()) {
-            boolean matches = job.order().isStanding() && job.order().service().equals(service);
+            boolean matches =
+                    job.definition().isStanding() && job.definition().service().equals(service);
             if (!matches || job.isEnding()) {
                 continue;
             }
@@ -108,7 +110,7 @@
                         / tasksPerWorker(step);
         ActiveTask task = step.tasks().get(0);
         int admitting = 0;
-        for (WorkerState w : mScheduler.workersOf(step.job().order().service())) {
+        for (WorkerState w : mScheduler.workersOf(step.job().definition().service())) {
             admitting += WorkerChooser.canRunAfterBatch(task, w, nowMs) ? 1 : 0;
         }
         return Math.max(0, needed - admitting);
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Preemption.java
@@ -58,10 +58,11 @@
     }
 
     private static Optional<List<TaskRun>> victims(ActiveTask task, WorkerState worker) {
-        int priority = task.step().job().order().policy().priority();
+        int priority = task.step().job().definition().policy().priority();
         List<TaskRun> candidates = new ArrayList<>();
         for (TaskRun r : worker.runs()) {
-            boolean lowerPriority = r.task().step().job().order().policy().priority() > priority;
+            boolean lowerPriority =
+                    r.task().step().job().definition().policy().priority() > priority;
             boolean standing = r.task().spec().mode().standing();
             if (lowerPriority && !standing && r.phase() == RunPhase.RUNNING) {
                 candidates.add(r);
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/RunPhase.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunPhase.java
@@ -2,9 +2,9 @@
 
 /** Phase of a run, as known to the owner. */
 public enum RunPhase {
-    /** The start is being recorded in the journal; no order has been sent. */
+    /** The start is being recorded in the journal; no command has been sent. */
     PLANNED,
-    /** The start is recorded and its order is being sent. */
+    /** The start is recorded and its command is being sent. */
     STARTING,
     /** The worker has confirmed the run, or a previous owner may have started it. */
     RUNNING,
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/RunTable.java
@@ -22,7 +22,7 @@
     /** Most ends in one answer; if it is full, a missing run may have ended in a later one. */
     private static final int MAX_ENDS_PER_POLL = 500;
 
-    private final RunTimeRatios mUsualTimes = new RunTimeRatios();
+    private final RunTimeRatios mRunTimeRatios = new RunTimeRatios();
     private final Map<String, ActiveJob> mJobs = new LinkedHashMap<>();
     private final Map<TaskName, Set<Integer>> mFailures = new HashMap<>();
     private final List<String> mStartedJobs = new ArrayList<>();
@@ -36,10 +36,11 @@
     }
 
     /** Adds a job unless it is known or final; returns whether it was added. */
-    boolean add(JobProgress entry) {
-        boolean isNew = !entry.phase().isFinal() && !mJobs.containsKey(entry.definition().id());
+    boolean add(JobProgress progress) {
+        boolean isNew =
+                !progress.phase().isFinal() && !mJobs.containsKey(progress.definition().id());
         if (isNew) {
-            mJobs.put(entry.definition().id(), new ActiveJob(entry));
+            mJobs.put(progress.definition().id(), new ActiveJob(progress));
         }
         return isNew;
     }
@@ -114,7 +115,8 @@
 
     /** Removes ended jobs that have no runs left. */
     void removeEndedJobs() {
-        mJobs.values().removeIf(j -> (j.isEnding() || j.entry().phase().isFinal()) && hasNoRuns(j));
+        mJobs.values()
+                .removeIf(j -> (j.isEnding() || j.progress().phase().isFinal()) && hasNoRuns(j));
     }
 
     private static boolean hasNoRuns(ActiveJob job) {
@@ -131,10 +133,10 @@
     }
 
     /** Applies a worker's answer to a poll that was sent at {@code sentMs}. */
-    PollResult applyPoll(WorkerState worker, PollResponse answer, long sentMs, long nowMs) {
+    PollResult applyPoll(WorkerState worker, PollResponse response, long sentMs, long nowMs) {
         List<RunEnd> toStore = new ArrayList<>();
         long lastSequence = 0;
-        for (RunEnd end : answer.ended()) {
+        for (RunEnd end : response.ended()) {
             lastSequence = Math.max(lastSequence, end.sequence());
             if (end.sequence() > worker.seenEnds()) {
                 handleEnd(worker, end, nowMs);
@@ -146,10 +148,11 @@
         worker.setSeenEnds(lastSequence);
         Set<TaskRun> listed = new HashSet<>();
         List<RunStatus> orphans = new ArrayList<>();
-        for (RunStatus view : answer.running()) {
-            updateRun(worker, view, nowMs).ifPresentOrElse(listed::add, () -> orphans.add(view));
+        for (RunStatus status : response.running()) {
+            updateRun(worker, status, nowMs)
+                    .ifPresentOrElse(listed::add, () -> orphans.add(status));
         }
-        boolean allEnds = answer.ended().size() < MAX_ENDS_PER_POLL;
+        boolean allEnds = response.ended().size() < MAX_ENDS_PER_POLL;
         List<TaskRun> lost = allEnds ? findLostRuns(worker, listed, sentMs) : List.of();
         lost.forEach(this::removeRun);
         return new PollResult(toStore, lost, orphans);
@@ -169,27 +172,27 @@
         return started;
     }
 
-    private Optional<TaskRun> updateRun(WorkerState worker, RunStatus view, long nowMs) {
-        Optional<TaskRun> known = worker.run(view.task(), view.attempt());
+    private Optional<TaskRun> updateRun(WorkerState worker, RunStatus status, long nowMs) {
+        Optional<TaskRun> known = worker.run(status.task(), status.attempt());
         if (known.isPresent()) {
-            known.get().update(view, nowMs);
+            known.get().update(status, nowMs);
             recordJobStarted(known.get().task().step().job());
             return known;
         }
-        Optional<ActiveTask> task = job(view.task().job()).flatMap(j -> j.task(view.task()));
+        Optional<ActiveTask> task = job(status.task().job()).flatMap(j -> j.task(status.task()));
         if (task.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(adopt(task.get(), worker, view, nowMs));
+        return Optional.of(adopt(task.get(), worker, status, nowMs));
     }
 
     /** Adds a run started by a previous owner; stops it if the task doesn't need it. */
-    private TaskRun adopt(ActiveTask task, WorkerState worker, RunStatus view, long nowMs) {
+    private TaskRun adopt(ActiveTask task, WorkerState worker, RunStatus status, long nowMs) {
         boolean needed = task.isWaiting() && !task.step().job().isEnding();
-        TaskRun run = new TaskRun(task, worker, view.attempt(), nowMs);
-        task.recordAttempt(view.attempt());
+        TaskRun run = new TaskRun(task, worker, status.attempt(), nowMs);
+        task.recordAttempt(status.attempt());
         addRun(run);
-        run.update(view, nowMs);
+        run.update(status, nowMs);
         recordJobStarted(task.step().job());
         if (!needed) {
             run.requestStop("the task needs no further run", nowMs);
@@ -240,12 +243,12 @@
     private void recordRunTime(TaskRun run, long nowMs) {
         double elapsedMs = nowMs - run.firstSeenMs();
         double ratio = elapsedMs / Math.max(1, run.task().spec().estimateMs());
-        mUsualTimes.recordRun(run.task().step().job().order().service(), ratio);
+        mRunTimeRatios.recordRun(run.task().step().job().definition().service(), ratio);
     }
 
     /** Typical ratio of actual to estimated run time in a service. */
     double usualRatio(String service) {
-        return mUsualTimes.ratio(service);
+        return mRunTimeRatios.ratio(service);
     }
 
     private void handleDone(ActiveTask task, WorkerState worker, long nowMs) {
@@ -285,11 +288,11 @@
         }
         // A stored end may be reported again to a new owner. Counting distinct attempt numbers
         // keeps it from counting twice.
-        TaskName counted = job.entry().failureTask(end.task());
+        TaskName counted = job.progress().failureTask(end.task());
         Set<Integer> attempts = mFailures.computeIfAbsent(counted, t -> new HashSet<>());
-        attempts.addAll(job.entry().failedAttempts(counted));
+        attempts.addAll(job.progress().failedAttempts(counted));
         attempts.add(end.attempt());
-        if (attempts.size() >= job.order().policy().maxAttempts()) {
+        if (attempts.size() >= job.definition().policy().maxAttempts()) {
             endJob(job, "a task reached its maximum number of attempts", nowMs);
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/Scheduler.java
@@ -27,7 +27,7 @@
  * milliseconds of a monotonic clock unless named wall time.
  */
 public final class Scheduler {
-    /** Delay before an unanswered order is sent again, in milliseconds. */
+    /** Delay before an unanswered command is sent again, in milliseconds. */
     private static final long RESEND_MS = 250;
 
     /** Pause for a worker that refused a start for lack of capacity, in milliseconds. */
@@ -98,11 +98,11 @@
     }
 
     /** Adds an accepted job, unless it is known or final. */
-    public void addJob(JobProgress entry, long nowMs) {
-        JobDefinition order = entry.definition();
-        boolean isNew = mRuns.add(entry);
-        if (isNew && !order.isStanding() && !order.timetable().isTimed()) {
-            mArrivals.recordArrival(order.service(), CoreDemand.of(order), nowMs);
+    public void addJob(JobProgress progress, long nowMs) {
+        JobDefinition definition = progress.definition();
+        boolean isNew = mRuns.add(progress);
+        if (isNew && !definition.isStanding() && !definition.timetable().isTimed()) {
+            mArrivals.recordArrival(definition.service(), CoreDemand.of(definition), nowMs);
         }
     }
 
@@ -115,21 +115,21 @@
      * end counts as running until its worker has been polled, its incarnation has ended or its
      * lease has expired, so that no task is started twice.
      */
-    public void addInheritedJob(JobProgress entry, Predicate<String> isOver, long nowMs) {
-        if (!mRuns.add(entry)) {
+    public void addInheritedJob(JobProgress progress, Predicate<String> isOver, long nowMs) {
+        if (!mRuns.add(progress)) {
             return;
         }
-        for (StartedRun start : entry.lastStarts()) {
-            mRuns.job(entry.definition().id())
+        for (StartedRun start : progress.lastStarts()) {
+            mRuns.job(progress.definition().id())
                     .flatMap(j -> j.task(start.task()))
                     .ifPresent(s -> s.recordAttempt(start.attempt()));
-            if (!entry.hasEnded(start) && !isOver.test(start.worker())) {
+            if (!progress.hasEnded(start) && !isOver.test(start.worker())) {
                 WorkerState worker =
                         mWorkers.computeIfAbsent(
                                 start.worker(),
                                 id ->
                                         WorkerState.withoutInfo(
-                                                id, entry.definition().service(), nowMs));
+                                                id, progress.definition().service(), nowMs));
                 mRuns.inherit(start, worker, nowMs);
             }
         }
@@ -137,16 +137,16 @@
 
     /** Stops the runs of a job that the journal reports as final. */
     public void jobEnded(String id, long nowMs) {
-        mRuns.job(id).ifPresent(j -> mRuns.endJob(j, "job " + j.entry().phase(), nowMs));
+        mRuns.job(id).ifPresent(j -> mRuns.endJob(j, "job " + j.progress().phase(), nowMs));
     }
 
     /** Applies a worker's answer to a poll. */
     public PollResult pollAnswered(
-            WorkerState worker, PollResponse answer, long sentMs, long nowMs) {
-        worker.recordAnswer(answer.clockMs(), nowMs);
+            WorkerState worker, PollResponse response, long sentMs, long nowMs) {
+        worker.recordAnswer(response.clockMs(), nowMs);
         worker.markPolled();
-        PollResult effects = mRuns.applyPoll(worker, answer, sentMs, nowMs);
-        if (effects.toStore().isEmpty()) {
+        PollResult result = mRuns.applyPoll(worker, response, sentMs, nowMs);
+        if (result.toStore().isEmpty()) {
             worker.updateStoredEnds();
         } else {
             worker.beginStore();
@@ -158,7 +158,7 @@
                 r.requestStop(SlowWorkerDetector.describe(r, nowMs), nowMs);
             }
         }
-        return effects;
+        return result;
     }
 
     /** Releases starts for sending once the journal has them; drops those no longer needed. */
@@ -203,10 +203,10 @@
 
     /** Queues a start again that could not be sent yet. */
     public void retryStart(TaskRun run) {
-        run.setOrderDue(true);
+        run.setCommandDue(true);
     }
 
-    /** Applies a worker's answer to a start order. */
+    /** Applies a worker's answer to a start command. */
     public void startAnswered(TaskRun run, CommandOutcome outcome, long nowMs) {
         WorkerState worker = run.worker();
         switch (outcome) {
@@ -232,7 +232,7 @@
             }
             case UNANSWERED -> {
                 run.markUncertain();
-                run.setOrderDue(true);
+                run.setCommandDue(true);
             }
             case OUTDATED, LEASE_OVER, INVALID -> dropRefusedRun(run, nowMs);
             case FENCED, OTHER_LIFE -> {
@@ -243,7 +243,7 @@
     }
 
     /**
-     * Drops a run that its worker refused. If an earlier start order went unanswered, the run may
+     * Drops a run that its worker refused. If an earlier start command went unanswered, the run may
      * still begin, so it is stopped instead: a stop prevents it from starting.
      */
     private void dropRefusedRun(TaskRun run, long nowMs) {
@@ -257,21 +257,22 @@
         }
     }
 
-    /** Applies a worker's answer to a stop order. */
+    /** Applies a worker's answer to a stop command. */
     public void stopAnswered(TaskRun run, CommandOutcome outcome, long nowMs) {
         if (outcome == CommandOutcome.DONE) {
             run.recordStopAccepted(nowMs);
         } else {
-            run.setOrderDue(true);
+            run.setCommandDue(true);
         }
     }
 
     /** Applies the answer to an advice request, or its failure. */
-    public void adviceAnswered(Decisions.AdviceRequest ask, Advice advice, long nowMs) {
+    public void adviceAnswered(Decisions.AdviceRequest request, Advice advice, long nowMs) {
         if (advice.answered()) {
-            ask.step().recordAdvice(ask.workers(), advice.tickets(), nowMs + advice.validMs());
+            request.step()
+                    .recordAdvice(request.workers(), advice.tickets(), nowMs + advice.validMs());
         } else {
-            ask.step().recordAdviceFailure();
+            request.step().recordAdviceFailure();
         }
     }
 
@@ -285,16 +286,16 @@
 
     /** Removes and returns the runs of unresponsive workers whose leases have certainly expired. */
     public List<TaskRun> removeExpiredRuns(long nowMs) {
-        List<TaskRun> lapsed = new ArrayList<>();
+        List<TaskRun> expiredRuns = new ArrayList<>();
         for (WorkerState w : mWorkers.values()) {
             long renewedMs = Math.max(w.leaseRenewedMs(), mOthersRenewedUntilMs);
             boolean expired = nowMs > renewedMs + mLimits.leaseExpiryMs();
             if (w.isUnresponsive() && expired) {
-                lapsed.addAll(w.runs());
+                expiredRuns.addAll(w.runs());
             }
         }
-        lapsed.forEach(mRuns::removeRun);
-        return lapsed;
+        expiredRuns.forEach(mRuns::removeRun);
+        return expiredRuns;
     }
 
     /** Removes and returns unresponsive workers that are unlisted and have no runs. */
@@ -326,7 +327,7 @@
         mRuns.removeEndedJobs();
         out.paces().addAll(mPaceChanges);
         mPaceChanges.clear();
-        resendOrders(out, nowMs);
+        resendCommands(out, nowMs);
         for (Map.Entry<String, List<ActiveRun>> e : dueRunsByService(nowWallMs).entrySet()) {
             List<ActiveRun> sorted =
                     UrgencyOrder.sort(e.getValue(), batchCores(e.getKey(), nowMs), nowWallMs);
@@ -346,10 +347,10 @@
         return sum;
     }
 
-    private void resendOrders(Decisions out, long nowMs) {
+    private void resendCommands(Decisions out, long nowMs) {
         for (WorkerState w : mWorkers.values()) {
             for (TaskRun r : w.runs()) {
-                if (r.isOrderDue() && nowMs - r.lastOrderMs() >= RESEND_MS) {
+                if (r.isCommandDue() && nowMs - r.lastCommandMs() >= RESEND_MS) {
                     send(r, out, nowMs);
                 }
             }
@@ -362,8 +363,8 @@
         } else if (run.phase() == RunPhase.STARTING) {
             out.starts().add(new Decisions.Start(run, ticket(run, nowMs)));
         }
-        run.setOrderDue(false);
-        run.recordOrderSent(nowMs);
+        run.setCommandDue(false);
+        run.recordCommandSent(nowMs);
     }
 
     private static String ticket(TaskRun run, long nowMs) {
@@ -379,7 +380,8 @@
             for (ActiveRun run : job.runs()) {
                 boolean due = run.dueWallMs() <= nowWallMs + mLimits.earlyMs() / 2;
                 if (due && !run.isDone()) {
-                    found.computeIfAbsent(job.order().service(), s -> new ArrayList<>()).add(run);
+                    found.computeIfAbsent(job.definition().service(), s -> new ArrayList<>())
+                            .add(run);
                 }
             }
         }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingTaskReservations.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/StandingTaskReservations.java
@@ -68,7 +68,7 @@
                         (tasks.size() + tasksPerWorker - 1) / tasksPerWorker,
                         RESERVED_PER_CONCURRENT_MOVE * maxConcurrent);
         List<WorkerState> places = new ArrayList<>();
-        for (WorkerState w : mScheduler.workersOf(task.step().job().order().service())) {
+        for (WorkerState w : mScheduler.workersOf(task.step().job().definition().service())) {
             if (!w.isReservedForStanding() && WorkerChooser.canRunAfterBatch(task, w, nowMs)) {
                 places.add(w);
             }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskPlacer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskPlacer.java
@@ -24,7 +24,7 @@
     }
 
     private void placeStep(ActiveStep step, List<WorkerState> workers, Decisions out, long nowMs) {
-        if (step.job().order().policy().advice().isPresent()) {
+        if (step.job().definition().policy().advice().isPresent()) {
             AdviceRequests.request(step, workers, out, nowMs);
         }
         if (step.spec().placement().gang()) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/TaskRun.java
@@ -17,26 +17,26 @@
     private long mProgressChangedMs;
     private long mTailLatencyMs;
     private long mConfirmedMs = -1;
-    private long mLastOrderMs;
+    private long mLastCommandMs;
     private int mPace = FULL_PACE;
     private long mReadyMs = -1;
     private boolean mUncertain;
-    private boolean mOrderDue;
+    private boolean mCommandDue;
 
     TaskRun(ActiveTask task, WorkerState worker, int attempt, long nowMs) {
         mTask = task;
         mWorker = worker;
         mAttempt = attempt;
         mStartedMs = nowMs;
-        mLastOrderMs = nowMs;
+        mLastCommandMs = nowMs;
         mProgressChangedMs = nowMs;
     }
 
     /** Releases the start for sending after it was recorded in the journal. */
     void markRecorded() {
         mPhase = RunPhase.STARTING;
-        mOrderDue = true;
-        mLastOrderMs = Long.MIN_VALUE / 2;
+        mCommandDue = true;
+        mLastCommandMs = Long.MIN_VALUE / 2;
     }
 
     /** Treats the run as running because a previous owner may have started it. */
@@ -108,16 +108,16 @@
         return mConfirmedMs;
     }
 
-    /** Time at which the last order for the run was sent. */
-    long lastOrderMs() {
-        return mLastOrderMs;
+    /** Time at which the last command for the run was sent. */
+    long lastCommandMs() {
+        return mLastCommandMs;
     }
 
-    void recordOrderSent(long nowMs) {
-        mLastOrderMs = nowMs;
+    void recordCommandSent(long nowMs) {
+        mLastCommandMs = nowMs;
     }
 
-    /** Whether a start order went unanswered, so that the run may still begin. */
+    /** Whether a start command went unanswered, so that the run may still begin. */
     boolean isUncertain() {
         return mUncertain;
     }
@@ -126,13 +126,13 @@
         mUncertain = true;
     }
 
-    /** Whether an order must be sent or repeated. */
-    boolean isOrderDue() {
-        return mOrderDue;
+    /** Whether a command must be sent or repeated. */
+    boolean isCommandDue() {
+        return mCommandDue;
     }
 
-    void setOrderDue(boolean due) {
-        mOrderDue = due;
+    void setCommandDue(boolean due) {
+        mCommandDue = due;
     }
 
     /**
@@ -162,22 +162,22 @@
     void requestStop(String reason, long nowMs) {
         mPhase = RunPhase.STOPPING;
         mStopReason = reason;
-        mOrderDue = true;
-        mLastOrderMs = Long.MIN_VALUE / 2;
+        mCommandDue = true;
+        mLastCommandMs = Long.MIN_VALUE / 2;
     }
 
-    void update(RunStatus view, long nowMs) {
+    void update(RunStatus status, long nowMs) {
         confirm(nowMs);
-        if (view.percent() != mProgress) {
-            mProgress = view.percent();
+        if (status.percent() != mProgress) {
+            mProgress = status.percent();
             mProgressChangedMs = nowMs;
         }
         if (isReady() && mReadyMs < 0) {
             mReadyMs = nowMs;
         }
-        mTailLatencyMs = view.gauge();
-        if (!view.checkpoint().isEmpty()) {
-            mTask.setCheckpoint(view.checkpoint());
+        mTailLatencyMs = status.gauge();
+        if (!status.checkpoint().isEmpty()) {
+            mTask.setCheckpoint(status.checkpoint());
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/UrgencyOrder.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/UrgencyOrder.java
@@ -58,9 +58,9 @@
 
     private static Ranked rank(ActiveRun run, Set<ActiveRun> inTime, long nowWallMs) {
         ActiveJob job = run.job();
-        int priority = job.order().policy().priority();
-        if (job.order().isStanding()) {
-            return new Ranked(run, priority, Group.STANDING, job.order().acceptedMs());
+        int priority = job.definition().policy().priority();
+        if (job.definition().isStanding()) {
+            return new Ranked(run, priority, Group.STANDING, job.definition().acceptedMs());
         }
         long slack = slackMs(run, nowWallMs);
         if (inTime.contains(run)) {
@@ -75,7 +75,7 @@
         List<ActiveRun> candidates = new ArrayList<>();
         Map<ActiveRun, Long> workByRun = new HashMap<>();
         for (ActiveRun r : runs) {
-            if (!r.job().order().isStanding() && slackMs(r, nowWallMs) >= 0) {
+            if (!r.job().definition().isStanding() && slackMs(r, nowWallMs) >= 0) {
                 candidates.add(r);
                 workByRun.put(r, r.remainingWork());
             }
@@ -105,13 +105,14 @@
 
     /** Deadline set by the run's objective, in milliseconds since 1970. */
     static long objectiveMs(ActiveRun run) {
-        JobDefinition order = run.job().order();
-        long begin = run.dueWallMs() > 0 ? run.dueWallMs() : order.acceptedMs();
-        return begin + objectiveLengthMs(order);
+        JobDefinition definition = run.job().definition();
+        long begin = run.dueWallMs() > 0 ? run.dueWallMs() : definition.acceptedMs();
+        return begin + objectiveLengthMs(definition);
     }
 
     /** Time that the objective allows for one run of the steps, in milliseconds. */
-    static long objectiveLengthMs(JobDefinition order) {
-        return (long) (order.policy().stretch() * order.criticalPathMs()) + order.policy().sloMs();
+    static long objectiveLengthMs(JobDefinition definition) {
+        return (long) (definition.policy().stretch() * definition.criticalPathMs())
+                + definition.policy().sloMs();
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/VmPlanner.java
@@ -21,8 +21,8 @@
 
     private final Scheduler mScheduler;
     private final ManagedVms mVms = new ManagedVms();
-    private final WaveRebootSelector mWaves = new WaveRebootSelector();
-    private final PoolBalancer mBalance;
+    private final WaveRebootSelector mWaveSelector = new WaveRebootSelector();
+    private final PoolBalancer mPoolBalancer;
     private final StandingTaskReservations mReservations;
     private final Map<String, Long> mLastActionMs = new HashMap<>();
     private final Map<Long, Set<String>> mRebooted = new HashMap<>();
@@ -32,7 +32,7 @@
     /** Creates a planner for the VMs of a scheduler's workers. */
     public VmPlanner(Scheduler scheduler) {
         mScheduler = scheduler;
-        mBalance = new PoolBalancer(scheduler, mVms);
+        mPoolBalancer = new PoolBalancer(scheduler, mVms);
         mReservations = new StandingTaskReservations(scheduler);
     }
 
@@ -106,34 +106,35 @@
     public VmDecisions decide(
             FleetConfig config,
             Collection<DueWave> waves,
-            JobRegistry book,
+            JobRegistry registry,
             boolean mayCall,
             long nowMs,
             long nowWallMs) {
         List<Long> completed = new ArrayList<>();
-        mWaves.reset();
+        mWaveSelector.reset();
         for (DueWave due : waves) {
-            MaintenanceWave wave = due.order();
-            if (mVms.all().isEmpty() || book.isCompleted(wave.number())) {
+            MaintenanceWave wave = due.wave();
+            if (mVms.all().isEmpty() || registry.isCompleted(wave.number())) {
                 continue;
             }
             boolean done =
-                    mWaves.advance(due, rebooted(wave, book), mVms, mScheduler, config, nowMs);
+                    mWaveSelector.advance(
+                            due, rebooted(wave, registry), mVms, mScheduler, config, nowMs);
             if (done && mReportedWaves.add(wave.number())) {
                 completed.add(wave.number());
             }
         }
         mReservations.reserve(mVms.all(), nowMs);
-        mBalance.plan(config, mWaves.criticalMoves(), nowMs, nowWallMs);
+        mPoolBalancer.plan(config, mWaveSelector.criticalMoves(), nowMs, nowWallMs);
         return new VmDecisions(executePlans(config, mayCall, nowMs, nowWallMs), completed);
     }
 
     /**
      * Describes the VMs of a wave whose reboot has not begun, and what delays each, for the log.
      */
-    public List<String> describeRemaining(MaintenanceWave wave, JobRegistry book, long nowMs) {
+    public List<String> describeRemaining(MaintenanceWave wave, JobRegistry registry, long nowMs) {
         WaveReport report = new WaveReport(mScheduler, nowMs);
-        Set<String> rebooted = rebooted(wave, book);
+        Set<String> rebooted = rebooted(wave, registry);
         List<String> left = new ArrayList<>();
         for (String id : wave.vms()) {
             Optional<ManagedVm> vm = mVms.vm(id);
@@ -145,8 +146,8 @@
     }
 
     /** VMs of a wave whose reboot has begun, including those not yet in the journal. */
-    private Set<String> rebooted(MaintenanceWave wave, JobRegistry book) {
-        Set<String> rebooted = new HashSet<>(book.rebooted(wave.number()));
+    private Set<String> rebooted(MaintenanceWave wave, JobRegistry registry) {
+        Set<String> rebooted = new HashSet<>(registry.rebooted(wave.number()));
         rebooted.addAll(mRebooted.getOrDefault(wave.number(), Set.of()));
         return rebooted;
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveRebootSelector.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WaveRebootSelector.java
@@ -53,7 +53,7 @@
             Scheduler scheduler,
             FleetConfig config,
             long nowMs) {
-        MaintenanceWave wave = due.order();
+        MaintenanceWave wave = due.wave();
         List<ManagedVm> remaining = new ArrayList<>();
         int down = 0;
         int planned = 0;
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerChooser.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerChooser.java
@@ -56,16 +56,17 @@
         if (worker.isReservedForStanding() && !task.spec().mode().standing()) {
             return false;
         }
-        PlacementConstraints rule = task.spec().placement();
-        if (!rule.requiredLabel().isEmpty()
-                && !worker.info().labels().contains(rule.requiredLabel())) {
+        PlacementConstraints constraints = task.spec().placement();
+        if (!constraints.requiredLabel().isEmpty()
+                && !worker.info().labels().contains(constraints.requiredLabel())) {
             return false;
         }
-        return rule.maxPerWorker() == 0 || task.step().runsOn(worker) < rule.maxPerWorker();
+        return constraints.maxPerWorker() == 0
+                || task.step().runsOn(worker) < constraints.maxPerWorker();
     }
 
     private static boolean hasTicket(ActiveTask task, WorkerState worker, long nowMs) {
-        return task.step().job().order().policy().advice().isEmpty()
+        return task.step().job().definition().policy().advice().isEmpty()
                 || task.step().ticket(worker.id(), nowMs).isPresent();
     }
 
@@ -85,11 +86,11 @@
     }
 
     static boolean isRemote(ActiveTask task, WorkerState worker) {
-        PlacementConstraints rule = task.spec().placement();
-        if (!rule.dataRack().isEmpty()) {
-            return !rule.dataRack().equals(worker.info().rack());
+        PlacementConstraints constraints = task.spec().placement();
+        if (!constraints.dataRack().isEmpty()) {
+            return !constraints.dataRack().equals(worker.info().rack());
         }
-        if (!rule.sameRack()) {
+        if (!constraints.sameRack()) {
             return false;
         }
         for (ActiveTask other : task.step().tasks()) {
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerHealthRecord.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerHealthRecord.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Records that the worker rejected an order because it is unhealthy. */
+    /** Records that the worker rejected a command because it is unhealthy. */
     void recordRefusal(long nowMs) {
         pause(nowMs);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/schedule/WorkerState.java
@@ -235,9 +235,9 @@
     }
 
     /**
-     * Renews the lease with an order that is about to be sent. The lease of an unresponsive worker
-     * is not extended: any such order may still arrive, so extending it would postpone the time at
-     * which the lease has certainly expired and at which its tasks may start elsewhere.
+     * Renews the lease with a command that is about to be sent. The lease of an unresponsive worker
+     * is not extended: any such command may still arrive, so extending it would postpone the time
+     * at which the lease has certainly expired and at which its tasks may start elsewhere.
      *
      * @return end of the lease on the worker's clock; 0 for none
      */
--- a/foxtail-core/src/test/java/org/foxtailplank/job/JobRegistryTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/job/JobRegistryTest.java
@@ -24,14 +24,14 @@
     private static final long RETENTION_MS = 120_000;
     private static final long NOW_MS = 5_000_000;
 
-    private JobRegistry mBook;
+    private JobRegistry mRegistry;
 
     @BeforeMethod
     public void setUp() {
-        mBook = new JobRegistry(RETENTION_MS);
+        mRegistry = new JobRegistry(RETENTION_MS);
     }
 
-    private static JobDefinition order(String id, int tasks, boolean gang) {
+    private static JobDefinition definition(String id, int tasks, boolean gang) {
         TaskStep step =
                 new TaskStep(
                         tasks,
@@ -40,18 +40,18 @@
                         List.of(),
                         new PlacementConstraints(gang, false, "", "", 0),
                         RunMode.PLAIN);
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         return new JobDefinition(
-                id, "q", "s", "t", List.of(step), Timetable.AT_ONCE, terms, NOW_MS);
+                id, "q", "s", "t", List.of(step), Timetable.AT_ONCE, policy, NOW_MS);
     }
 
     private JobProgress accept(int tasks) {
-        return mBook.apply(new JobAccepted(order("aa", tasks, false))).orElseThrow();
+        return mRegistry.apply(new JobAccepted(definition("aa", tasks, false))).orElseThrow();
     }
 
     private void end(int index, int attempt, RunOutcome outcome) {
         TaskName task = new TaskName("aa", 0, 0, index);
-        mBook.apply(new RunsEnded(List.of(new EndedRun(task, attempt, outcome, NOW_MS))));
+        mRegistry.apply(new RunsEnded(List.of(new EndedRun(task, attempt, outcome, NOW_MS))));
     }
 
     @Test
@@ -60,29 +60,30 @@
         // owner that dropped it would start the running task on a second worker.
         TaskName task = new TaskName("aa", 0, 0, 0);
         StartedRun start = new StartedRun(task, 3, "w1");
-        mBook.apply(new RunsStarted(List.of(start)));
+        mRegistry.apply(new RunsStarted(List.of(start)));
         end(0, 2, RunOutcome.FAILED);
-        JobProgress entry = accept(1);
+        JobProgress progress = accept(1);
 
-        assertEquals(List.copyOf(entry.lastStarts()), List.of(start));
-        assertEquals(entry.failedAttempts(task), Set.of(2));
+        assertEquals(List.copyOf(progress.lastStarts()), List.of(start));
+        assertEquals(progress.failedAttempts(task), Set.of(2));
     }
 
     @Test
     public void aJobThatIsSubmittedTwiceIsRegisteredOnce() {
         accept(1);
 
-        assertTrue(mBook.apply(new JobAccepted(order("aa", 5, false))).isEmpty());
-        assertEquals(mBook.job("aa").orElseThrow().definition().tasksPerRun(), 1);
+        assertTrue(mRegistry.apply(new JobAccepted(definition("aa", 5, false))).isEmpty());
+        assertEquals(mRegistry.job("aa").orElseThrow().definition().tasksPerRun(), 1);
     }
 
     @Test
     public void aJobIsCompletedOnlyWhenEveryTaskIsDone() {
         JobProgress job = accept(2);
         assertEquals(job.phase(), JobPhase.QUEUED);
-        mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
+        mRegistry.apply(
+                new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
         assertEquals(job.phase(), JobPhase.QUEUED);
-        mBook.apply(new JobsStarted(List.of("aa")));
+        mRegistry.apply(new JobsStarted(List.of("aa")));
         assertEquals(job.phase(), JobPhase.RUNNING);
         end(0, 1, RunOutcome.DONE);
         end(0, 1, RunOutcome.DONE);
@@ -105,7 +106,7 @@
 
     @Test
     public void oneSuccessfulMemberCompletesTheGang() {
-        JobProgress job = mBook.apply(new JobAccepted(order("aa", 4, true))).orElseThrow();
+        JobProgress job = mRegistry.apply(new JobAccepted(definition("aa", 4, true))).orElseThrow();
         end(2, 1, RunOutcome.DONE);
 
         assertEquals(job.phase(), JobPhase.COMPLETED);
@@ -115,7 +116,7 @@
     public void aJobThatHasEndedIsNotCancelled() {
         JobProgress job = accept(1);
         end(0, 1, RunOutcome.DONE);
-        mBook.apply(new JobCancelled("aa", NOW_MS));
+        mRegistry.apply(new JobCancelled("aa", NOW_MS));
 
         assertEquals(job.phase(), JobPhase.COMPLETED);
     }
@@ -125,7 +126,8 @@
         // Guards against a node that starts after the original records have expired and doesn't
         // know a standing job.
         JobProgress job = accept(3);
-        mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 1), 7, "w"))));
+        mRegistry.apply(
+                new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 1), 7, "w"))));
         end(0, 1, RunOutcome.DONE);
         end(1, 2, RunOutcome.FAILED);
         JobRegistry replica = new JobRegistry(RETENTION_MS);
@@ -143,46 +145,48 @@
     public void anEndedJobIsRetainedUntilItExpires() {
         accept(1);
         end(0, 1, RunOutcome.DONE);
-        mBook.removeExpired(NOW_MS + RETENTION_MS);
-        assertTrue(mBook.job("aa").isPresent());
-        mBook.removeExpired(NOW_MS + RETENTION_MS + 1);
-        assertTrue(mBook.job("aa").isEmpty());
+        mRegistry.removeExpired(NOW_MS + RETENTION_MS);
+        assertTrue(mRegistry.job("aa").isPresent());
+        mRegistry.removeExpired(NOW_MS + RETENTION_MS + 1);
+        assertTrue(mRegistry.job("aa").isEmpty());
     }
 
     @Test
     public void onlyUnstartedJobsOfTheQueueArePending() {
         accept(1);
-        mBook.apply(new JobAccepted(order("bb", 1, false)));
-        mBook.apply(new JobsStarted(List.of("bb")));
+        mRegistry.apply(new JobAccepted(definition("bb", 1, false)));
+        mRegistry.apply(new JobsStarted(List.of("bb")));
 
-        assertEquals(mBook.pending("q"), 1);
-        assertEquals(mBook.pending("other"), 0);
+        assertEquals(mRegistry.pending("q"), 1);
+        assertEquals(mRegistry.pending("other"), 0);
     }
 
     @Test
     public void aJobIsPendingUntilAWorkerReportsItsStart() {
-        // Guards against reporting a job as running when its start was recorded but the start order
+        // Guards against reporting a job as running when its start was recorded but the start
+        // command
         // never reached the worker, as in a network partition of its zone.
-        mBook.apply(new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
+        mRegistry.apply(
+                new RunsStarted(List.of(new StartedRun(new TaskName("aa", 0, 0, 0), 1, "w"))));
         accept(1);
 
-        assertEquals(mBook.pending("q"), 1);
+        assertEquals(mRegistry.pending("q"), 1);
     }
 
     @Test
     public void aStartReportMayPrecedeTheJob() {
-        mBook.apply(new JobsStarted(List.of("aa")));
+        mRegistry.apply(new JobsStarted(List.of("aa")));
 
         assertEquals(accept(1).phase(), JobPhase.RUNNING);
     }
 
     @Test
     public void wavesAreRestoredFromTheirSnapshot() {
-        mBook.apply(new VmRebooted(1, "vm1"));
-        mBook.apply(new VmRebooted(2, "vm2"));
-        mBook.apply(new WaveCompleted(2));
+        mRegistry.apply(new VmRebooted(1, "vm1"));
+        mRegistry.apply(new VmRebooted(2, "vm2"));
+        mRegistry.apply(new WaveCompleted(2));
         JobRegistry replica = new JobRegistry(RETENTION_MS);
-        mBook.snapshotWaves().forEach(replica::apply);
+        mRegistry.snapshotWaves().forEach(replica::apply);
 
         assertEquals(replica.rebooted(1), Set.of("vm1"));
         assertTrue(replica.isCompleted(2));
@@ -193,18 +197,19 @@
         // Guards against a lagging node that missed expired records and ignores the snapshot of
         // a known job: as the owner it would run finished tasks again.
         JobRegistry complete = new JobRegistry(RETENTION_MS);
-        JobProgress known = complete.apply(new JobAccepted(order("aa", 2, false))).orElseThrow();
+        JobProgress known =
+                complete.apply(new JobAccepted(definition("aa", 2, false))).orElseThrow();
         TaskName task = new TaskName("aa", 0, 0, 0);
         EndedRun end = new EndedRun(task, 1, RunOutcome.DONE, NOW_MS);
         StartedRun start = new StartedRun(new TaskName("aa", 0, 0, 1), 1, "w1");
         complete.apply(new RunsEnded(List.of(end)));
         complete.apply(new RunsStarted(List.of(start)));
 
-        JobProgress entry = accept(2);
-        mBook.apply(known.snapshot(NOW_MS + 100_000));
+        JobProgress progress = accept(2);
+        mRegistry.apply(known.snapshot(NOW_MS + 100_000));
 
-        assertTrue(entry.isDone(task));
-        assertEquals(List.copyOf(entry.lastStarts()), List.of(start));
+        assertTrue(progress.isDone(task));
+        assertEquals(List.copyOf(progress.lastStarts()), List.of(start));
     }
 
     @Test
@@ -213,10 +218,10 @@
         // partition is unavailable.
         TaskName task = new TaskName("aa", 0, 0, 0);
         StartedRun start = new StartedRun(task, 1, "w1");
-        mBook.apply(new RunsStarted(List.of(start)));
+        mRegistry.apply(new RunsStarted(List.of(start)));
         for (int i = 0; i < 1000; i++) {
             TaskName other = new TaskName("b" + i, 0, 0, 0);
-            mBook.apply(new RunsStarted(List.of(new StartedRun(other, 1, "w1"))));
+            mRegistry.apply(new RunsStarted(List.of(new StartedRun(other, 1, "w1"))));
         }
 
         assertEquals(List.copyOf(accept(1).lastStarts()), List.of(start));
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/CoreDemandTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/CoreDemandTest.java
@@ -19,8 +19,8 @@
     /** Time from the decision to move a VM until it can work, in milliseconds. */
     private static final double JOIN_MS = 2000;
 
-    private static JobDefinition order(String id) {
-        return OwnerHarness.order(
+    private static JobDefinition definition(String id) {
+        return OwnerHarness.definition(
                 id,
                 "surveys",
                 0,
@@ -33,9 +33,9 @@
         // Guards against idle VMs in a steady queue, where jobs of two steps arrive every 200 ms
         // and start at once.
         OwnerHarness owner = new OwnerHarness();
-        double rate = order("rate").estimatedWork() / 200;
+        double rate = definition("rate").estimatedWork() / 200;
         for (int i = 0; i < 40; i++) {
-            owner.accept(order("job" + i));
+            owner.accept(definition("job" + i));
         }
         double demand = 0;
         double baseline = 0;
@@ -53,7 +53,7 @@
             demand += CoreDemand.of(run, OwnerHarness.WALL_MS + ageMs);
             baseline += run.remainingWork() / FIXED_PERIOD_MS;
         }
-        demand += JOIN_MS / 200 * CoreDemand.of(order("next"));
+        demand += JOIN_MS / 200 * CoreDemand.of(definition("next"));
         baseline += JOIN_MS * rate / FIXED_PERIOD_MS;
         System.out.printf(
                 "demand %.2f of the arrival rate, baseline %.2f%n", demand / rate, baseline / rate);
@@ -68,12 +68,12 @@
         // Guards against VMs that are requested too late for a job because its demand grows only
         // while it waits.
         OwnerHarness owner = new OwnerHarness();
-        owner.accept(order("job"));
+        owner.accept(definition("job"));
         ActiveRun run = owner.mScheduler.runs().job("job").orElseThrow().runs().get(0);
         double atOnce = CoreDemand.of(run, OwnerHarness.WALL_MS);
         double waited = CoreDemand.of(run, OwnerHarness.WALL_MS + 2000);
 
-        assertEquals(atOnce, order("job").estimatedWork() / (2 * TASK_MS), 1e-6);
+        assertEquals(atOnce, definition("job").estimatedWork() / (2 * TASK_MS), 1e-6);
         assertEquals(waited, atOnce, 1e-6);
     }
 
@@ -83,16 +83,19 @@
         // paths.
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", TASKS * CORES);
-        owner.accept(order("job"));
+        owner.accept(definition("job"));
         owner.placeTasks();
         ActiveRun run = owner.mScheduler.runs().job("job").orElseThrow().runs().get(0);
-        long objective = UrgencyOrder.objectiveLengthMs(order("job"));
+        long objective = UrgencyOrder.objectiveLengthMs(definition("job"));
 
         assertEquals(
                 CoreDemand.of(run, OwnerHarness.WALL_MS),
-                order("job").estimatedWork() / objective,
+                definition("job").estimatedWork() / objective,
+                1e-6);
+        assertEquals(
+                CoreDemand.of(definition("job")),
+                definition("job").estimatedWork() / objective,
                 1e-6);
-        assertEquals(CoreDemand.of(order("job")), order("job").estimatedWork() / objective, 1e-6);
     }
 
     @Test
@@ -100,10 +103,10 @@
         // Guards against VMs that are requested to make up for late jobs, which have little value
         // left.
         OwnerHarness owner = new OwnerHarness();
-        owner.accept(order("job"));
+        owner.accept(definition("job"));
         ActiveRun run = owner.mScheduler.runs().job("job").orElseThrow().runs().get(0);
         double late = CoreDemand.of(run, OwnerHarness.WALL_MS + 60_000);
 
-        assertTrue(late <= order("job").estimatedWork() / 3000);
+        assertTrue(late <= definition("job").estimatedWork() / 3000);
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/FleetSimulation.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/FleetSimulation.java
@@ -84,9 +84,9 @@
 
     /** Adds a job whose tasks take a multiple of their estimated time. */
     void addJob(String service, double slowdown, TaskStep... steps) {
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         String id = "job" + mJobs.size();
-        JobDefinition order =
+        JobDefinition definition =
                 new JobDefinition(
                         id,
                         "queue",
@@ -94,11 +94,11 @@
                         "text",
                         List.of(steps),
                         Timetable.AT_ONCE,
-                        terms,
+                        policy,
                         wallMs());
-        mJobs.put(id, order);
+        mJobs.put(id, definition);
         mSlowdowns.put(id, slowdown);
-        mOwner.accept(order);
+        mOwner.accept(definition);
     }
 
     private long wallMs() {
@@ -171,7 +171,8 @@
         }
         mPlanner.applyList(infos, mClockMs);
         VmPlanner.VmDecisions decisions =
-                mPlanner.decide(mOwner.mConfig, List.of(), mOwner.mBook, true, mClockMs, wallMs());
+                mPlanner.decide(
+                        mOwner.mConfig, List.of(), mOwner.mRegistry, true, mClockMs, wallMs());
         decisions.actions().forEach(this::carryOut);
     }
 
@@ -198,9 +199,9 @@
                 .count();
     }
 
-    private boolean isOnTime(JobDefinition order) {
-        long objective = order.acceptedMs() + UrgencyOrder.objectiveLengthMs(order);
-        return mDoneMs.getOrDefault(order.id(), Long.MAX_VALUE) <= objective;
+    private boolean isOnTime(JobDefinition definition) {
+        long objective = definition.acceptedMs() + UrgencyOrder.objectiveLengthMs(definition);
+        return mDoneMs.getOrDefault(definition.id(), Long.MAX_VALUE) <= objective;
     }
 
     int doneJobs() {
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/NewOwnerTest.java
@@ -23,11 +23,11 @@
         first.addWorker("w1", "surveys", 8);
         JobProgress job =
                 first.accept(
-                        OwnerHarness.order(
+                        OwnerHarness.definition(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         first.placeTasks();
 
-        OwnerHarness second = new OwnerHarness(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mRegistry);
         second.addWorker("w2", "surveys", 8);
         second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
 
@@ -48,11 +48,11 @@
         first.addWorker("w1", "surveys", 8);
         JobProgress job =
                 first.accept(
-                        OwnerHarness.order(
+                        OwnerHarness.definition(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         first.placeTasks();
 
-        OwnerHarness second = new OwnerHarness(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mRegistry);
         second.addWorker("w2", "surveys", 8);
         second.mScheduler.addInheritedJob(job, w -> w.equals("w1"), second.mNowMs);
 
@@ -65,10 +65,11 @@
         OwnerHarness first = new OwnerHarness();
         first.addWorker("w1", "surveys", 8);
         JobProgress job =
-                first.accept(OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.standing(2, 1, 1)));
+                first.accept(
+                        OwnerHarness.definition(JOB, "surveys", 0, OwnerHarness.standing(2, 1, 1)));
         List<TaskRun> runs = first.placeTasks();
 
-        OwnerHarness second = new OwnerHarness(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mRegistry);
         second.mScheduler.updateWorker(OwnerHarness.info("w1", "surveys", 8), second.mNowMs);
         WorkerState worker = second.mScheduler.worker("w1").get();
         second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
@@ -94,12 +95,12 @@
         WorkerState worker = first.addWorker("w1", "surveys", 8);
         JobProgress job =
                 first.accept(
-                        OwnerHarness.order(
+                        OwnerHarness.definition(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         TaskRun run = first.placeTasks().get(0);
         first.endRun(run, RunOutcome.FAILED, 1);
 
-        OwnerHarness second = new OwnerHarness(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mRegistry);
         second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
         second.mScheduler.updateWorker(worker.info(), second.mNowMs);
         RunEnd listed = new RunEnd(1, run.task().name(), 1, RunOutcome.FAILED, "");
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerHarness.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerHarness.java
@@ -33,7 +33,7 @@
     static final long CORE = 1000;
     static final long WALL_MS = 1_000_000;
 
-    final JobRegistry mBook;
+    final JobRegistry mRegistry;
     final Scheduler mScheduler = new Scheduler(LIMITS);
     final FleetConfig mConfig =
             new FleetConfig(
@@ -51,8 +51,8 @@
     }
 
     /** Creates an owner that takes over with the state of the journal. */
-    OwnerHarness(JobRegistry book) {
-        mBook = book;
+    OwnerHarness(JobRegistry registry) {
+        mRegistry = registry;
     }
 
     static WorkerInfo info(String id, String service, int cores) {
@@ -79,26 +79,26 @@
                 RunMode.PLAIN);
     }
 
-    static TaskStep standing(int tasks, int cores, int mayMiss) {
+    static TaskStep standing(int tasks, int cores, int maxUnavailable) {
         return new TaskStep(
                 tasks,
                 Resources.of(cores, 1, 0),
                 500,
                 List.of(),
                 PlacementConstraints.ANYWHERE,
-                new RunMode(false, true, false, false, 0, mayMiss));
+                new RunMode(false, true, false, false, 0, maxUnavailable));
     }
 
-    static JobDefinition order(String id, String service, int priority, TaskStep... steps) {
-        QueuePolicy terms = new QueuePolicy(priority, 2, 1.6, 600, Optional.empty());
+    static JobDefinition definition(String id, String service, int priority, TaskStep... steps) {
+        QueuePolicy policy = new QueuePolicy(priority, 2, 1.6, 600, Optional.empty());
         return new JobDefinition(
-                id, "queue", service, "text", List.of(steps), Timetable.AT_ONCE, terms, WALL_MS);
+                id, "queue", service, "text", List.of(steps), Timetable.AT_ONCE, policy, WALL_MS);
     }
 
-    JobProgress accept(JobDefinition order) {
-        JobProgress entry = mBook.apply(new JobAccepted(order)).orElseThrow();
-        mScheduler.addJob(entry, mNowMs);
-        return entry;
+    JobProgress accept(JobDefinition definition) {
+        JobProgress progress = mRegistry.apply(new JobAccepted(definition)).orElseThrow();
+        mScheduler.addJob(progress, mNowMs);
+        return progress;
     }
 
     Decisions decide() {
@@ -120,7 +120,7 @@
         for (TaskRun r : planned) {
             starts.add(new StartedRun(r.task().name(), r.attempt(), r.worker().id()));
         }
-        mBook.apply(new RunsStarted(starts));
+        mRegistry.apply(new RunsStarted(starts));
         mScheduler.startsRecorded(planned);
     }
 
@@ -137,19 +137,19 @@
     }
 
     PollResult pollListing(WorkerState worker, List<RunStatus> running, List<RunEnd> ends) {
-        PollResponse answer = new PollResponse(CommandOutcome.DONE, 5000 + mNowMs, running, ends);
+        PollResponse response = new PollResponse(CommandOutcome.DONE, 5000 + mNowMs, running, ends);
         worker.recordLeaseGrant(mNowMs);
         long sentMs = mNowMs;
         mNowMs++;
-        return mScheduler.pollAnswered(worker, answer, sentMs, mNowMs);
+        return mScheduler.pollAnswered(worker, response, sentMs, mNowMs);
     }
 
     /** Ends a run and stores its end. */
     void endRun(TaskRun run, RunOutcome outcome, long sequence) {
         RunEnd end = new RunEnd(sequence, run.task().name(), run.attempt(), outcome, "");
-        PollResult effects = poll(run.worker(), end);
-        if (!effects.toStore().isEmpty()) {
-            storeEnds(effects.toStore());
+        PollResult result = poll(run.worker(), end);
+        if (!result.toStore().isEmpty()) {
+            storeEnds(result.toStore());
             run.worker().endStore();
         }
     }
@@ -159,7 +159,7 @@
         for (RunEnd e : ends) {
             ended.add(new EndedRun(e.task(), e.attempt(), e.outcome(), WALL_MS));
         }
-        mBook.apply(new RunsEnded(ended));
+        mRegistry.apply(new RunsEnded(ended));
         ended.forEach(e -> mScheduler.runEndRecorded(e.task(), e.outcome(), mNowMs));
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerReachabilityTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/OwnerReachabilityTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests when an owner gives up because it is cut off. */
+/** Tests when an owner resigns because it is cut off. */
 public class OwnerReachabilityTest {
     private static final long NOW_MS = 100_000;
     private static final long LONG_AGO_MS = NOW_MS - 3000;
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/SchedulerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/SchedulerTest.java
@@ -33,7 +33,8 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState worker = owner.addWorker("w1", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         TaskRun run = owner.placeTasks().get(0);
         RunEnd end = new RunEnd(1, run.task().name(), 1, RunOutcome.DONE, "");
 
@@ -55,7 +56,8 @@
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
 
         Decisions first = owner.decide();
         Decisions second = owner.decide();
@@ -73,7 +75,8 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState unresponsive = owner.addWorker("w1", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         owner.placeTasks();
         owner.addWorker("w2", "surveys", 8);
 
@@ -116,7 +119,8 @@
         owner.addWorker("w1", "surveys", 8);
         owner.addWorker("w2", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         owner.recordStarts(owner.decide().planned());
         TaskRun run = owner.decide().starts().get(0).run();
         owner.mScheduler.startAnswered(run, CommandOutcome.UNANSWERED, owner.mNowMs);
@@ -135,7 +139,7 @@
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(
+                OwnerHarness.definition(
                         JOB,
                         "surveys",
                         0,
@@ -160,7 +164,7 @@
         owner.addWorker("w1", "surveys", 8);
         JobProgress job =
                 owner.accept(
-                        OwnerHarness.order(
+                        OwnerHarness.definition(
                                 JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
         List<TaskRun> runs = owner.placeTasks();
         owner.endRun(runs.get(0), RunOutcome.FAILED, 1);
@@ -177,9 +181,10 @@
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 1);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
         TaskRun run = owner.placeTasks().get(0);
-        owner.mBook.apply(new JobCancelled(JOB, OwnerHarness.WALL_MS));
+        owner.mRegistry.apply(new JobCancelled(JOB, OwnerHarness.WALL_MS));
         owner.mScheduler.jobEnded(JOB, owner.mNowMs);
 
         Decisions decisions = owner.decide();
@@ -201,7 +206,7 @@
                         List.of(),
                         new PlacementConstraints(true, false, "", "", 0),
                         RunMode.PLAIN);
-        owner.accept(OwnerHarness.order(JOB, "surveys", 0, gang));
+        owner.accept(OwnerHarness.definition(JOB, "surveys", 0, gang));
 
         assertTrue(owner.placeTasks().isEmpty());
         owner.addWorker("w2", "surveys", 1);
@@ -227,7 +232,8 @@
                         true),
                 owner.mNowMs);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
 
         assertTrue(owner.placeTasks().isEmpty());
     }
@@ -253,8 +259,8 @@
                         List.of(),
                         new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
-        owner.accept(OwnerHarness.order(JOB, "surveys", 0, labelled));
-        owner.accept(OwnerHarness.order(OTHER, "surveys", 0, spread));
+        owner.accept(OwnerHarness.definition(JOB, "surveys", 0, labelled));
+        owner.accept(OwnerHarness.definition(OTHER, "surveys", 0, spread));
 
         List<TaskRun> placed = owner.placeTasks();
 
@@ -268,7 +274,8 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState worker = owner.addWorker("w1", "surveys", 4);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(9, 3, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(9, 3, 1000, List.of())));
 
         assertEquals(owner.placeTasks().size(), 1);
         assertEquals(worker.free().milliProcessors(), OwnerHarness.CORE);
@@ -283,7 +290,8 @@
         owner.addWorker("w1", "surveys", 1);
         for (String id : List.of(JOB, OTHER)) {
             owner.accept(
-                    OwnerHarness.order(id, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                    OwnerHarness.definition(
+                            id, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         }
         TaskRun first = owner.placeTasks().get(0);
         owner.endRun(first, RunOutcome.FAILED, 1);
@@ -305,15 +313,16 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState stalled = owner.addWorker("w1", "surveys", 1);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         TaskRun run = owner.placeTasks().get(0);
         owner.addWorker("w2", "surveys", 1);
-        RunStatus view = new RunStatus(run.task().name(), 1, "", 10, 0);
+        RunStatus status = new RunStatus(run.task().name(), 1, "", 10, 0);
 
-        owner.pollListing(stalled, List.of(view), List.of());
+        owner.pollListing(stalled, List.of(status), List.of());
         assertEquals(run.phase(), RunPhase.RUNNING);
         owner.mNowMs += 2500;
-        owner.pollListing(stalled, List.of(view), List.of());
+        owner.pollListing(stalled, List.of(status), List.of());
 
         assertEquals(run.phase(), RunPhase.STOPPING);
         assertTrue(owner.placeTasks().isEmpty(), "the task restarts only after its run has ended");
@@ -326,13 +335,14 @@
         OwnerHarness owner = new OwnerHarness();
         WorkerState worker = owner.addWorker("w1", "surveys", 1);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         owner.placeTasks();
         owner.mNowMs++;
 
-        PollResult effects = owner.pollListing(worker, List.of(), List.of());
+        PollResult result = owner.pollListing(worker, List.of(), List.of());
 
-        assertEquals(effects.lost().size(), 1);
+        assertEquals(result.lost().size(), 1);
         assertEquals(owner.placeTasks().get(0).attempt(), 2);
     }
 
@@ -341,9 +351,10 @@
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 2);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 1, OwnerHarness.step(2, 1, 9000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 1, OwnerHarness.step(2, 1, 9000, List.of())));
         List<TaskRun> batch = owner.placeTasks();
-        owner.accept(OwnerHarness.order(OTHER, "surveys", 0, OwnerHarness.standing(1, 1, 1)));
+        owner.accept(OwnerHarness.definition(OTHER, "surveys", 0, OwnerHarness.standing(1, 1, 1)));
 
         owner.placeTasks();
         assertFalse(batch.stream().anyMatch(r -> r.phase() == RunPhase.STOPPING));
@@ -376,8 +387,8 @@
                         List.of(),
                         PlacementConstraints.ANYWHERE,
                         fills);
-        owner.accept(OwnerHarness.order(JOB, "surveys", 0, serving));
-        owner.accept(OwnerHarness.order(OTHER, "surveys", 1, filling));
+        owner.accept(OwnerHarness.definition(JOB, "surveys", 0, serving));
+        owner.accept(OwnerHarness.definition(OTHER, "surveys", 1, filling));
         List<TaskRun> runs = owner.placeTasks();
         RunStatus tail = new RunStatus(runs.get(0).task().name(), 1, "", 100, 150);
         RunStatus work = new RunStatus(runs.get(1).task().name(), 1, "", 20, 4000);
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/StandingTaskWaveTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/StandingTaskWaveTest.java
@@ -24,7 +24,7 @@
     private static final int TASK_CORES = 5;
 
     private static final int TASKS = 24;
-    private static final int MAY_MISS = 2;
+    private static final int MAX_UNAVAILABLE = 2;
 
     /** Time from stopping a task until it is ready elsewhere, in milliseconds. */
     private static final long MOVE_MS = 2000;
@@ -33,7 +33,7 @@
     private static final long REBOOT_MS = 5000;
 
     /** Time that the tasks need to move in pairs, and one second more. */
-    private static final long LEFT_MS = TASKS / MAY_MISS * MOVE_MS + 1000;
+    private static final long LEFT_MS = TASKS / MAX_UNAVAILABLE * MOVE_MS + 1000;
 
     @Test
     public void standingTasksThatMoveInPairsStartInTime() {
@@ -44,25 +44,33 @@
             wave.add(addServingVm(owner, vms, i));
         }
         owner.accept(
-                OwnerHarness.order(
-                        "aa", "surveys", 0, OwnerHarness.standing(TASKS, TASK_CORES, MAY_MISS)));
+                OwnerHarness.definition(
+                        "aa",
+                        "surveys",
+                        0,
+                        OwnerHarness.standing(TASKS, TASK_CORES, MAX_UNAVAILABLE)));
         List<TaskRun> runs = owner.placeTasks();
         List.copyOf(owner.mScheduler.workers()).forEach(owner::poll);
-        for (int i = 0; i < MAY_MISS; i++) {
+        for (int i = 0; i < MAX_UNAVAILABLE; i++) {
             addServingVm(owner, vms, TASKS + i);
         }
 
         VmPlanner planner = new VmPlanner(owner.mScheduler);
         planner.applyList(vms, owner.mNowMs);
-        MaintenanceWave order = new MaintenanceWave(1, wave, LEFT_MS, TASKS);
-        DueWave due = new DueWave(order, owner.mNowMs + LEFT_MS);
+        MaintenanceWave maintenance = new MaintenanceWave(1, wave, LEFT_MS, TASKS);
+        DueWave due = new DueWave(maintenance, owner.mNowMs + LEFT_MS);
         planner.decide(
-                owner.mConfig, List.of(due), owner.mBook, true, owner.mNowMs, OwnerHarness.WALL_MS);
+                owner.mConfig,
+                List.of(due),
+                owner.mRegistry,
+                true,
+                owner.mNowMs,
+                OwnerHarness.WALL_MS);
 
         assertEquals(runs.size(), TASKS);
         assertEquals(
                 runs.stream().filter(r -> r.phase() == RunPhase.STOPPING).count(),
-                MAY_MISS,
+                MAX_UNAVAILABLE,
                 "tasks that are being moved");
     }
 
@@ -80,14 +88,14 @@
             wave.add(addServingVm(owner, vms, i));
         }
         owner.accept(
-                OwnerHarness.order(
+                OwnerHarness.definition(
                         "aa", "surveys", 0, OwnerHarness.standing(tasks, TASK_CORES, 1)));
         List<TaskRun> standing = owner.placeTasks();
         for (int i = tasks; i < 2 * tasks; i++) {
             wave.add(addServingVm(owner, vms, i));
         }
         owner.accept(
-                OwnerHarness.order(
+                OwnerHarness.definition(
                         "bb", "surveys", 0, OwnerHarness.step(tasks, CORES, 60_000, List.of())));
         List<TaskRun> others = owner.placeTasks();
         addServingVm(owner, vms, 2 * tasks);
@@ -95,10 +103,16 @@
 
         VmPlanner planner = new VmPlanner(owner.mScheduler);
         planner.applyList(vms, owner.mNowMs);
-        MaintenanceWave order = new MaintenanceWave(1, wave, tasks * MOVE_MS + REBOOT_MS, maxDown);
-        DueWave due = new DueWave(order, owner.mNowMs + order.durationMs());
+        MaintenanceWave maintenance =
+                new MaintenanceWave(1, wave, tasks * MOVE_MS + REBOOT_MS, maxDown);
+        DueWave due = new DueWave(maintenance, owner.mNowMs + maintenance.durationMs());
         planner.decide(
-                owner.mConfig, List.of(due), owner.mBook, true, owner.mNowMs, OwnerHarness.WALL_MS);
+                owner.mConfig,
+                List.of(due),
+                owner.mRegistry,
+                true,
+                owner.mNowMs,
+                OwnerHarness.WALL_MS);
 
         assertEquals(others.size(), tasks);
         assertEquals(countStopping(standing), 1, "standing tasks being moved");
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/StartedJobsTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/StartedJobsTest.java
@@ -11,7 +11,7 @@
  * Tests when a job counts as started.
  *
  * <p>Guards against jobs that are reported as started because their starts are in the journal,
- * although the orders never arrived.
+ * although the commands never arrived.
  */
 public class StartedJobsTest {
     private static final String JOB = "00000000000000aa";
@@ -21,7 +21,8 @@
         OwnerHarness owner = new OwnerHarness();
         owner.addWorker("w1", "surveys", 8);
         owner.accept(
-                OwnerHarness.order(JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        JOB, "surveys", 0, OwnerHarness.step(2, 1, 1000, List.of())));
         owner.recordStarts(owner.decide().planned());
         List<Decisions.Start> starts = owner.decide().starts();
         List<String> written = owner.mScheduler.takeStartedJobs();
@@ -38,16 +39,16 @@
 
     @Test
     public void aJobHasStartedIfAWorkerListsAnUnconfirmedRun() {
-        // The answer to the order was lost; the run shows up in the next poll.
+        // The answer to the command was lost; the run shows up in the next poll.
         OwnerHarness first = new OwnerHarness();
         WorkerState worker = first.addWorker("w1", "surveys", 8);
         JobProgress job =
                 first.accept(
-                        OwnerHarness.order(
+                        OwnerHarness.definition(
                                 JOB, "surveys", 0, OwnerHarness.step(1, 1, 1000, List.of())));
         first.recordStarts(first.decide().planned());
 
-        OwnerHarness second = new OwnerHarness(first.mBook);
+        OwnerHarness second = new OwnerHarness(first.mRegistry);
         second.mScheduler.addInheritedJob(job, w -> false, second.mNowMs);
         List<String> inherited = second.mScheduler.takeStartedJobs();
         second.mScheduler.updateWorker(worker.info(), second.mNowMs);
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/UnreadableVmEntriesTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/UnreadableVmEntriesTest.java
@@ -59,7 +59,7 @@
         return mPlanner.decide(
                 mOwner.mConfig,
                 List.of(waves),
-                mOwner.mBook,
+                mOwner.mRegistry,
                 true,
                 mOwner.mNowMs,
                 OwnerHarness.WALL_MS);
@@ -104,7 +104,7 @@
     public void aVmWithAnUnreadableEntryStaysInItsWave() {
         // Guards against a wave that completes without a VM because its entry was unreadable once.
         applyList(vm("vm1", "w1"), vm("vm2", "w2"));
-        mOwner.mBook.apply(new VmRebooted(1, "vm2"));
+        mOwner.mRegistry.apply(new VmRebooted(1, "vm2"));
         applyList(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
 
         assertEquals(decide(wave("vm1", "vm2")).completed(), List.of());
@@ -114,7 +114,7 @@
     public void aFirstListWithAnUnreadableEntryDoesNotCompleteAWave() {
         // A new owner may find the unreadable entry in its first list.
         applyList(VmInfo.unreadable("vm1"), vm("vm2", "w2"));
-        mOwner.mBook.apply(new VmRebooted(1, "vm2"));
+        mOwner.mRegistry.apply(new VmRebooted(1, "vm2"));
 
         assertEquals(decide(wave("vm1", "vm2")).completed(), List.of());
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/UrgencyTest.java
@@ -33,7 +33,8 @@
                         (runs, now) -> {
                             List<ActiveRun> sorted = new ArrayList<>(runs);
                             sorted.sort(
-                                    Comparator.comparingLong(r -> r.job().order().acceptedMs()));
+                                    Comparator.comparingLong(
+                                            r -> r.job().definition().acceptedMs()));
                             return sorted;
                         });
 
@@ -50,9 +51,9 @@
         long now = OwnerHarness.WALL_MS;
         while (!arriving.isEmpty() || !waiting.isEmpty()) {
             long until = now;
-            arriving.removeIf(r -> r.job().order().acceptedMs() <= until && waiting.add(r));
+            arriving.removeIf(r -> r.job().definition().acceptedMs() <= until && waiting.add(r));
             if (waiting.isEmpty()) {
-                now = arriving.get(0).job().order().acceptedMs();
+                now = arriving.get(0).job().definition().acceptedMs();
                 continue;
             }
             ActiveRun next = order.sort(waiting, now).get(0);
@@ -69,24 +70,24 @@
         for (int i = 0; i < JOBS; i++) {
             int tasks = 1 + random.nextInt(12);
             long estimate = 400 + random.nextInt(1200);
-            JobDefinition order =
-                    OwnerHarness.order(
+            JobDefinition definition =
+                    OwnerHarness.definition(
                             "job" + i,
                             "surveys",
                             0,
                             OwnerHarness.step(tasks, 3, estimate, List.of()));
             JobDefinition timed =
                     new JobDefinition(
-                            order.id(),
-                            order.route(),
-                            order.service(),
-                            order.text(),
-                            order.steps(),
-                            order.timetable(),
-                            order.policy(),
+                            definition.id(),
+                            definition.route(),
+                            definition.service(),
+                            definition.text(),
+                            definition.steps(),
+                            definition.timetable(),
+                            definition.policy(),
                             OwnerHarness.WALL_MS + i * TURN_MS / JOBS);
-            JobRegistry book = new JobRegistry(1000);
-            runs.add(new ActiveJob(book.apply(new JobAccepted(timed)).get()).runs().get(0));
+            JobRegistry registry = new JobRegistry(1000);
+            runs.add(new ActiveJob(registry.apply(new JobAccepted(timed)).get()).runs().get(0));
         }
         return runs;
     }
@@ -95,9 +96,11 @@
     public void priorityComesFirstAndThenStandingTasks() {
         List<ActiveRun> runs = new ArrayList<>();
         OwnerHarness owner = new OwnerHarness();
-        owner.accept(OwnerHarness.order("c", "surveys", 1, OwnerHarness.step(1, 1, 10, List.of())));
-        owner.accept(OwnerHarness.order("b", "surveys", 0, OwnerHarness.step(1, 1, 10, List.of())));
-        owner.accept(OwnerHarness.order("a", "surveys", 0, OwnerHarness.standing(1, 1, 1)));
+        owner.accept(
+                OwnerHarness.definition("c", "surveys", 1, OwnerHarness.step(1, 1, 10, List.of())));
+        owner.accept(
+                OwnerHarness.definition("b", "surveys", 0, OwnerHarness.step(1, 1, 10, List.of())));
+        owner.accept(OwnerHarness.definition("a", "surveys", 0, OwnerHarness.standing(1, 1, 1)));
         owner.mScheduler.runs().jobs().forEach(j -> runs.add(j.runs().get(0)));
 
         List<String> ids = new ArrayList<>();
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/VmPlannerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/VmPlannerTest.java
@@ -50,15 +50,15 @@
         return mPlanner.decide(
                 mOwner.mConfig,
                 List.of(waves),
-                mOwner.mBook,
+                mOwner.mRegistry,
                 true,
                 mOwner.mNowMs,
                 OwnerHarness.WALL_MS);
     }
 
-    private DueWave wave(int atOnce, long leftMs, String... vms) {
-        MaintenanceWave order = new MaintenanceWave(1, List.of(vms), leftMs, atOnce);
-        return new DueWave(order, mOwner.mNowMs + leftMs);
+    private DueWave wave(int maxConcurrent, long leftMs, String... vms) {
+        MaintenanceWave wave = new MaintenanceWave(1, List.of(vms), leftMs, maxConcurrent);
+        return new DueWave(wave, mOwner.mNowMs + leftMs);
     }
 
     @Test
@@ -71,7 +71,7 @@
         List<Call> first = decide(wave).actions();
         mPlanner.callAnswered(first.get(0), VmOutcome.DONE, mOwner.mNowMs);
         String vm = first.get(0).vm().id();
-        mOwner.mBook.apply(new VmRebooted(1, vm));
+        mOwner.mRegistry.apply(new VmRebooted(1, vm));
         mVms.removeIf(v -> v.id().equals(vm));
         addVm(vm, "surveys", VmPhase.REBOOTING, "");
         List<Call> second = decide(wave).actions();
@@ -86,7 +86,7 @@
         // rebooted.
         addServingVm("1", "surveys");
         addVm("vm2", "surveys", VmPhase.MOVING, "");
-        mOwner.mBook.apply(new VmRebooted(1, "vm2"));
+        mOwner.mRegistry.apply(new VmRebooted(1, "vm2"));
 
         List<Call> calls = decide(wave(1, 5_000, "vm1", "vm2")).actions();
 
@@ -122,7 +122,7 @@
         // Guards against a reboot that makes more tasks of a step unavailable than its budget
         // allows.
         WorkerState worker = addServingVm("1", "surveys");
-        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(2, 1, 1)));
+        mOwner.accept(OwnerHarness.definition("aa", "surveys", 0, OwnerHarness.standing(2, 1, 1)));
         List<TaskRun> runs = mOwner.placeTasks();
         mOwner.poll(worker);
         addServingVm("2", "surveys");
@@ -162,10 +162,10 @@
         addServingVm("1", "surveys");
         addServingVm("2", "surveys");
         DueWave wave = wave(2, 30_000, "vm1", "vm2", "gone");
-        mOwner.mBook.apply(new VmRebooted(1, "vm1"));
+        mOwner.mRegistry.apply(new VmRebooted(1, "vm1"));
 
         assertTrue(decide(wave).completed().isEmpty());
-        mOwner.mBook.apply(new VmRebooted(1, "vm2"));
+        mOwner.mRegistry.apply(new VmRebooted(1, "vm2"));
         assertEquals(decide(wave).completed(), List.of(1L));
         assertTrue(decide(wave).completed().isEmpty(), "completion is reported only once");
     }
@@ -176,7 +176,8 @@
         addVm("vm2", "off", VmPhase.UP, "");
         addVm("vm3", "off", VmPhase.UP, "");
         mOwner.accept(
-                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.step(40, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "aa", "surveys", 0, OwnerHarness.step(40, 1, 1000, List.of())));
 
         List<Call> calls = decide().actions();
 
@@ -213,10 +214,11 @@
                         List.of(),
                         new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
-        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, spread));
+        mOwner.accept(OwnerHarness.definition("aa", "surveys", 0, spread));
         List<TaskRun> runs = mOwner.placeTasks();
         mOwner.accept(
-                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(60, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "bb", "reports", 0, OwnerHarness.step(60, 1, 1000, List.of())));
         mOwner.mNowMs += 1000;
 
         List<Call> first = decide().actions();
@@ -243,7 +245,7 @@
                         List.of(),
                         new PlacementConstraints(false, false, "", "", 1),
                         RunMode.PLAIN);
-        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, spread));
+        mOwner.accept(OwnerHarness.definition("aa", "surveys", 0, spread));
         return mOwner.placeTasks();
     }
 
@@ -253,7 +255,8 @@
         // moved.
         List<TaskRun> runs = addBusyVms(10);
         mOwner.accept(
-                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(40, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "bb", "reports", 0, OwnerHarness.step(40, 1, 1000, List.of())));
         mOwner.mNowMs += 1000;
         decide();
         long first = runs.stream().filter(r -> r.worker().isEvacuating()).count();
--- a/foxtail-core/src/test/java/org/foxtailplank/schedule/WaveCapacityTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/schedule/WaveCapacityTest.java
@@ -56,12 +56,12 @@
     private void decide(String... vms) {
         mOwner.mNowMs += 100;
         mPlanner.applyList(mVms, mOwner.mNowMs);
-        MaintenanceWave order = new MaintenanceWave(1, List.of(vms), LEFT_MS, vms.length);
-        DueWave due = new DueWave(order, mOwner.mNowMs + LEFT_MS);
+        MaintenanceWave wave = new MaintenanceWave(1, List.of(vms), LEFT_MS, vms.length);
+        DueWave due = new DueWave(wave, mOwner.mNowMs + LEFT_MS);
         mPlanner.decide(
                 mOwner.mConfig,
                 List.of(due),
-                mOwner.mBook,
+                mOwner.mRegistry,
                 true,
                 mOwner.mNowMs,
                 OwnerHarness.WALL_MS);
@@ -74,12 +74,14 @@
     public void aStandingTaskGetsTheCapacityThatBatchTasksFree() {
         addServingVm("0", "surveys");
         mOwner.accept(
-                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+                OwnerHarness.definition(
+                        "aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
         TaskRun standing = mOwner.placeTasks().get(0);
         pollAll();
         WorkerState fullWorker = addServingVm("1", "surveys");
         mOwner.accept(
-                OwnerHarness.order("bb", "surveys", 0, OwnerHarness.step(60, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "bb", "surveys", 0, OwnerHarness.step(60, 1, 1000, List.of())));
         mOwner.placeTasks();
         pollAll();
         assertEquals(fullWorker.free().milliProcessors(), 0);
@@ -100,14 +102,16 @@
     public void aVmReservedForAStandingTaskIsNotMoved() {
         addServingVm("0", "surveys");
         mOwner.accept(
-                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+                OwnerHarness.definition(
+                        "aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
         mOwner.placeTasks();
         for (int i = 1; i < 4; i++) {
             addServingVm(Integer.toString(i), "surveys");
         }
         addServingVm("4", "reports");
         mOwner.accept(
-                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
         mOwner.placeTasks();
         pollAll();
         mOwner.mNowMs += 5000;
@@ -126,13 +130,14 @@
     public void aStandingTaskThatNoWorkerAdmitsGetsAVmOfABusyPool() {
         addServingVm("0", "surveys");
         addServingVm("1", "surveys");
-        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, onePerWorker(2)));
+        mOwner.accept(OwnerHarness.definition("aa", "surveys", 0, onePerWorker(2)));
         assertEquals(mOwner.placeTasks().size(), 2);
         for (int i = 2; i < 8; i++) {
             addServingVm(Integer.toString(i), "reports");
         }
         mOwner.accept(
-                OwnerHarness.order("bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
+                OwnerHarness.definition(
+                        "bb", "reports", 0, OwnerHarness.step(200, 1, 1000, List.of())));
         mOwner.placeTasks();
         pollAll();
         mOwner.mNowMs += 5000;
@@ -154,9 +159,11 @@
         addServingVm("0", "surveys");
         addServingVm("1", "surveys");
         mOwner.accept(
-                OwnerHarness.order("aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+                OwnerHarness.definition(
+                        "aa", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
         mOwner.accept(
-                OwnerHarness.order("bb", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
+                OwnerHarness.definition(
+                        "bb", "surveys", 0, OwnerHarness.standing(1, TASK_CORES, 1)));
         List<TaskRun> standing = mOwner.placeTasks();
         pollAll();
         addServingVm("2", "surveys");
@@ -175,7 +182,7 @@
         for (int i = 0; i < tasks; i++) {
             addServingVm(Integer.toString(i), "surveys");
         }
-        mOwner.accept(OwnerHarness.order("aa", "surveys", 0, onePerWorker(tasks)));
+        mOwner.accept(OwnerHarness.definition("aa", "surveys", 0, onePerWorker(tasks)));
         assertEquals(mOwner.placeTasks().size(), tasks);
         for (int i = tasks; i < tasks + 8; i++) {
             addServingVm(Integer.toString(i), "reports");
--- a/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/Node.java
@@ -79,8 +79,8 @@
     private final JournalReader mReader;
     private final JournalWriter mWriter;
     private final OwnerLink mLink;
-    private final OwnerElection mOwnership;
-    private final ResignationPolicy mNarrowOwner;
+    private final OwnerElection mElection;
+    private final ResignationPolicy mResignationPolicy;
 
     private Optional<OwnerSession> mOwner = Optional.empty();
     private HttpServer mCallerServer;
@@ -103,8 +103,8 @@
                         PlatformTimeouts.DEFAULTS,
                         clock::nowMs);
         SharedLog shared = mPlatform.log();
-        JobRegistry book = new JobRegistry(settings.journal().endedJobRetentionMs());
-        mOperator = new OperatorFollower(mPlatform.operatorOrders(), clock, timers, log);
+        JobRegistry registry = new JobRegistry(settings.journal().endedJobRetentionMs());
+        mOperator = new OperatorFollower(mPlatform.operatorChanges(), clock, timers, log);
         mReader =
                 new JournalReader(
                         shared,
@@ -112,12 +112,12 @@
                         clock,
                         timers,
                         log,
-                        book,
+                        registry,
                         this::recordApplied);
         mLink = new OwnerLink(loop, clock, timers, log, mReader);
         mReader.setStreaming(mLink::isAlive);
         mLink.setStandbyCondition(this::isStandby);
-        mNarrowOwner = new ResignationPolicy(settings.link());
+        mResignationPolicy = new ResignationPolicy(settings.link());
         mWriter =
                 new JournalWriter(
                         shared,
@@ -126,7 +126,7 @@
                         clock,
                         timers,
                         log);
-        mOwnership =
+        mElection =
                 new OwnerElection(
                         shared,
                         mReader,
@@ -209,7 +209,7 @@
                         mLink,
                         new RoutedJobQueries(),
                         mWriter,
-                        mPlatform.callerBodies(),
+                        mPlatform.callerCodec(),
                         mClock,
                         mTimers,
                         mLog,
@@ -251,18 +251,18 @@
                 .write();
         mOperator.follow();
         mReader.follow();
-        mOwnership.start();
+        mElection.start();
         removeEndedJobs();
         checkNarrowLink();
     }
 
     private void removeEndedJobs() {
-        mReader.book().removeExpired(mClock.wallMs());
+        mReader.registry().removeExpired(mClock.wallMs());
         mTimers.after(CLEANUP_INTERVAL_MS, this::removeEndedJobs);
     }
 
     private void recordApplied(JournalRecord record, Optional<JobProgress> job) {
-        mOwnership.applyRecord(record);
+        mElection.applyRecord(record);
         mOwner.ifPresent(o -> o.applyRecord(record, job));
     }
 
@@ -276,18 +276,18 @@
     private void checkNarrowLink() {
         mTimers.after(NARROW_CHECK_INTERVAL_MS, this::checkNarrowLink);
         if (mOwner.isPresent()
-                && mNarrowOwner.shouldResign(mStream.lastStandbyMs(), mClock.nowMs())) {
+                && mResignationPolicy.shouldResign(mStream.lastStandbyMs(), mClock.nowMs())) {
             mLog.line("owner-narrow").with("node", mSettings.name()).write();
             OwnerSession owner = mOwner.get();
             mOwner = Optional.empty();
             resign(owner);
-            mOwnership.ownershipLost();
+            mElection.ownershipLost();
         }
     }
 
     private void ownershipAcquired(Takeover taken) {
-        mNarrowOwner.ownershipGained(mClock.nowMs());
-        OwnerContext parts =
+        mResignationPolicy.ownershipGained(mClock.nowMs());
+        OwnerContext context =
                 new OwnerContext(
                         mSettings,
                         mClock,
@@ -299,21 +299,21 @@
                         mPlatform.log(),
                         new OwnerContext.Platform(
                                 mPlatform.workers(),
-                                mPlatform.workerOrders(),
+                                mPlatform.workerClient(),
                                 mPlatform.vmActions(),
                                 mPlatform.placementAdvice(),
-                                mPlatform.waveBoard()));
-        OwnerSession work = new OwnerSession(parts, taken, this::fenced);
-        mOwner = Optional.of(work);
+                                mPlatform.wavePublisher()));
+        OwnerSession session = new OwnerSession(context, taken, this::fenced);
+        mOwner = Optional.of(session);
         mLink.setOwner(Optional.empty());
-        mStream.ownershipAcquired(taken.token(), work, work::areVmCallsFinished);
-        work.start();
+        mStream.ownershipAcquired(taken.token(), session, session::areVmCallsFinished);
+        session.start();
     }
 
     private void fenced() {
         mOwner = Optional.empty();
         mStream.ownershipLost();
-        mOwnership.ownershipLost();
+        mElection.ownershipLost();
     }
 
     /**
@@ -343,7 +343,7 @@
     public void stop(Runnable ended) {
         mStopping = true;
         mLog.line("stop").with("node", mSettings.name()).write();
-        mOwnership.stop();
+        mElection.stop();
         mOwner.ifPresent(this::resign);
         mOwner = Optional.empty();
         mCallerServer.stopKeepingOpen();
--- a/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/OperatorFollower.java
@@ -11,7 +11,7 @@
 import org.foxtailplank.port.OperatorChange;
 import org.foxtailplank.schedule.DueWave;
 
-/** Follows the operator's orders: the current configuration and the maintenance waves. */
+/** Follows the operator's changes: the current configuration and the maintenance waves. */
 public final class OperatorFollower {
     /** Wait time of a long poll, in milliseconds; bounds how late a dead connection is noticed. */
     private static final long POLL_WAIT_MS = 800;
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Reads all orders written so far, then reports whether that succeeded. */
+    /** Reads all changes written so far, then reports whether that succeeded. */
     public void refresh(Consumer<Boolean> callback) {
         Consumer<ChangeFeed.Result<OperatorChange>> listener =
                 r -> {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Ignores unreadable orders, which leave the last readable value in force. */
+    /** Ignores unreadable changes, which leave the last readable value in force. */
     private void apply(ChangeFeed.Item<OperatorChange> item) {
         if (!item.readable()) {
             mLog.line("order-unreadable").with("key", item.key()).write();
@@ -111,8 +111,8 @@
         return new DueWave(wave, mClock.nowMs() + remainingMs);
     }
 
-    private void apply(OperatorChange order) {
-        if (order instanceof OperatorChange.NewWave w) {
+    private void apply(OperatorChange change) {
+        if (change instanceof OperatorChange.NewWave w) {
             if (!mWaves.containsKey(w.wave().number())) {
                 mWaves.put(w.wave().number(), dueWave(w.wave()));
                 mLog.line("wave-ordered")
@@ -124,7 +124,7 @@
             }
             return;
         }
-        FleetConfig config = ((OperatorChange.NewConfig) order).config();
+        FleetConfig config = ((OperatorChange.NewConfig) change).config();
         // Concurrent reads may deliver an older version late.
         if (mConfig.isEmpty() || config.version() > mConfig.get().version()) {
             mConfig = Optional.of(config);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/CallerService.java
@@ -68,7 +68,7 @@
     private final OwnerLink mLink;
     private final JobFinder mFinder;
     private final JournalWriter mWriter;
-    private final CallerCodec mBodies;
+    private final CallerCodec mCodec;
     private final Clock mClock;
     private final NodeLog mLog;
     private final NodeMetrics mMetrics;
@@ -80,7 +80,7 @@
             OwnerLink link,
             JobQueries ownerQueries,
             JournalWriter writer,
-            CallerCodec bodies,
+            CallerCodec codec,
             Clock clock,
             Timers timers,
             NodeLog log,
@@ -90,7 +90,7 @@
         mLink = link;
         mFinder = new JobFinder(reader, ownerQueries, clock, timers);
         mWriter = writer;
-        mBodies = bodies;
+        mCodec = codec;
         mClock = clock;
         mLog = log;
         mMetrics = metrics;
@@ -176,7 +176,7 @@
 
     private void submit(
             HttpRequest request, RouteSettings route, String id, Consumer<HttpReply> reply) {
-        if (mReader.book().job(id).isPresent()) {
+        if (mReader.registry().job(id).isPresent()) {
             reply.accept(HttpReply.empty(OK));
             return;
         }
@@ -187,13 +187,13 @@
         }
         Submission submission;
         try {
-            submission = mBodies.read(request.body());
+            submission = mCodec.read(request.body());
         } catch (InvalidBodyException e) {
             mLog.line("bad-submission").with("job", id).with("why", e.getMessage()).write();
             reply.accept(HttpReply.text(BAD_REQUEST, e.getMessage()));
             return;
         }
-        JobDefinition order =
+        JobDefinition definition =
                 new JobDefinition(
                         id,
                         route.name(),
@@ -207,17 +207,19 @@
         mInFlight.put(id, replies);
         long deadline = deadlineMs(request);
         mWriter.store(
-                new JobAccepted(order), deadline, o -> submissionCompleted(order, replies, o));
+                new JobAccepted(definition),
+                deadline,
+                o -> submissionCompleted(definition, replies, o));
     }
 
     private void submissionCompleted(
-            JobDefinition order, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
-        mInFlight.remove(order.id());
+            JobDefinition definition, List<Consumer<HttpReply>> replies, StoreOutcome outcome) {
+        mInFlight.remove(definition.id());
         mLog.line("job-submitted")
-                .with("job", order.id())
-                .with("queue", order.route())
-                .with("service", order.service())
-                .with("tasks", order.tasksPerRun())
+                .with("job", definition.id())
+                .with("queue", definition.route())
+                .with("service", definition.service())
+                .with("tasks", definition.tasksPerRun())
                 .with("outcome", outcome)
                 .write();
         replies.forEach(r -> r.accept(outcomeReply(outcome)));
@@ -251,7 +253,7 @@
     }
 
     private HttpReply pendingReply(int jobs) {
-        return HttpReply.json(OK, mBodies.pending(jobs));
+        return HttpReply.json(OK, mCodec.pending(jobs));
     }
 
     private void replyPhase(HttpRequest request, String id, Consumer<HttpReply> reply) {
@@ -270,7 +272,7 @@
     }
 
     private HttpReply phaseReply(JobPhase phase) {
-        return HttpReply.json(OK, mBodies.phase(phase));
+        return HttpReply.json(OK, mCodec.phase(phase));
     }
 
     /** Reports a job as unknown only if the journal was read to its end. */
@@ -317,7 +319,7 @@
      * an earlier failure would only make it send the request again.
      */
     private long deadlineMs(HttpRequest request) {
-        long wait = request.number(mBodies.deadlineHeader()).orElse(DEFAULT_DEADLINE_MS);
+        long wait = request.number(mCodec.deadlineHeader()).orElse(DEFAULT_DEADLINE_MS);
         return mClock.nowMs() + Math.max(REPLY_MARGIN_MS, wait - REPLY_MARGIN_MS);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/JobFinder.java
@@ -36,12 +36,12 @@
 
     /** Returns the phase of a job according to this node's own state. */
     Optional<JobPhase> localPhase(String id) {
-        return mReader.book().job(id).map(JobProgress::phase);
+        return mReader.registry().job(id).map(JobProgress::phase);
     }
 
     /** Returns the number of pending jobs of a queue according to this node's own state. */
     int localPending(String queue) {
-        return mReader.book().pending(queue);
+        return mReader.registry().pending(queue);
     }
 
     /**
--- a/foxtail-node/src/main/java/org/foxtailplank/node/caller/LocalJobQueries.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/caller/LocalJobQueries.java
@@ -28,9 +28,9 @@
 
     @Override
     public void phase(String job, Consumer<Optional<JobPhase>> callback) {
-        Optional<JobProgress> entry =
-                mIsOwner.getAsBoolean() ? mReader.book().job(job) : Optional.empty();
-        callback.accept(entry.map(JobProgress::phase));
+        Optional<JobProgress> progress =
+                mIsOwner.getAsBoolean() ? mReader.registry().job(job) : Optional.empty();
+        callback.accept(progress.map(JobProgress::phase));
     }
 
     /**
@@ -42,6 +42,7 @@
     public void pending(String queue, Consumer<Optional<Integer>> callback) {
         long ageMs = mClock.nowMs() - mReader.completeMs();
         boolean isUpToDate = mIsOwner.getAsBoolean() && ageMs < CallerService.MAX_PENDING_AGE_MS;
-        callback.accept(isUpToDate ? Optional.of(mReader.book().pending(queue)) : Optional.empty());
+        callback.accept(
+                isUpToDate ? Optional.of(mReader.registry().pending(queue)) : Optional.empty());
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/Handover.java
@@ -26,6 +26,6 @@
     /** Whether there is an owner that is reachable and able to store records. */
     boolean isAvailable();
 
-    /** Hands a record over; {@code then} is always called, exactly once. */
-    void handOver(byte[] record, Consumer<StoreOutcome> then);
+    /** Hands a record over; {@code callback} is always called, exactly once. */
+    void handOver(byte[] record, Consumer<StoreOutcome> callback);
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobDefinitionCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JobDefinitionCodec.java
@@ -22,27 +22,27 @@
 
     private JobDefinitionCodec() {}
 
-    static void write(CodedOutputStream out, JobDefinition order) throws IOException {
-        out.writeString(1, order.id());
-        out.writeString(2, order.route());
-        out.writeString(3, order.service());
-        out.writeString(4, order.text());
-        for (TaskStep s : order.steps()) {
+    static void write(CodedOutputStream out, JobDefinition definition) throws IOException {
+        out.writeString(1, definition.id());
+        out.writeString(2, definition.route());
+        out.writeString(3, definition.service());
+        out.writeString(4, definition.text());
+        for (TaskStep s : definition.steps()) {
             JournalCodec.writeMessage(out, STEP_FIELD, o -> writeStep(o, s));
         }
-        out.writeInt64(6, order.timetable().startMs());
-        out.writeInt64(7, order.timetable().periodMs());
-        out.writeInt32(8, order.timetable().runs());
-        QueuePolicy terms = order.policy();
-        out.writeInt32(9, terms.priority());
-        out.writeInt32(10, terms.maxAttempts());
-        out.writeDouble(11, terms.stretch());
-        out.writeInt64(12, terms.sloMs());
-        out.writeInt64(13, order.acceptedMs());
-        if (terms.advice().isPresent()) {
-            out.writeInt64(14, terms.advice().get().baseMs());
-            out.writeInt64(15, terms.advice().get().perWorkerMs());
-            out.writeInt64(16, terms.advice().get().validMs());
+        out.writeInt64(6, definition.timetable().startMs());
+        out.writeInt64(7, definition.timetable().periodMs());
+        out.writeInt32(8, definition.timetable().runs());
+        QueuePolicy policy = definition.policy();
+        out.writeInt32(9, policy.priority());
+        out.writeInt32(10, policy.maxAttempts());
+        out.writeDouble(11, policy.stretch());
+        out.writeInt64(12, policy.sloMs());
+        out.writeInt64(13, definition.acceptedMs());
+        if (policy.advice().isPresent()) {
+            out.writeInt64(14, policy.advice().get().baseMs());
+            out.writeInt64(15, policy.advice().get().perWorkerMs());
+            out.writeInt64(16, policy.advice().get().validMs());
         }
     }
 
@@ -67,7 +67,7 @@
                 in.skipField(tag);
             }
         }
-        Optional<AdviceTiming> adviceTerms =
+        Optional<AdviceTiming> adviceTiming =
                 hasAdvice
                         ? Optional.of(new AdviceTiming(numbers[14], numbers[15], numbers[16]))
                         : Optional.empty();
@@ -84,7 +84,7 @@
                 steps,
                 new Timetable(numbers[6], numbers[7], (int) numbers[8]),
                 new QueuePolicy(
-                        (int) numbers[9], (int) numbers[10], stretch, numbers[12], adviceTerms),
+                        (int) numbers[9], (int) numbers[10], stretch, numbers[12], adviceTiming),
                 numbers[13]);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalCodec.java
@@ -126,7 +126,7 @@
                     case STARTED -> new RunsStarted(readStarts(body));
                     case BEGUN -> new JobsStarted(readJobs(body));
                     case WAVE_DUE -> readWaveDue(body);
-                    case LEFT -> OwnerRecordCodec.readOwnerLeft(body);
+                    case LEFT -> OwnerRecordCodec.readOwnerResigned(body);
                     case ALIVE -> OwnerRecordCodec.readOwnerAlive(body);
                     default -> readNumberAndNameRecord(kind, body);
                 });
@@ -151,23 +151,23 @@
     }
 
     private static JobSnapshot readSnapshot(CodedInputStream in) throws IOException {
-        JobDefinition order = null;
+        JobDefinition definition = null;
         List<StartedRun> starts = List.of();
         List<EndedRun> ends = List.of();
         long cancelledMs = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
-                case 1 -> order = JobDefinitionCodec.read(in.readBytes().newCodedInput());
+                case 1 -> definition = JobDefinitionCodec.read(in.readBytes().newCodedInput());
                 case 2 -> starts = readStarts(in.readBytes().newCodedInput());
                 case 3 -> ends = readEnds(in.readBytes().newCodedInput());
                 case 4 -> cancelledMs = in.readInt64();
                 default -> in.skipField(tag);
             }
         }
-        if (order == null) {
+        if (definition == null) {
             throw new IOException("job snapshot has no job definition");
         }
-        return new JobSnapshot(order, starts, ends, cancelledMs);
+        return new JobSnapshot(definition, starts, ends, cancelledMs);
     }
 
     private static void writeJobs(CodedOutputStream out, List<String> jobs) throws IOException {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalReader.java
@@ -20,7 +20,7 @@
 /** Reads the journal continuously and applies its records to the registry of jobs. */
 public final class JournalReader {
     private final NodeLog mNodeLog;
-    private final JobRegistry mBook;
+    private final JobRegistry mRegistry;
     private final BiConsumer<JournalRecord, Optional<JobProgress>> mListener;
     private final List<PartitionReader> mPartitions = new ArrayList<>();
     private RawRecordListener mRawListener = (partition, offset, record) -> {};
@@ -37,10 +37,10 @@
             Clock clock,
             Timers timers,
             NodeLog nodeLog,
-            JobRegistry book,
+            JobRegistry registry,
             BiConsumer<JournalRecord, Optional<JobProgress>> listener) {
         mNodeLog = nodeLog;
-        mBook = book;
+        mRegistry = registry;
         mListener = listener;
         for (int p = 0; p < partitions.size(); p++) {
             int number = p;
@@ -58,8 +58,8 @@
         }
     }
 
-    public JobRegistry book() {
-        return mBook;
+    public JobRegistry registry() {
+        return mRegistry;
     }
 
     /** Position up to which the journal was read. */
@@ -133,27 +133,27 @@
     }
 
     /** Reads all partitions to their current end or beyond, then reports whether that succeeded. */
-    public void refresh(Consumer<Boolean> then) {
-        RefreshBarrier barrier = new RefreshBarrier(mPartitions.size(), then);
+    public void refresh(Consumer<Boolean> callback) {
+        RefreshBarrier barrier = new RefreshBarrier(mPartitions.size(), callback);
         mPartitions.forEach(p -> p.refresh(barrier::partitionDone));
     }
 
     /** Completes a refresh once all partitions are read. */
     private static final class RefreshBarrier {
-        private final Consumer<Boolean> mThen;
+        private final Consumer<Boolean> mCallback;
         private int mRemaining;
         private boolean mAllRead = true;
 
-        RefreshBarrier(int partitions, Consumer<Boolean> then) {
+        RefreshBarrier(int partitions, Consumer<Boolean> callback) {
             mRemaining = partitions;
-            mThen = then;
+            mCallback = callback;
         }
 
         void partitionDone(boolean succeeded) {
             mAllRead &= succeeded;
             mRemaining--;
             if (mRemaining == 0) {
-                mThen.accept(mAllRead);
+                mCallback.accept(mAllRead);
             }
         }
     }
@@ -161,7 +161,7 @@
     private void apply(int partition, long offset, byte[] bytes) {
         mRawListener.onRecord(partition, offset, bytes);
         try {
-            JournalCodec.decode(bytes).ifPresent(r -> mListener.accept(r, mBook.apply(r)));
+            JournalCodec.decode(bytes).ifPresent(r -> mListener.accept(r, mRegistry.apply(r)));
         } catch (IOException e) {
             mNodeLog.line("journal-record")
                     .with("partition", partition)
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/JournalWriter.java
@@ -52,15 +52,15 @@
     private static final class PendingRecord {
         final byte[] mBytes;
         final long mDeadlineMs;
-        final Consumer<StoreOutcome> mThen;
+        final Consumer<StoreOutcome> mCallback;
         boolean mMayBeStored;
         boolean mHandedOver;
         boolean mAwaitingOwner;
 
-        PendingRecord(byte[] bytes, long deadlineMs, Consumer<StoreOutcome> then) {
+        PendingRecord(byte[] bytes, long deadlineMs, Consumer<StoreOutcome> callback) {
             mBytes = bytes;
             mDeadlineMs = deadlineMs;
-            mThen = then;
+            mCallback = callback;
         }
     }
 
@@ -89,12 +89,13 @@
      * deadline. While the store fails, only one record at a time is attempted and all others fail
      * fast, so that their callers can try another node.
      */
-    public void store(JournalRecord record, long deadlineMs, Consumer<StoreOutcome> then) {
-        PendingRecord pending = new PendingRecord(JournalCodec.encode(record), deadlineMs, then);
+    public void store(JournalRecord record, long deadlineMs, Consumer<StoreOutcome> callback) {
+        PendingRecord pending =
+                new PendingRecord(JournalCodec.encode(record), deadlineMs, callback);
         if (mHandover.isAvailable()) {
             handOver(pending);
         } else if (mStoreFailing && mInFlight + mRetrying > 0) {
-            then.accept(StoreOutcome.NOT_STORED);
+            callback.accept(StoreOutcome.NOT_STORED);
         } else {
             enqueue(pending);
         }
@@ -123,7 +124,7 @@
         }
         pending.mAwaitingOwner = false;
         if (outcome == StoreOutcome.STORED) {
-            pending.mThen.accept(outcome);
+            pending.mCallback.accept(outcome);
             return;
         }
         mNodeLog.line("handover").with("outcome", outcome).write();
@@ -165,7 +166,7 @@
         mInFlight--;
         if (result instanceof SharedLog.Stored) {
             mStoreFailing = false;
-            batch.forEach(b -> b.mThen.accept(StoreOutcome.STORED));
+            batch.forEach(b -> b.mCallback.accept(StoreOutcome.STORED));
             sendBatches();
             return;
         }
@@ -199,6 +200,7 @@
     }
 
     private static void complete(PendingRecord pending) {
-        pending.mThen.accept(pending.mMayBeStored ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_STORED);
+        pending.mCallback.accept(
+                pending.mMayBeStored ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_STORED);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerRecordCodec.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/OwnerRecordCodec.java
@@ -38,18 +38,18 @@
         out.writeBool(3, record.vmCallsFinished());
     }
 
-    static OwnerResigned readOwnerLeft(CodedInputStream in) throws IOException {
+    static OwnerResigned readOwnerResigned(CodedInputStream in) throws IOException {
         long token = 0;
         String node = "";
-        boolean callsOver = false;
+        boolean vmCallsFinished = false;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (WireFormat.getTagFieldNumber(tag)) {
                 case 1 -> token = in.readInt64();
                 case 2 -> node = in.readString();
-                case 3 -> callsOver = in.readBool();
+                case 3 -> vmCallsFinished = in.readBool();
                 default -> in.skipField(tag);
             }
         }
-        return new OwnerResigned(token, node, callsOver);
+        return new OwnerResigned(token, node, vmCallsFinished);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/journal/PartitionReader.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/journal/PartitionReader.java
@@ -185,8 +185,8 @@
      * same pages several times. A refresh that is requested during a read is completed by a later
      * one.
      */
-    void refresh(Consumer<Boolean> then) {
-        mPendingRefreshes.add(then);
+    void refresh(Consumer<Boolean> callback) {
+        mPendingRefreshes.add(callback);
         if (!mReading) {
             readNextPage();
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OrderSender.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/CommandSender.java
@@ -14,7 +14,7 @@
 import org.foxtailplank.schedule.WorkerState;
 
 /** Sends the scheduler's decisions about runs to workers. */
-final class OrderSender {
+final class CommandSender {
     /**
      * Share of the link for starts, each of which carries its task's text. The rest is for journal
      * records, polls, appends and stops.
@@ -33,21 +33,21 @@
     private static final int START_OVERHEAD_BYTES = 600;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final long mToken;
     private final LinkBudget mStartBudget;
 
-    OrderSender(OwnerSession owner, OwnerContext parts, long token) {
+    CommandSender(OwnerSession owner, OwnerContext context, long token) {
         mOwner = owner;
-        mParts = parts;
+        mContext = context;
         mToken = token;
         mStartBudget =
                 new LinkBudget(
-                        parts.settings().link(),
+                        context.settings().link(),
                         START_LINK_SHARE,
                         START_BURST_MS,
                         MAX_START_BYTES,
-                        parts.clock().nowMs());
+                        context.clock().nowMs());
     }
 
     void send(Decisions decisions) {
@@ -83,54 +83,54 @@
      * Sends a start if a full lease can be granted and the link has capacity, else delays it.
      *
      * <p>A start recorded during a store outage is stored by an append that was first sent when the
-     * outage began. The rest of a lease counted from that time is too short and the run would lapse
-     * at once; the next stored heartbeat allows a full one.
+     * outage began. The rest of a lease counted from that time is too short and the run would
+     * expire at once; the next stored heartbeat allows a full one.
      *
-     * <p>Without the limit, starts fill the narrow link of an owner: orders and polls time out,
-     * workers count as silent, and their runs are treated as lapsed and started again.
+     * <p>Without the limit, starts fill the narrow link of an owner: commands and polls time out,
+     * workers count as unresponsive, and their runs are treated as expired and started again.
      */
     private void start(Decisions.Start start) {
         TaskRun run = start.run();
-        long now = mParts.clock().nowMs();
-        String text = run.task().step().job().order().text();
+        long now = mContext.clock().nowMs();
+        String text = run.task().step().job().definition().text();
         int bytes = Math.min(START_OVERHEAD_BYTES + text.length(), MAX_START_BYTES);
         if (!mOwner.canGrantFullLease() || !mStartBudget.tryConsume(bytes, now)) {
             mOwner.scheduler().retryStart(run);
             return;
         }
         WorkerState worker = run.worker();
-        StartCommand order =
+        StartCommand command =
                 new StartCommand(
-                        runOrder(run),
+                        runCommand(run),
                         text,
                         run.task().checkpoint(),
                         start.ticket(),
                         worker.renewLease(now, mOwner.workerLeaseMs()));
-        mParts.metrics().counter("starts").inc();
-        mParts.platform()
-                .orders()
-                .start(worker.address(), order, a -> handleStartAnswer(run, a, now));
+        mContext.metrics().counter("starts").inc();
+        mContext.platform()
+                .workerClient()
+                .start(worker.address(), command, a -> handleStartAnswer(run, a, now));
     }
 
-    private void handleStartAnswer(TaskRun run, CommandResponse answer, long sentMs) {
+    private void handleStartAnswer(TaskRun run, CommandResponse response, long sentMs) {
         if (mOwner.hasEnded()) {
             return;
         }
-        long now = mParts.clock().nowMs();
-        mParts.metrics().latency("start").update(now - sentMs);
-        mParts.log()
+        long now = mContext.clock().nowMs();
+        mContext.metrics().latency("start").update(now - sentMs);
+        mContext.log()
                 .line("start-order")
                 .with("task", run.task().name())
                 .with("attempt", run.attempt())
                 .with("worker", run.worker().id())
-                .with("outcome", answer.outcome())
+                .with("outcome", response.outcome())
                 .with("tookMs", now - sentMs)
                 .write();
-        if (handleTerminalAnswer(run.worker(), answer)) {
+        if (handleTerminalAnswer(run.worker(), response)) {
             return;
         }
-        mOwner.scheduler().startAnswered(run, answer.outcome(), now);
-        if (answer.outcome() != CommandOutcome.DONE) {
+        mOwner.scheduler().startAnswered(run, response.outcome(), now);
+        if (response.outcome() != CommandOutcome.DONE) {
             mOwner.scheduleDecision();
         }
     }
@@ -139,12 +139,12 @@
      * Handles an answer that ends the owner's work or the worker's incarnation; returns whether it
      * did.
      */
-    private boolean handleTerminalAnswer(WorkerState worker, CommandResponse answer) {
-        if (answer.outcome() == CommandOutcome.FENCED) {
+    private boolean handleTerminalAnswer(WorkerState worker, CommandResponse response) {
+        if (response.outcome() == CommandOutcome.FENCED) {
             mOwner.handleFenced(worker.id());
             return true;
         }
-        if (answer.outcome() == CommandOutcome.OTHER_LIFE) {
+        if (response.outcome() == CommandOutcome.OTHER_LIFE) {
             mOwner.handleWorkerEnded(worker, "another incarnation answered");
             return true;
         }
@@ -152,17 +152,17 @@
     }
 
     private void stop(TaskRun run) {
-        mParts.metrics().counter("stops").inc();
-        mParts.platform()
-                .orders()
+        mContext.metrics().counter("stops").inc();
+        mContext.platform()
+                .workerClient()
                 .stop(
                         run.worker().address(),
-                        runOrder(run),
+                        runCommand(run),
                         a -> {
                             if (mOwner.hasEnded()) {
                                 return;
                             }
-                            mParts.log()
+                            mContext.log()
                                     .line("stop-order")
                                     .with("task", run.task().name())
                                     .with("attempt", run.attempt())
@@ -171,7 +171,7 @@
                                     .with("outcome", a.outcome())
                                     .write();
                             if (!handleTerminalAnswer(run.worker(), a)) {
-                                long now = mParts.clock().nowMs();
+                                long now = mContext.clock().nowMs();
                                 mOwner.scheduler().stopAnswered(run, a.outcome(), now);
                             }
                         });
@@ -179,46 +179,46 @@
 
     private void pace(Decisions.Pace pace) {
         TaskRun run = pace.run();
-        mParts.metrics().counter("paces").inc();
-        mParts.log()
+        mContext.metrics().counter("paces").inc();
+        mContext.log()
                 .line("pace-order")
                 .with("task", run.task().name())
                 .with("percent", pace.percent())
                 .write();
-        mParts.platform()
-                .orders()
+        mContext.platform()
+                .workerClient()
                 .throttle(
                         run.worker().address(),
-                        runOrder(run),
+                        runCommand(run),
                         pace.percent(),
                         a -> handleTerminalAnswer(run.worker(), a));
     }
 
-    private void ask(Decisions.AdviceRequest ask) {
-        mParts.metrics().counter("asks").inc();
-        mParts.platform()
+    private void ask(Decisions.AdviceRequest request) {
+        mContext.metrics().counter("asks").inc();
+        mContext.platform()
                 .advice()
                 .ask(
-                        ask.job(),
-                        ask.runNumber(),
-                        ask.step().number(),
-                        ask.workers(),
+                        request.job(),
+                        request.runNumber(),
+                        request.step().number(),
+                        request.workers(),
                         a -> {
-                            mParts.log()
+                            mContext.log()
                                     .line("advice")
-                                    .with("job", ask.job())
-                                    .with("step", ask.step().number())
-                                    .with("asked", ask.workers().size())
+                                    .with("job", request.job())
+                                    .with("step", request.step().number())
+                                    .with("asked", request.workers().size())
                                     .with("answered", a.answered())
                                     .with("allowed", a.tickets().size())
                                     .write();
-                            long now = mParts.clock().nowMs();
-                            mOwner.scheduler().adviceAnswered(ask, a, now);
+                            long now = mContext.clock().nowMs();
+                            mOwner.scheduler().adviceAnswered(request, a, now);
                             mOwner.scheduleDecision();
                         });
     }
 
-    private RunCommand runOrder(TaskRun run) {
+    private RunCommand runCommand(TaskRun run) {
         return new RunCommand(run.task().name(), run.attempt(), mToken);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalRefresher.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/JournalRefresher.java
@@ -23,19 +23,19 @@
     private static final int MAX_JOBS_PER_CHECK = 50;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final Clock mClock;
     private long mWavesRewrittenMs;
 
-    JournalRefresher(OwnerSession owner, OwnerContext parts) {
+    JournalRefresher(OwnerSession owner, OwnerContext context) {
         mOwner = owner;
-        mParts = parts;
-        mClock = parts.clock();
+        mContext = context;
+        mClock = context.clock();
         mWavesRewrittenMs = mClock.nowMs();
     }
 
     void start() {
-        mParts.timers().after(CHECK_INTERVAL_MS, this::check);
+        mContext.timers().after(CHECK_INTERVAL_MS, this::check);
     }
 
     private void check() {
@@ -43,18 +43,18 @@
             return;
         }
         start();
-        long age = mParts.settings().journal().retentionMs() / REWRITES_PER_RETENTION;
+        long age = mContext.settings().journal().retentionMs() / REWRITES_PER_RETENTION;
         rewriteJobs(age);
         if (mClock.nowMs() - mWavesRewrittenMs > age) {
             mWavesRewrittenMs = mClock.nowMs();
-            mParts.reader().book().snapshotWaves().forEach(this::store);
+            mContext.reader().registry().snapshotWaves().forEach(this::store);
         }
     }
 
     private void rewriteJobs(long ageMs) {
         int rewritten = 0;
         long now = mClock.wallMs();
-        for (JobProgress job : mParts.reader().book().jobs()) {
+        for (JobProgress job : mContext.reader().registry().jobs()) {
             if (rewritten < MAX_JOBS_PER_CHECK && now - job.snapshotMs() > ageMs) {
                 store(job.snapshot(now));
                 if (job.hasStarted()) {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLogger.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/LoadLogger.java
@@ -8,11 +8,11 @@
     private static final long LOG_INTERVAL_MS = 2000;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
 
-    LoadLogger(OwnerSession owner, OwnerContext parts) {
+    LoadLogger(OwnerSession owner, OwnerContext context) {
         mOwner = owner;
-        mParts = parts;
+        mContext = context;
     }
 
     /** Writes the load now and periodically until the owner's work ends. */
@@ -20,17 +20,17 @@
         if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(LOG_INTERVAL_MS, this::start);
-        mParts.operator().config().ifPresent(this::write);
+        mContext.timers().after(LOG_INTERVAL_MS, this::start);
+        mContext.operator().config().ifPresent(this::write);
     }
 
     private void write(FleetConfig config) {
-        long now = mParts.clock().nowMs();
-        mOwner.scheduler().loads(config, now, mParts.clock().wallMs()).forEach(this::write);
+        long now = mContext.clock().nowMs();
+        mOwner.scheduler().loads(config, now, mContext.clock().wallMs()).forEach(this::write);
     }
 
     private void write(PoolLoad load) {
-        mParts.log()
+        mContext.log()
                 .line("load")
                 .with("service", load.service())
                 .with("workers", load.workers())
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerContext.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerContext.java
@@ -30,7 +30,7 @@
     /** Platform ports that only an owner uses. */
     public record Platform(
             ChangeFeed<WorkerInfo> directory,
-            WorkerClient orders,
+            WorkerClient workerClient,
             VmClient vms,
             PlacementAdvisor advice,
             WavePublisher waves) {}
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerElection.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerElection.java
@@ -29,8 +29,8 @@
  * Decides when this node tries to become the owner, and takes ownership by a conditional append.
  *
  * <p>An owner whose journal records stop arriving is replaced. Timeouts only decide when to try:
- * the conditional append succeeds for exactly one node at an offset, and workers accept orders only
- * with the highest token they have seen.
+ * the conditional append succeeds for exactly one node at an offset, and workers accept commands
+ * only with the highest token they have seen.
  */
 public final class OwnerElection {
     /** Assumed age of a record read at startup, in milliseconds: one heartbeat interval. */
@@ -74,10 +74,10 @@
     private final Timers mTimers;
     private final NodeLog mNodeLog;
     private final OwnerRecord mSelf;
-    private final OwnerMonitor mOwnerStatus;
+    private final OwnerMonitor mOwnerMonitor;
     private final VmClient mVmService;
     private final Consumer<Takeover> mOnTakeover;
-    private final long mYieldMs;
+    private final long mTakeOverDelayMs;
 
     private long mJitterMs;
     private long mLastActivityMs;
@@ -91,9 +91,9 @@
      */
     private long mForeignEnd;
 
-    private boolean mOwnerLeft;
+    private boolean mOwnerResigned;
     private long mReplaceableSinceMs = Long.MAX_VALUE;
-    private Optional<OwnerResigned> mLastLeft = Optional.empty();
+    private Optional<OwnerResigned> mLastResigned = Optional.empty();
     private Optional<OwnerHeartbeat> mLastAlive = Optional.empty();
     private boolean mAttemptInProgress;
     private boolean mIsOwner;
@@ -109,7 +109,7 @@
             String node,
             String address,
             LinkRate link,
-            OwnerMonitor ownerStatus,
+            OwnerMonitor ownerMonitor,
             VmClient vmService,
             Consumer<Takeover> onTakeover) {
         mSharedLog = sharedLog;
@@ -119,17 +119,17 @@
         mNodeLog = nodeLog;
         String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
         mSelf = new OwnerRecord(node, address, incarnation);
-        mOwnerStatus = ownerStatus;
+        mOwnerMonitor = ownerMonitor;
         mVmService = vmService;
         mOnTakeover = onTakeover;
-        mYieldMs = link.takeOverDelayMs();
+        mTakeOverDelayMs = link.takeOverDelayMs();
         mJitterMs = ThreadLocalRandom.current().nextLong(MAX_JITTER_MS);
         mLastActivityMs = clock.nowMs() - OwnerState.SILENT.takeOverTimeoutMs();
     }
 
     /** Starts monitoring the owner. */
     public void start() {
-        mOwnerStatus.onOwnerUnavailable(this::replaceIfDue);
+        mOwnerMonitor.onOwnerUnavailable(this::replaceIfDue);
         mTimers.after(CHECK_INTERVAL_MS, this::check);
         lookUpOwner();
     }
@@ -161,10 +161,10 @@
     public void applyRecord(JournalRecord record) {
         if (record instanceof OwnerHeartbeat heartbeat && heartbeat.token() >= mLatestToken) {
             handleHeartbeat(heartbeat);
-        } else if (record instanceof OwnerResigned left && left.token() >= mLatestToken) {
-            mLatestToken = left.token();
-            mOwnerLeft = true;
-            mLastLeft = Optional.of(left);
+        } else if (record instanceof OwnerResigned resigned && resigned.token() >= mLatestToken) {
+            mLatestToken = resigned.token();
+            mOwnerResigned = true;
+            mLastResigned = Optional.of(resigned);
         } else if (record instanceof RunsStarted || record instanceof RunsEnded) {
             recordActivity();
         }
@@ -182,9 +182,9 @@
         }
         mLatestToken = heartbeat.token();
         mLastAlive = Optional.of(heartbeat);
-        mOwnerLeft = false;
+        mOwnerResigned = false;
         recordActivity();
-        mOwnerStatus.setOwner(mIsOwner ? Optional.empty() : owner);
+        mOwnerMonitor.setOwner(mIsOwner ? Optional.empty() : owner);
     }
 
     /**
@@ -216,7 +216,7 @@
 
     private void check() {
         mTimers.after(CHECK_INTERVAL_MS, this::check);
-        mOwnerStatus.checkSilence();
+        mOwnerMonitor.checkSilence();
         long readMs = mReader.lastReadMs();
         if (readMs - mLastReadMs > MAX_READ_GAP_MS) {
             // While the journal could not be read, the owner's heartbeats could not be seen
@@ -238,9 +238,9 @@
     /** Whether the owner can be replaced and nodes with wider links have had time to do so. */
     private boolean isReplaceable() {
         long now = mClock.nowMs();
-        boolean replaceable = mOwnerLeft || now - lastActivityMs() >= timeoutMs() + mJitterMs;
+        boolean replaceable = mOwnerResigned || now - lastActivityMs() >= timeoutMs() + mJitterMs;
         mReplaceableSinceMs = replaceable ? Math.min(mReplaceableSinceMs, now) : Long.MAX_VALUE;
-        return replaceable && now - mReplaceableSinceMs >= mYieldMs;
+        return replaceable && now - mReplaceableSinceMs >= mTakeOverDelayMs;
     }
 
     /**
@@ -248,11 +248,11 @@
      * stream.
      */
     private long lastActivityMs() {
-        return Math.max(mLastActivityMs, mOwnerStatus.lastStoredMs());
+        return Math.max(mLastActivityMs, mOwnerMonitor.lastStoredMs());
     }
 
     private long timeoutMs() {
-        OwnerState state = mOwnerStatus.state(mLatestToken);
+        OwnerState state = mOwnerMonitor.state(mLatestToken);
         long storeDelayMs =
                 state == OwnerState.GONE ? 0 : STORE_LATENCY_FACTOR * mReader.latencyMs();
         return state.takeOverTimeoutMs() + storeDelayMs;
@@ -333,7 +333,7 @@
             mNodeLog.line("owner-sign-unreadable").with("token", token).write();
             mLatestToken = end;
             mForeignEnd = end;
-            mOwnerLeft = false;
+            mOwnerResigned = false;
             mLastActivityMs = mClock.nowMs();
         }
     }
@@ -373,9 +373,9 @@
             // With a slow store the new owner's first heartbeat is late; its stream is available
             // now.
             mLatestToken = token;
-            mOwnerLeft = false;
+            mOwnerResigned = false;
             mLastActivityMs = mClock.nowMs();
-            mOwnerStatus.setOwner(owner);
+            mOwnerMonitor.setOwner(owner);
         }
     }
 
@@ -393,33 +393,35 @@
     }
 
     /**
-     * Whether no earlier owner can have a call to the VM service in flight. An owner that left says
-     * so in its last record; one whose process ended or that was replaced says so if it could be
-     * reached. The latter covers only its own calls, so it must have owned for longer than a lease
-     * of its predecessor could last. The tokens must be consecutive, because an owner in between
-     * may have left no record in the journal.
+     * Whether no earlier owner can have a call to the VM service in flight. An owner that resigned
+     * says so in its last record; one whose process ended or that was replaced says so if it could
+     * be reached. The latter covers only its own calls, so it must have owned for longer than a
+     * lease of its predecessor could last. The tokens must be consecutive, because an owner in
+     * between may have left no record in the journal.
      */
     private boolean arePredecessorCallsFinished(long token) {
         long predecessor = token - 1;
         boolean isFirst = predecessor == 0;
-        boolean hasLeft =
-                mLastLeft.map(l -> l.token() == predecessor && l.vmCallsFinished()).orElse(false);
+        boolean hasResigned =
+                mLastResigned
+                        .map(l -> l.token() == predecessor && l.vmCallsFinished())
+                        .orElse(false);
         boolean ownedLongEnough = hasOwnedFor(predecessor, CallLease.WAIT_MS);
         return isFirst
-                || hasLeft
-                || ownedLongEnough && mOwnerStatus.areVmCallsFinished(predecessor);
+                || hasResigned
+                || ownedLongEnough && mOwnerMonitor.areVmCallsFinished(predecessor);
     }
 
     /**
-     * Whether no earlier owner still renews worker leases. An owner that left or whose process
+     * Whether no earlier owner still renews worker leases. An owner that resigned or whose process
      * ended renews none, but it must have owned for longer than its own predecessor could go on
      * renewing.
      */
     private boolean areRenewalsFinished(long token) {
         long predecessor = token - 1;
         boolean isFirst = predecessor == 0;
-        boolean hasLeft = mLastLeft.map(l -> l.token() == predecessor).orElse(false);
-        boolean hasEnded = hasLeft || mOwnerStatus.areVmCallsFinished(predecessor);
+        boolean hasResigned = mLastResigned.map(l -> l.token() == predecessor).orElse(false);
+        boolean hasEnded = hasResigned || mOwnerMonitor.areVmCallsFinished(predecessor);
         return isFirst || hasEnded && hasOwnedFor(predecessor, RenewalWindow.WAIT_MS);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerJournal.java
@@ -31,7 +31,7 @@
     /** Delay before rejected records are sent again, in milliseconds. */
     private static final long RETRY_DELAY_MS = 100;
 
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final Runnable mOnFenced;
     private final Deque<PendingRecord> mQueue = new ArrayDeque<>();
     private final List<PartitionWriter> mWriters = new ArrayList<>();
@@ -41,13 +41,13 @@
     private boolean mClosed;
     private Consumer<Moment> mStoredListener = sent -> {};
 
-    OwnerJournal(OwnerContext parts, long token, Runnable onFenced) {
-        mParts = parts;
+    OwnerJournal(OwnerContext context, long token, Runnable onFenced) {
+        mContext = context;
         mOnFenced = onFenced;
-        mLastStoredMs = parts.clock().nowMs();
+        mLastStoredMs = context.clock().nowMs();
         WriterListener listener = new WriterListener();
-        for (LogPartition p : parts.settings().journal().partitions()) {
-            mWriters.add(new PartitionWriter(parts, p, token, listener));
+        for (LogPartition p : context.settings().journal().partitions()) {
+            mWriters.add(new PartitionWriter(context, p, token, listener));
         }
     }
 
@@ -64,30 +64,30 @@
      * Raises the epoch in all partitions, so that earlier owners can't write, then runs {@code
      * then}.
      */
-    void raiseEpoch(Runnable then) {
-        mWriters.forEach(w -> w.raiseEpoch(() -> runIfEpochRaisedEverywhere(then)));
+    void raiseEpoch(Runnable callback) {
+        mWriters.forEach(w -> w.raiseEpoch(() -> runIfEpochRaisedEverywhere(callback)));
     }
 
-    private void runIfEpochRaisedEverywhere(Runnable then) {
+    private void runIfEpochRaisedEverywhere(Runnable callback) {
         if (mWriters.stream().allMatch(PartitionWriter::isEpochRaised)) {
-            then.run();
+            callback.run();
         }
     }
 
     /** Stores a record of the owner itself, retrying until it succeeds or the journal is closed. */
     void store(JournalRecord record, Runnable stored) {
-        Consumer<StoreOutcome> then =
+        Consumer<StoreOutcome> callback =
                 o -> {
                     if (o == StoreOutcome.STORED) {
                         stored.run();
                     }
                 };
-        enqueue(new PendingRecord(JournalCodec.encode(record), false, then));
+        enqueue(new PendingRecord(JournalCodec.encode(record), false, callback));
     }
 
     /** Stores a record handed over by another node; fails fast if all partitions reject it. */
-    void storeHandedOver(byte[] record, Consumer<StoreOutcome> then) {
-        enqueue(new PendingRecord(record, true, then));
+    void storeHandedOver(byte[] record, Consumer<StoreOutcome> callback) {
+        enqueue(new PendingRecord(record, true, callback));
     }
 
     private void enqueue(PendingRecord record) {
@@ -125,7 +125,7 @@
 
     /** Time since the store last accepted a record, in milliseconds. */
     long storedMsAgo() {
-        return mParts.clock().nowMs() - mLastStoredMs;
+        return mContext.clock().nowMs() - mLastStoredMs;
     }
 
     /** Whether records are waiting to be sent. */
@@ -165,7 +165,7 @@
     private final class WriterListener implements PartitionWriter.Listener {
         @Override
         public void stored(List<PendingRecord> records, Moment firstSent) {
-            mLastStoredMs = mParts.clock().nowMs();
+            mLastStoredMs = mContext.clock().nowMs();
             mStoredListener.accept(firstSent);
             records.forEach(r -> r.complete(StoreOutcome.STORED));
             sendPending();
@@ -221,7 +221,7 @@
     /** Delays the next append after all partitions refused. */
     private void pause() {
         mPaused = true;
-        mParts.timers()
+        mContext.timers()
                 .after(
                         RETRY_DELAY_MS,
                         () -> {
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerSession.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/OwnerSession.java
@@ -40,7 +40,7 @@
     /** Delay before a failed journal read of the takeover is retried, in milliseconds. */
     private static final long READ_RETRY_DELAY_MS = 150;
 
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final Clock mClock;
     private final long mToken;
     private final Takeover mTakeover;
@@ -48,7 +48,7 @@
     private final Runnable mOnFenced;
     private final Scheduler mScheduler;
     private final OwnerJournal mJournal;
-    private final OrderSender mSender;
+    private final CommandSender mSender;
     private final VmCoordinator mVmCoordinator;
     private final WorkerDirectoryFollower mDirectory;
 
@@ -60,19 +60,20 @@
     private boolean mRenewalsAllowed = true;
 
     /** Creates a new owner; {@code onFenced} runs when a later owner has taken over. */
-    public OwnerSession(OwnerContext parts, Takeover takeover, Runnable onFenced) {
-        mParts = parts;
-        mClock = parts.clock();
+    public OwnerSession(OwnerContext context, Takeover takeover, Runnable onFenced) {
+        mContext = context;
+        mClock = context.clock();
         mToken = takeover.token();
         mTakeover = takeover;
         mOnFenced = onFenced;
-        mLease = new OwnerLease(mClock, parts.settings().vmTokensChecked());
-        mScheduler = new Scheduler(parts.settings().schedule());
-        mJournal = new OwnerJournal(parts, mToken, () -> handleFenced("the journal"));
-        mSender = new OrderSender(this, parts, mToken);
-        mDirectory = new WorkerDirectoryFollower(this, parts, mToken);
+        mLease = new OwnerLease(mClock, context.settings().vmTokensChecked());
+        mScheduler = new Scheduler(context.settings().schedule());
+        mJournal = new OwnerJournal(context, mToken, () -> handleFenced("the journal"));
+        mSender = new CommandSender(this, context, mToken);
+        mDirectory = new WorkerDirectoryFollower(this, context, mToken);
         mVmCoordinator =
-                new VmCoordinator(this, parts, new Holder(parts.settings().name(), mToken, mLease));
+                new VmCoordinator(
+                        this, context, new Holder(context.settings().name(), mToken, mLease));
     }
 
     /**
@@ -80,16 +81,16 @@
      * every worker.
      *
      * <p>The first heartbeat is written before the reads, which on a slow store take longer than
-     * other nodes' timeouts; otherwise owners would replace each other before the first order.
+     * other nodes' timeouts; otherwise owners would replace each other before the first command.
      */
     public void start() {
-        mParts.log()
+        mContext.log()
                 .line("owner-start")
                 .with("token", mToken)
                 .with("predecessorOver", mTakeover.predecessorCallsFinished())
                 .with("renewalsOver", mTakeover.renewalsFinished())
                 .write();
-        mParts.reader().setLongPolling(true);
+        mContext.reader().setLongPolling(true);
         mJournal.setStoredListener(mLease::appendStored);
         mJournal.raiseEpoch(
                 () -> {
@@ -106,7 +107,7 @@
      * that are missing from the list.
      */
     private void listVms() {
-        mParts.platform()
+        mContext.platform()
                 .vms()
                 .list(
                         vms -> {
@@ -116,14 +117,14 @@
     }
 
     private void readJournal() {
-        mParts.reader()
+        mContext.reader()
                 .refresh(
                         read -> {
                             mJournalRead = read;
                             if (read) {
                                 takeOverIfReady();
                             } else if (!mEnded) {
-                                mParts.timers().after(READ_RETRY_DELAY_MS, this::readJournal);
+                                mContext.timers().after(READ_RETRY_DELAY_MS, this::readJournal);
                             }
                         });
     }
@@ -139,27 +140,27 @@
         mLoaded = true;
         mDirectory.applyInitial();
         // Without a complete VM list a worker that is not in the directory may still run tasks.
-        ListedIncarnations lives = new ListedIncarnations(vms);
+        ListedIncarnations incarnations = new ListedIncarnations(vms);
         long now = mClock.nowMs();
         if (!mTakeover.renewalsFinished()) {
             mScheduler.renewedByOthersUntil(now + RenewalWindow.WAIT_MS);
         }
-        for (JobProgress job : mParts.reader().book().jobs()) {
-            mScheduler.addInheritedJob(job, w -> hasIncarnationEnded(w, lives), now);
+        for (JobProgress job : mContext.reader().registry().jobs()) {
+            mScheduler.addInheritedJob(job, w -> hasIncarnationEnded(w, incarnations), now);
         }
-        mParts.log()
+        mContext.log()
                 .line("owner-loaded")
                 .with("token", mToken)
                 .with("workers", mScheduler.workers().size())
                 .with(
                         "inheritedRuns",
                         mScheduler.workers().stream().mapToInt(w -> w.runs().size()).sum())
-                .with("journal", mParts.reader().position())
+                .with("journal", mContext.reader().position())
                 .write();
         mDirectory.follow();
-        new LoadLogger(this, mParts).start();
+        new LoadLogger(this, mContext).start();
         mVmCoordinator.start();
-        new JournalRefresher(this, mParts).start();
+        new JournalRefresher(this, mContext).start();
         tick();
     }
 
@@ -167,9 +168,9 @@
      * Whether a worker's incarnation has certainly ended at the takeover. One that is in the
      * directory may have joined before its VM is listed with it, so it is left to later lists.
      */
-    private boolean hasIncarnationEnded(String worker, ListedIncarnations lives) {
+    private boolean hasIncarnationEnded(String worker, ListedIncarnations incarnations) {
         boolean listed = mScheduler.worker(worker).map(WorkerState::isListed).orElse(false);
-        return !listed && lives.hasEnded(worker);
+        return !listed && incarnations.hasEnded(worker);
     }
 
     /** Whether this is still the owner and has applied the journal as of its takeover. */
@@ -187,16 +188,16 @@
 
     /** Whether a lease granted now would have its full length. */
     boolean canGrantFullLease() {
-        return workerLeaseMs() == mParts.settings().schedule().leaseMs();
+        return workerLeaseMs() == mContext.settings().schedule().leaseMs();
     }
 
     /** Length of a worker lease that this owner may grant now, in milliseconds; 0 for none. */
     long workerLeaseMs() {
-        long leaseMs = mLease.workerLeaseMs(mParts.settings().schedule().leaseMs());
+        long leaseMs = mLease.workerLeaseMs(mContext.settings().schedule().leaseMs());
         boolean allowed = leaseMs > 0;
         if (allowed != mRenewalsAllowed) {
             mRenewalsAllowed = allowed;
-            mParts.log().line("renewals").with("token", mToken).with("open", allowed).write();
+            mContext.log().line("renewals").with("token", mToken).with("open", allowed).write();
         }
         return leaseMs;
     }
@@ -205,7 +206,7 @@
     void handleWorkerEnded(WorkerState worker, String reason) {
         mDirectory.stopPolling(worker.id());
         List<TaskRun> ended = mScheduler.removeWorker(worker.id());
-        mParts.log()
+        mContext.log()
                 .line("worker-over")
                 .with("worker", worker.id())
                 .with("why", reason)
@@ -220,7 +221,7 @@
      */
     private void handleWorkerDropped(WorkerState worker) {
         mDirectory.stopPolling(worker.id());
-        mParts.log().line("worker-forgotten").with("worker", worker.id()).write();
+        mContext.log().line("worker-forgotten").with("worker", worker.id()).write();
     }
 
     /** Ends this owner's work: a worker or VM call was rejected because a later owner exists. */
@@ -228,7 +229,7 @@
         if (mEnded) {
             return;
         }
-        mParts.log().line("owner-fenced").with("token", mToken).with("by", rejectedBy).write();
+        mContext.log().line("owner-fenced").with("token", mToken).with("by", rejectedBy).write();
         end();
         mJournal.close();
         mOnFenced.run();
@@ -239,25 +240,25 @@
         return mEnded && !mVmCoordinator.hasCallsInFlight();
     }
 
-    /** Stops deciding and sending orders. */
+    /** Stops deciding and sending commands. */
     public void end() {
         mEnded = true;
-        mParts.reader().setLongPolling(false);
+        mContext.reader().setLongPolling(false);
     }
 
     /** Stores a record handed over by another node. */
-    public void storeHandedOver(byte[] record, Consumer<StoreOutcome> then) {
-        mJournal.storeHandedOver(record, then);
+    public void storeHandedOver(byte[] record, Consumer<StoreOutcome> callback) {
+        mJournal.storeHandedOver(record, callback);
     }
 
     @Override
     public JournalPosition position() {
-        return mParts.reader().position();
+        return mContext.reader().position();
     }
 
     @Override
     public long completeMs() {
-        return mParts.reader().completeMs();
+        return mContext.reader().completeMs();
     }
 
     @Override
@@ -265,14 +266,14 @@
         return mJournal.storedMsAgo();
     }
 
-    /** Steps down; {@code left} runs when the journal has the owner's last record. */
-    public void resign(Runnable left) {
+    /** Resigns ownership; {@code onResigned} runs when the journal has the owner's last record. */
+    public void resign(Runnable onResigned) {
         end();
-        String node = mParts.settings().name();
-        mParts.log().line("owner-leaves").with("token", mToken).write();
+        String node = mContext.settings().name();
+        mContext.log().line("owner-leaves").with("token", mToken).write();
         boolean callsFinished =
                 mLease.arePredecessorCallsFinished() && !mVmCoordinator.hasCallsInFlight();
-        mJournal.storeLast(new OwnerResigned(mToken, node, callsFinished), left);
+        mJournal.storeLast(new OwnerResigned(mToken, node, callsFinished), onResigned);
     }
 
     /** Applies a record read from the journal. */
@@ -300,7 +301,7 @@
     void scheduleDecision() {
         if (!mDecisionScheduled && mLoaded && !mEnded) {
             mDecisionScheduled = true;
-            mParts.timers().after(DECISION_DELAY_MS, this::decide);
+            mContext.timers().after(DECISION_DELAY_MS, this::decide);
         }
     }
 
@@ -308,10 +309,10 @@
         if (mEnded) {
             return;
         }
-        mParts.timers().after(TICK_INTERVAL_MS, this::tick);
+        mContext.timers().after(TICK_INTERVAL_MS, this::tick);
         if (OwnerReachability.isCutOff(
                 mScheduler.workers(), mVmCoordinator.lastAnswerMs(), mClock.nowMs())) {
-            mParts.log().line("owner-cut-off").with("token", mToken).write();
+            mContext.log().line("owner-cut-off").with("token", mToken).write();
             resign(() -> {});
             mOnFenced.run();
             return;
@@ -331,7 +332,7 @@
         }
         long now = mClock.nowMs();
         for (TaskRun r : mScheduler.removeExpiredRuns(now)) {
-            mParts.log()
+            mContext.log()
                     .line("run-lapsed")
                     .with("task", r.task().name())
                     .with("attempt", r.attempt())
@@ -342,7 +343,7 @@
                     .write();
         }
         mScheduler.removeStaleWorkers().forEach(this::handleWorkerDropped);
-        Optional<FleetConfig> config = mParts.operator().config();
+        Optional<FleetConfig> config = mContext.operator().config();
         if (config.isPresent()) {
             Decisions decisions = mScheduler.decide(config.get(), now, mClock.wallMs());
             mSender.send(decisions);
@@ -357,8 +358,8 @@
         if (mEnded) {
             return;
         }
-        String address = mParts.settings().peerAddress();
+        String address = mContext.settings().peerAddress();
         mJournal.store(new OwnerHeartbeat(mToken, address, mLease.ownedMs()), () -> {});
-        mParts.timers().after(HEARTBEAT_INTERVAL_MS, this::writeHeartbeat);
+        mContext.timers().after(HEARTBEAT_INTERVAL_MS, this::writeHeartbeat);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/PartitionWriter.java
@@ -35,7 +35,7 @@
     /** How often a failing partition is probed with an empty append, in milliseconds. */
     private static final long PROBE_INTERVAL_MS = 300;
 
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final LogPartition mPartition;
     private final long mToken;
     private final Listener mListener;
@@ -62,16 +62,16 @@
         void fenced();
     }
 
-    PartitionWriter(OwnerContext parts, LogPartition partition, long token, Listener listener) {
-        mParts = parts;
+    PartitionWriter(OwnerContext context, LogPartition partition, long token, Listener listener) {
+        mContext = context;
         mPartition = partition;
         mToken = token;
         mListener = listener;
     }
 
     /** Raises the epoch in this partition, retrying until it succeeds. */
-    void raiseEpoch(Runnable then) {
-        mOnEpochRaised = Optional.of(then);
+    void raiseEpoch(Runnable callback) {
+        mOnEpochRaised = Optional.of(callback);
         send(List.of());
     }
 
@@ -106,9 +106,9 @@
 
     private void sendWithTimeout(JournalBatch batch) {
         sendOnce(batch);
-        long delayMs = RESEND_DELAY_MS + RESEND_LATENCY_FACTOR * mParts.reader().latencyMs();
-        mParts.timers().after(delayMs, () -> resendIfUnanswered(batch));
-        mParts.timers().after(2 * delayMs, () -> handleTimeout(batch));
+        long delayMs = RESEND_DELAY_MS + RESEND_LATENCY_FACTOR * mContext.reader().latencyMs();
+        mContext.timers().after(delayMs, () -> resendIfUnanswered(batch));
+        mContext.timers().after(2 * delayMs, () -> handleTimeout(batch));
     }
 
     /**
@@ -129,9 +129,10 @@
     }
 
     private void sendOnce(JournalBatch batch) {
-        batch.recordSend(mParts.clock().moment());
+        batch.recordSend(mContext.clock().moment());
         WriterEpoch writer = new WriterEpoch(WRITER, mToken, mSequence);
-        mParts.sharedLog().appendAs(mPartition, writer, batch.bytes(), r -> handleResult(batch, r));
+        mContext.sharedLog()
+                .appendAs(mPartition, writer, batch.bytes(), r -> handleResult(batch, r));
     }
 
     private boolean isInFlight(JournalBatch batch) {
@@ -154,7 +155,7 @@
             handleStored(batch);
             return;
         }
-        mParts.log()
+        mContext.log()
                 .line("owner-append")
                 .with("token", mToken)
                 .with("partition", mPartition.number())
@@ -170,7 +171,7 @@
             handleRejected(batch);
         } else {
             handleUnknown(batch);
-            mParts.timers().after(RETRY_DELAY_MS, () -> retry(batch));
+            mContext.timers().after(RETRY_DELAY_MS, () -> retry(batch));
         }
     }
 
@@ -189,7 +190,7 @@
     private void handleRejected(JournalBatch batch) {
         setFailing(true);
         if (mOnEpochRaised.isPresent()) {
-            mParts.timers().after(RETRY_DELAY_MS, () -> retry(batch));
+            mContext.timers().after(RETRY_DELAY_MS, () -> retry(batch));
             return;
         }
         mInFlight = Optional.empty();
@@ -216,14 +217,14 @@
             return;
         }
         mFailing = failing;
-        mParts.log()
+        mContext.log()
                 .line("journal-partition")
                 .with("token", mToken)
                 .with("partition", mPartition.number())
                 .with("failing", failing)
                 .write();
         if (failing) {
-            mParts.timers().after(PROBE_INTERVAL_MS, this::probe);
+            mContext.timers().after(PROBE_INTERVAL_MS, this::probe);
         }
     }
 
@@ -235,6 +236,6 @@
         if (isIdle()) {
             send(List.of());
         }
-        mParts.timers().after(PROBE_INTERVAL_MS, this::probe);
+        mContext.timers().after(PROBE_INTERVAL_MS, this::probe);
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/ResignationPolicy.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/ResignationPolicy.java
@@ -3,10 +3,10 @@
 import org.foxtailplank.node.LinkRate;
 
 /**
- * Decides when an owner on a narrow (low-bandwidth) link steps down.
+ * Decides when an owner on a narrow (low-bandwidth) link resigns.
  *
  * <p>Such a node can become the owner if others are slow to try. When many jobs become due its link
- * and processor are overloaded, orders and polls time out, and runs are treated as lapsed and
+ * and processor are overloaded, commands and polls time out, and runs are treated as expired and
  * started a second time.
  */
 public final class ResignationPolicy {
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Whether this node, which is the owner, steps down now.
+     * Whether this node, which is the owner, resigns now.
      *
      * @param standbyMs when a follower with an ample link last reported that it could become the
      *     owner
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmCoordinator.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/VmCoordinator.java
@@ -34,7 +34,7 @@
     private static final long DECISION_INTERVAL_MS = 100;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final Clock mClock;
     private final Holder mHolder;
     private final VmPlanner mPlanner;
@@ -47,12 +47,12 @@
     private int mCallsInFlight;
     private boolean mCallsAllowed = true;
 
-    VmCoordinator(OwnerSession owner, OwnerContext parts, Holder holder) {
+    VmCoordinator(OwnerSession owner, OwnerContext context, Holder holder) {
         mOwner = owner;
-        mParts = parts;
-        mClock = parts.clock();
+        mContext = context;
+        mClock = context.clock();
         mHolder = holder;
-        mDeadlines = new WaveDeadlines(parts.reader().book());
+        mDeadlines = new WaveDeadlines(context.reader().registry());
         mPlanner = new VmPlanner(owner.scheduler());
         mLastAnswerMs = mClock.nowMs();
     }
@@ -78,19 +78,19 @@
         if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(WAVE_LOG_INTERVAL_MS, this::logWaves);
+        mContext.timers().after(WAVE_LOG_INTERVAL_MS, this::logWaves);
         long now = mClock.nowMs();
         for (DueWave wave : dueWaves()) {
-            if (!mParts.reader().book().isCompleted(wave.order().number())) {
-                mParts.log()
+            if (!mContext.reader().registry().isCompleted(wave.wave().number())) {
+                mContext.log()
                         .line("wave")
-                        .with("wave", wave.order().number())
+                        .with("wave", wave.wave().number())
                         .with("dueInMs", wave.dueMs() - now)
-                        .with("atOnce", wave.order().maxConcurrent())
+                        .with("atOnce", wave.wave().maxConcurrent())
                         .with(
                                 "left",
                                 mPlanner.describeRemaining(
-                                        wave.order(), mParts.reader().book(), now))
+                                        wave.wave(), mContext.reader().registry(), now))
                         .write();
             }
         }
@@ -101,7 +101,7 @@
             return;
         }
         long askedMs = mClock.nowMs();
-        mParts.platform()
+        mContext.platform()
                 .vms()
                 .list(
                         vms -> {
@@ -109,7 +109,7 @@
                                 mLastAnswerMs = mClock.nowMs();
                             }
                             vms.ifPresent(v -> handleList(v, askedMs));
-                            mParts.timers().after(LIST_INTERVAL_MS, this::list);
+                            mContext.timers().after(LIST_INTERVAL_MS, this::list);
                         });
     }
 
@@ -125,11 +125,11 @@
     private void logChange(VmInfo vm) {
         VmInfo previous = mLastListed.put(vm.id(), vm);
         if (!vm.isReadable() && !vm.equals(previous)) {
-            mParts.log().line("vm-unreadable").with("vm", vm.id()).write();
+            mContext.log().line("vm-unreadable").with("vm", vm.id()).write();
             return;
         }
         if (previous != null && !previous.equals(vm)) {
-            mParts.log()
+            mContext.log()
                     .line("vm")
                     .with("vm", vm.id())
                     .with("pool", vm.pool())
@@ -144,19 +144,19 @@
         if (mOwner.hasEnded()) {
             return;
         }
-        mParts.timers().after(DECISION_INTERVAL_MS, this::decide);
-        Optional<FleetConfig> config = mParts.operator().config();
+        mContext.timers().after(DECISION_INTERVAL_MS, this::decide);
+        Optional<FleetConfig> config = mContext.operator().config();
         if (!mListed || config.isEmpty()) {
             return;
         }
         List<DueWave> waves = dueWaves();
-        waves.forEach(w -> reportRunning(w.order()));
+        waves.forEach(w -> reportRunning(w.wave()));
         writeDeadlines(waves);
         VmPlanner.VmDecisions decisions =
                 mPlanner.decide(
                         config.get(),
                         waves,
-                        mParts.reader().book(),
+                        mContext.reader().registry(),
                         areCallsAllowed(),
                         mClock.nowMs(),
                         mClock.wallMs());
@@ -167,7 +167,7 @@
 
     private List<DueWave> dueWaves() {
         return mDeadlines.withDeadlines(
-                mParts.operator().waves().values(), mClock.nowMs(), mClock.wallMs());
+                mContext.operator().waves().values(), mClock.nowMs(), mClock.wallMs());
     }
 
     private void writeDeadlines(List<DueWave> waves) {
@@ -187,7 +187,7 @@
         boolean allowed = leftMs > 0;
         if (allowed != mCallsAllowed) {
             mCallsAllowed = allowed;
-            mParts.log()
+            mContext.log()
                     .line("vm-calls")
                     .with("token", mHolder.token())
                     .with("open", allowed)
@@ -200,16 +200,16 @@
         mCallsInFlight++;
         String vm = call.vm().id();
         if (call.action() instanceof PlannedVmAction.Move move) {
-            mParts.platform().vms().move(vm, move.pool(), mHolder, o -> handleOutcome(call, o));
+            mContext.platform().vms().move(vm, move.pool(), mHolder, o -> handleOutcome(call, o));
         } else {
             long wave = ((PlannedVmAction.Reboot) call.action()).wave();
-            mParts.platform().vms().reboot(vm, wave, mHolder, o -> handleOutcome(call, o));
+            mContext.platform().vms().reboot(vm, wave, mHolder, o -> handleOutcome(call, o));
         }
     }
 
     private void handleOutcome(Call call, VmOutcome outcome) {
         mCallsInFlight--;
-        mParts.log()
+        mContext.log()
                 .line("vm-action")
                 .with("vm", call.vm().id())
                 .with("action", call.action())
@@ -241,8 +241,8 @@
     }
 
     private void reportCompleted(long wave) {
-        mParts.log().line("wave-completed").with("wave", wave).write();
-        mParts.platform().waves().write(wave, true, r -> handleReportStored(wave, r));
+        mContext.log().line("wave-completed").with("wave", wave).write();
+        mContext.platform().waves().write(wave, true, r -> handleReportStored(wave, r));
     }
 
     private void handleReportStored(long wave, SharedLog.AppendResult result) {
@@ -255,9 +255,9 @@
 
     /** Reports once that a wave is in progress. */
     private void reportRunning(MaintenanceWave wave) {
-        boolean completed = mParts.reader().book().isCompleted(wave.number());
+        boolean completed = mContext.reader().registry().isCompleted(wave.number());
         if (!completed && mReportedRunning.add(wave.number())) {
-            mParts.platform().waves().write(wave.number(), false, r -> {});
+            mContext.platform().waves().write(wave.number(), false, r -> {});
         }
     }
 }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveDeadlines.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WaveDeadlines.java
@@ -10,15 +10,15 @@
 /**
  * Computes the deadlines of waves, shared by successive owners through the journal.
  *
- * <p>An order gives the time that a wave may take but not its start, so a node that was cut off
- * when the order was written would compute too late a deadline. The first owner that sees an order
- * records its deadline in the journal; the earliest one counts.
+ * <p>A wave's entry has its duration but not its start, so a node that was cut off when the entry
+ * was written would compute too late a deadline. The first owner that sees a wave records its
+ * deadline in the journal; the earliest one counts.
  */
 final class WaveDeadlines {
-    private final JobRegistry mBook;
+    private final JobRegistry mRegistry;
 
-    WaveDeadlines(JobRegistry book) {
-        mBook = book;
+    WaveDeadlines(JobRegistry registry) {
+        mRegistry = registry;
     }
 
     /** Returns waves with their deadlines on this process's steady clock. */
@@ -26,10 +26,11 @@
         List<DueWave> result = new ArrayList<>();
         for (DueWave w : waves) {
             long recorded =
-                    mBook.waveDueMs(w.order().number())
+                    mRegistry
+                            .waveDueMs(w.wave().number())
                             .map(d -> nowMs + d - nowWallMs)
                             .orElse(w.dueMs());
-            result.add(new DueWave(w.order(), Math.min(w.dueMs(), recorded)));
+            result.add(new DueWave(w.wave(), Math.min(w.dueMs(), recorded)));
         }
         return result;
     }
@@ -38,8 +39,8 @@
     List<WaveDue> missingRecords(Collection<DueWave> waves, long nowMs, long nowWallMs) {
         List<WaveDue> records = new ArrayList<>();
         for (DueWave w : waves) {
-            long number = w.order().number();
-            if (mBook.waveDueMs(number).isEmpty() && !mBook.isCompleted(number)) {
+            long number = w.wave().number();
+            if (mRegistry.waveDueMs(number).isEmpty() && !mRegistry.isCompleted(number)) {
                 records.add(new WaveDue(number, nowWallMs + w.dueMs() - nowMs));
             }
         }
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerDirectoryFollower.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerDirectoryFollower.java
@@ -27,7 +27,7 @@
     private static final long FAILED_READ_PAUSE_MS = 300;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final Scheduler mScheduler;
     private final long mToken;
     private final Map<String, WorkerPoller> mPollers = new HashMap<>();
@@ -41,24 +41,25 @@
     private Optional<ChangeFeed.Page<WorkerInfo>> mInitialPage = Optional.empty();
     private long mPosition = -1;
 
-    WorkerDirectoryFollower(OwnerSession owner, OwnerContext parts, long token) {
+    WorkerDirectoryFollower(OwnerSession owner, OwnerContext context, long token) {
         mOwner = owner;
-        mParts = parts;
+        mContext = context;
         mScheduler = owner.scheduler();
         mToken = token;
     }
 
-    /** Reads the directory, retrying until it succeeds, then runs {@code then}. */
-    void readInitial(Runnable then) {
-        mParts.platform()
+    /** Reads the directory, retrying until it succeeds, then runs {@code callback}. */
+    void readInitial(Runnable callback) {
+        mContext.platform()
                 .directory()
                 .latest(
                         result -> {
                             if (result instanceof ChangeFeed.Page<WorkerInfo> page) {
                                 mInitialPage = Optional.of(page);
-                                then.run();
+                                callback.run();
                             } else if (!mOwner.hasEnded()) {
-                                mParts.timers().after(READ_RETRY_DELAY_MS, () -> readInitial(then));
+                                mContext.timers()
+                                        .after(READ_RETRY_DELAY_MS, () -> readInitial(callback));
                             }
                         });
     }
@@ -79,9 +80,11 @@
             return;
         }
         if (mPosition < 0) {
-            mParts.platform().directory().latest(this::handleChanges);
+            mContext.platform().directory().latest(this::handleChanges);
         } else {
-            mParts.platform().directory().changes(mPosition, CHANGES_WAIT_MS, this::handleChanges);
+            mContext.platform()
+                    .directory()
+                    .changes(mPosition, CHANGES_WAIT_MS, this::handleChanges);
         }
     }
 
@@ -95,7 +98,7 @@
             mPosition = -1;
         }
         long pause = result instanceof ChangeFeed.Page ? READ_PAUSE_MS : FAILED_READ_PAUSE_MS;
-        mParts.timers().after(pause, this::follow);
+        mContext.timers().after(pause, this::follow);
     }
 
     private void apply(ChangeFeed.Page<WorkerInfo> page) {
@@ -128,7 +131,7 @@
 
     private void unlist(String event, String worker, boolean shouldLog) {
         if (shouldLog) {
-            mParts.log().line(event).with("worker", worker).write();
+            mContext.log().line(event).with("worker", worker).write();
         }
         mScheduler.unlistWorker(worker);
     }
@@ -138,7 +141,7 @@
      * service counts, because leases of running tasks must still be renewed.
      */
     private boolean isConfigured(WorkerInfo worker) {
-        Optional<FleetConfig> config = mParts.operator().config();
+        Optional<FleetConfig> config = mContext.operator().config();
         return config.isEmpty() || config.get().service(worker.service()).isPresent();
     }
 
@@ -155,9 +158,9 @@
         Optional<WorkerState> known = mScheduler.worker(info.id());
         boolean startsDraining =
                 known.map(w -> !w.info().draining()).orElse(true) && info.draining();
-        mScheduler.updateWorker(info, mParts.clock().nowMs());
+        mScheduler.updateWorker(info, mContext.clock().nowMs());
         if (known.isEmpty() || startsDraining) {
-            mParts.log()
+            mContext.log()
                     .line("worker")
                     .with("worker", info.id())
                     .with("service", info.service())
@@ -169,8 +172,8 @@
     }
 
     private WorkerPoller startPoller(WorkerState worker) {
-        WorkerPoller poller = new WorkerPoller(mOwner, mParts, worker, mToken);
-        mParts.timers().after(0, poller::poll);
+        WorkerPoller poller = new WorkerPoller(mOwner, mContext, worker, mToken);
+        mContext.timers().after(0, poller::poll);
         return poller;
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerPoller.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/owner/WorkerPoller.java
@@ -41,15 +41,15 @@
     private static final long UNSTORED_POLL_DELAY_MS = 400;
 
     private final OwnerSession mOwner;
-    private final OwnerContext mParts;
+    private final OwnerContext mContext;
     private final WorkerState mWorker;
     private final long mToken;
     private boolean mStopped;
     private int mPollNumber;
 
-    WorkerPoller(OwnerSession owner, OwnerContext parts, WorkerState worker, long token) {
+    WorkerPoller(OwnerSession owner, OwnerContext context, WorkerState worker, long token) {
         mOwner = owner;
-        mParts = parts;
+        mContext = context;
         mWorker = worker;
         mToken = token;
     }
@@ -59,37 +59,39 @@
         if (mOwner.hasEnded() || mStopped) {
             return;
         }
-        long now = mParts.clock().nowMs();
+        long now = mContext.clock().nowMs();
         long leaseUntil = mWorker.renewLease(now, mOwner.workerLeaseMs());
         boolean canWait =
                 mWorker.hasClock() && !mWorker.isUnresponsive() && !mWorker.hasUnstoredEnds();
         long waitMs = mWorker.runs().isEmpty() ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
         waitMs = mWorker.isMixed() ? MIXED_POLL_WAIT_MS : waitMs;
         waitMs = mWorker.hasStartingStandingRun() ? STARTING_POLL_WAIT_MS : waitMs;
-        PollCommand order =
+        PollCommand command =
                 new PollCommand(mToken, mWorker.storedEnds(), leaseUntil, canWait ? waitMs : 0);
-        mParts.metrics().counter("looks").inc();
-        mParts.platform().orders().poll(mWorker.address(), order, a -> handleAnswer(a, now));
+        mContext.metrics().counter("looks").inc();
+        mContext.platform()
+                .workerClient()
+                .poll(mWorker.address(), command, a -> handleAnswer(a, now));
     }
 
-    private void handleAnswer(PollResponse answer, long sentMs) {
+    private void handleAnswer(PollResponse response, long sentMs) {
         if (mOwner.hasEnded() || mStopped) {
             return;
         }
-        switch (answer.outcome()) {
-            case DONE -> applyAnswer(answer, sentMs);
+        switch (response.outcome()) {
+            case DONE -> applyAnswer(response, sentMs);
             case FENCED -> mOwner.handleFenced(mWorker.id());
             case OTHER_LIFE -> {
                 mStopped = true;
                 mOwner.handleWorkerEnded(mWorker, "another incarnation answered");
             }
-            default -> handleFailure(answer.outcome());
+            default -> handleFailure(response.outcome());
         }
     }
 
     private void handleFailure(CommandOutcome outcome) {
         if (!mWorker.isUnresponsive()) {
-            mParts.log()
+            mContext.log()
                     .line("worker-silent")
                     .with("worker", mWorker.id())
                     .with("outcome", outcome)
@@ -100,22 +102,22 @@
         scheduleNextPoll(RETRY_DELAY_MS);
     }
 
-    private void applyAnswer(PollResponse answer, long sentMs) {
-        long now = mParts.clock().nowMs();
+    private void applyAnswer(PollResponse response, long sentMs) {
+        long now = mContext.clock().nowMs();
         if (mWorker.isUnresponsive()) {
-            mParts.log().line("worker-back").with("worker", mWorker.id()).write();
+            mContext.log().line("worker-back").with("worker", mWorker.id()).write();
         }
-        PollResult effects = mOwner.scheduler().pollAnswered(mWorker, answer, sentMs, now);
-        logEffects(effects);
-        effects.orphans().forEach(this::stopOrphan);
+        PollResult result = mOwner.scheduler().pollAnswered(mWorker, response, sentMs, now);
+        logEffects(result);
+        result.orphans().forEach(this::stopOrphan);
         mOwner.scheduleDecision();
-        if (effects.toStore().isEmpty()) {
+        if (result.toStore().isEmpty()) {
             scheduleNextPoll(mWorker.hasUnstoredEnds() ? UNSTORED_POLL_DELAY_MS : 0);
             return;
         }
         List<EndedRun> ends = new ArrayList<>();
-        for (RunEnd e : effects.toStore()) {
-            ends.add(new EndedRun(e.task(), e.attempt(), e.outcome(), mParts.clock().wallMs()));
+        for (RunEnd e : result.toStore()) {
+            ends.add(new EndedRun(e.task(), e.attempt(), e.outcome(), mContext.clock().wallMs()));
         }
         int pollNumber = mPollNumber;
         mOwner.journal().store(new RunsEnded(ends), () -> handleEndsStored(pollNumber));
@@ -137,7 +139,7 @@
 
     private void scheduleNextPoll(long delayMs) {
         int pollNumber = mPollNumber;
-        mParts.timers()
+        mContext.timers()
                 .after(
                         delayMs,
                         () -> {
@@ -147,19 +149,19 @@
                         });
     }
 
-    private void stopOrphan(RunStatus view) {
-        mParts.log()
+    private void stopOrphan(RunStatus status) {
+        mContext.log()
                 .line("run-unwanted")
-                .with("task", view.task())
+                .with("task", status.task())
                 .with("worker", mWorker.id())
                 .write();
-        RunCommand order = new RunCommand(view.task(), view.attempt(), mToken);
-        mParts.platform().orders().stop(mWorker.address(), order, a -> {});
+        RunCommand command = new RunCommand(status.task(), status.attempt(), mToken);
+        mContext.platform().workerClient().stop(mWorker.address(), command, a -> {});
     }
 
-    private void logEffects(PollResult effects) {
-        for (RunEnd e : effects.toStore()) {
-            mParts.log()
+    private void logEffects(PollResult result) {
+        for (RunEnd e : result.toStore()) {
+            mContext.log()
                     .line("run-ended")
                     .with("task", e.task())
                     .with("attempt", e.attempt())
@@ -167,8 +169,8 @@
                     .with("outcome", e.outcome())
                     .write();
         }
-        for (TaskRun r : effects.lost()) {
-            mParts.log()
+        for (TaskRun r : result.lost()) {
+            mContext.log()
                     .line("run-gone")
                     .with("task", r.task().name())
                     .with("attempt", r.attempt())
