--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/JournalStream.java
@@ -46,7 +46,7 @@
     private long mToken = PeerFrame.NO_OWNER;
     private JournalStatus mJournal = JournalStatus.NONE;
     private long mLastStandbyMs = Long.MIN_VALUE / 2;
-    private BooleanSupplier mCallsOver = () -> true;
+    private BooleanSupplier mVmCallsFinished = () -> true;
 
     private JournalStream(
             Clock clock, Timers timers, LinkRate link, Handover handover, JobQueries jobQueries) {
@@ -170,11 +170,12 @@
      *
      * @param token fencing token of the ownership
      * @param journal journal status that heartbeats report
-     * @param callsOver whether its calls to the VM service are over; reported once it has lost
-     *     ownership
+     * @param vmCallsFinished whether its calls to the VM service are finished; reported once it has
+     *     lost ownership
      */
-    public void ownershipAcquired(long token, JournalStatus journal, BooleanSupplier callsOver) {
-        mCallsOver = callsOver;
+    public void ownershipAcquired(
+            long token, JournalStatus journal, BooleanSupplier vmCallsFinished) {
+        mVmCallsFinished = vmCallsFinished;
         mToken = token;
         mJournal = journal;
         sendHeartbeat(token);
@@ -190,9 +191,9 @@
     /**
      * Adds a record that the owner has read to the current batch.
      *
-     * <p>Batching keeps packets from filling a narrow link and delaying orders to workers. Batches
-     * that exceed the link's budget are dropped; followers detect the gap from the next heartbeat
-     * and read the records from the store.
+     * <p>Batching keeps packets from filling a narrow link and delaying commands to workers.
+     * Batches that exceed the link's budget are dropped; followers detect the gap from the next
+     * heartbeat and read the records from the store.
      */
     public void recordRead(int partition, long offset, byte[] record) {
         if (mToken == PeerFrame.NO_OWNER) {
@@ -226,14 +227,14 @@
     }
 
     private PeerFrame newHeartbeat() {
-        boolean callsOver = mToken == PeerFrame.NO_OWNER && mCallsOver.getAsBoolean();
+        boolean vmCallsFinished = mToken == PeerFrame.NO_OWNER && mVmCallsFinished.getAsBoolean();
         return new PeerFrame.Heartbeat(
                 mToken,
                 mJournal.position(),
                 mClock.nowMs(),
                 mJournal.completeMs(),
                 mJournal.storedMsAgo(),
-                callsOver,
+                vmCallsFinished,
                 mNarrow);
     }
 
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerLink.java
@@ -57,7 +57,7 @@
     private boolean mConnecting;
     private OwnerState mUnavailableState = OwnerState.SILENT;
     private long mUnavailableToken = -1;
-    private long mCallsOverToken = -1;
+    private long mVmCallsFinishedToken = -1;
     private long mLastFrameMs = Long.MIN_VALUE / 2;
     private long mUpToDateMs = Long.MIN_VALUE / 2;
     private long mCompleteMs = Long.MIN_VALUE / 2;
@@ -106,7 +106,7 @@
 
     @Override
     public boolean areVmCallsFinished(long token) {
-        return token == mCallsOverToken && token == mUnavailableToken;
+        return token == mVmCallsFinishedToken && token == mUnavailableToken;
     }
 
     /** Returns whether a frame of the owner arrived within the silence timeout. */
@@ -325,7 +325,8 @@
 
     private void handle(PeerFrame.Heartbeat frame) {
         if (frame.token() == PeerFrame.NO_OWNER) {
-            mCallsOverToken = frame.callsOver() ? mOwner.map(KnownOwner::token).orElse(-1L) : -1;
+            mVmCallsFinishedToken =
+                    frame.vmCallsFinished() ? mOwner.map(KnownOwner::token).orElse(-1L) : -1;
             ownerUnavailable(OwnerState.GONE);
             close();
             mTimers.after(RETRY_MS, this::connect);
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/OwnerState.java
@@ -23,8 +23,8 @@
 
     private final long mTakeOverTimeoutMs;
 
-    OwnerState(long patienceMs) {
-        mTakeOverTimeoutMs = patienceMs;
+    OwnerState(long takeOverTimeoutMs) {
+        mTakeOverTimeoutMs = takeOverTimeoutMs;
     }
 
     /** Returns the age of the owner's last record at which it is replaced, in milliseconds. */
--- a/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
+++ b/foxtail-node/src/main/java/org/foxtailplank/node/peer/PeerFrame.java
@@ -48,8 +48,8 @@
      * @param nowMs when it was sent, on the sender's monotonic clock
      * @param completeMs time up to which the owner has read every record stored, on the same clock
      * @param storedMsAgo how long ago the store last accepted a record of the owner
-     * @param callsOver from a node that doesn't own: whether its process has no call to the VM
-     *     service in flight
+     * @param vmCallsFinished from a node that doesn't own: whether its process has no call to the
+     *     VM service in flight
      * @param narrow from an owner: whether its link is narrow, so that followers able to take over
      *     report it
      */
@@ -59,7 +59,7 @@
             long nowMs,
             long completeMs,
             long storedMsAgo,
-            boolean callsOver,
+            boolean vmCallsFinished,
             boolean narrow)
             implements PeerFrame {
         @Override
@@ -68,7 +68,7 @@
             out.writeInt64(Field.STORED_MS_AGO, storedMsAgo);
             out.writeInt64(Field.NOW_MS, nowMs);
             out.writeInt64(Field.COMPLETE_MS, completeMs);
-            out.writeBool(Field.CALLS_OVER, callsOver);
+            out.writeBool(Field.CALLS_OVER, vmCallsFinished);
             out.writeBool(Field.NARROW, narrow);
             for (long offset : position.offsets()) {
                 out.writeInt64(Field.POSITION, offset);
@@ -247,7 +247,7 @@
         private long mNowMs;
         private long mCompleteMs = JournalStatus.NEVER_MS;
         private long mStoredMsAgo;
-        private boolean mCallsOver;
+        private boolean mVmCallsFinished;
         private boolean mNarrow;
 
         private HeartbeatFields() {}
@@ -258,7 +258,7 @@
                 case Field.NOW_MS -> mNowMs = in.readInt64();
                 case Field.COMPLETE_MS -> mCompleteMs = in.readInt64();
                 case Field.STORED_MS_AGO -> mStoredMsAgo = in.readInt64();
-                case Field.CALLS_OVER -> mCallsOver = in.readBool();
+                case Field.CALLS_OVER -> mVmCallsFinished = in.readBool();
                 case Field.NARROW -> mNarrow = in.readBool();
                 default -> in.skipField(tag);
             }
@@ -267,7 +267,7 @@
         private Heartbeat toHeartbeat(long token) {
             JournalPosition position = new JournalPosition(mPosition);
             return new Heartbeat(
-                    token, position, mNowMs, mCompleteMs, mStoredMsAgo, mCallsOver, mNarrow);
+                    token, position, mNowMs, mCompleteMs, mStoredMsAgo, mVmCallsFinished, mNarrow);
         }
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/BandwidthLimitedLog.java
@@ -32,22 +32,22 @@
     }
 
     @Override
-    public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
-        mLog.read(at, from, page, r -> deliver(r, then));
+    public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> callback) {
+        mLog.read(at, from, page, r -> deliver(r, callback));
         mLog.deliverAnswers();
     }
 
-    private void deliver(ReadResult result, Consumer<ReadResult> then) {
+    private void deliver(ReadResult result, Consumer<ReadResult> callback) {
         long now = mClock.nowMs();
         long bytes = result instanceof Records r ? bytes(r) : 0;
         long arrivalMs = Math.max(now, mLinkFreeMs) + 1 + (long) (bytes / mBytesPerMs);
         if (arrivalMs - now > READ_TIMEOUT_MS) {
-            mClock.after(READ_TIMEOUT_MS, () -> then.accept(new ReadFailed("timeout")));
+            mClock.after(READ_TIMEOUT_MS, () -> callback.accept(new ReadFailed("timeout")));
             return;
         }
         mLinkFreeMs = arrivalMs;
         mTransferredBytes += bytes;
-        mClock.after(arrivalMs - now, () -> then.accept(result));
+        mClock.after(arrivalMs - now, () -> callback.accept(result));
     }
 
     private static long bytes(Records page) {
@@ -55,15 +55,15 @@
     }
 
     @Override
-    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
-        mLog.append(at, records, then);
+    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> callback) {
+        mLog.append(at, records, callback);
         mLog.deliverAnswers();
     }
 
     @Override
     public void appendAt(
-            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> then) {
-        mLog.appendAt(at, expectedEnd, record, then);
+            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> callback) {
+        mLog.appendAt(at, expectedEnd, record, callback);
         mLog.deliverAnswers();
     }
 
@@ -72,8 +72,8 @@
             LogPartition at,
             WriterEpoch writer,
             List<byte[]> records,
-            Consumer<AppendResult> then) {
-        mLog.appendAs(at, writer, records, then);
+            Consumer<AppendResult> callback) {
+        mLog.appendAs(at, writer, records, callback);
         mLog.deliverAnswers();
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeFeed.java
@@ -27,13 +27,13 @@
     }
 
     @Override
-    public void latest(Consumer<Result<T>> then) {
-        then.accept(page());
+    public void latest(Consumer<Result<T>> callback) {
+        callback.accept(page());
     }
 
     @Override
-    public void changes(long position, long waitMs, Consumer<Result<T>> then) {
-        then.accept(page());
+    public void changes(long position, long waitMs, Consumer<Result<T>> callback) {
+        callback.accept(page());
     }
 
     private Page<T> page() {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/FakeSharedLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/FakeSharedLog.java
@@ -86,16 +86,16 @@
     }
 
     @Override
-    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
-        answerLater(at, then, () -> store(at, records));
+    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> callback) {
+        answerLater(at, callback, () -> store(at, records));
     }
 
     @Override
     public void appendAt(
-            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> then) {
+            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> callback) {
         answerLater(
                 at,
-                then,
+                callback,
                 () ->
                         records(at).size() == expectedEnd
                                 ? store(at, List.of(record))
@@ -107,8 +107,8 @@
             LogPartition at,
             WriterEpoch writer,
             List<byte[]> records,
-            Consumer<AppendResult> then) {
-        answerLater(at, then, () -> storeAs(at, writer, records));
+            Consumer<AppendResult> callback) {
+        answerLater(at, callback, () -> storeAs(at, writer, records));
     }
 
     private AppendResult storeAs(LogPartition at, WriterEpoch writer, List<byte[]> records) {
@@ -142,19 +142,19 @@
         AppendResult run();
     }
 
-    private void answerLater(LogPartition at, Consumer<AppendResult> then, Attempt attempt) {
+    private void answerLater(LogPartition at, Consumer<AppendResult> callback, Attempt attempt) {
         if (mUnavailable.contains(at)) {
-            mPendingAnswers.add(() -> then.accept(new NotStored("down")));
+            mPendingAnswers.add(() -> callback.accept(new NotStored("down")));
             return;
         }
-        ScriptedOutcome fate =
+        ScriptedOutcome outcome =
                 mScriptedOutcomes.isEmpty() ? ScriptedOutcome.STORED : mScriptedOutcomes.poll();
-        if (fate == ScriptedOutcome.SILENT) {
+        if (outcome == ScriptedOutcome.SILENT) {
             attempt.run();
             return;
         }
         AppendResult result =
-                switch (fate) {
+                switch (outcome) {
                     case STORED -> attempt.run();
                     case REFUSED -> new NotStored("refused");
                     case LOST -> new MaybeStored("lost");
@@ -168,13 +168,14 @@
                         yield new MaybeStored("answer lost");
                     }
                 };
-        mPendingAnswers.add(() -> then.accept(result));
+        mPendingAnswers.add(() -> callback.accept(result));
     }
 
     @Override
-    public void read(LogPartition at, long from, PageRequest request, Consumer<ReadResult> then) {
+    public void read(
+            LogPartition at, long from, PageRequest request, Consumer<ReadResult> callback) {
         if (mUnavailable.contains(at)) {
-            mPendingAnswers.add(() -> then.accept(new ReadFailed("down")));
+            mPendingAnswers.add(() -> callback.accept(new ReadFailed("down")));
             return;
         }
         List<byte[]> all = records(at);
@@ -191,6 +192,6 @@
         long end = all.size();
         ReadResult result =
                 sent > mMaxAnswerBytes ? new ReadFailed("timeout") : new Records(from, end, page);
-        mPendingAnswers.add(() -> then.accept(result));
+        mPendingAnswers.add(() -> callback.accept(result));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/LinkBudgetTest.java
@@ -25,7 +25,7 @@
         assertTrue(sent >= 9 * 625_000, sent + " bytes");
     }
 
-    /** Guards against an order larger than the burst that is never sent. */
+    /** Guards against a command larger than the burst that is never sent. */
     @Test
     public void theMinimumBurstIsAvailableOnAnyLink() {
         LinkBudget budget = new LinkBudget(VERY_NARROW, SHARE, BURST_MS, LARGE, 0);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/OperatorFollowerTest.java
@@ -19,21 +19,21 @@
     public void anUnreadableConfigurationDoesNotReplaceTheLastOne() {
         // Otherwise callers of every queue would get a 404.
         FakeTime clock = new FakeTime();
-        FakeFeed<OperatorChange> orders = new FakeFeed<>();
+        FakeFeed<OperatorChange> operatorChanges = new FakeFeed<>();
         OperatorFollower operator =
-                new OperatorFollower(orders, clock, clock, NodeLog.silent(clock));
-        orders.put("config", config(7));
+                new OperatorFollower(operatorChanges, clock, clock, NodeLog.silent(clock));
+        operatorChanges.put("config", config(7));
         operator.refresh(read -> {});
-        orders.putUnreadable("config");
-        orders.putUnreadable("wave/2");
-        orders.put(
+        operatorChanges.putUnreadable("config");
+        operatorChanges.putUnreadable("wave/2");
+        operatorChanges.put(
                 "wave/3",
                 new OperatorChange.NewWave(new MaintenanceWave(3, List.of("m"), 9000, 1)));
         operator.refresh(read -> {});
 
         assertEquals(operator.config().get().version(), 7);
         assertEquals(operator.waves().keySet(), Set.of(3L));
-        orders.put("config", config(8));
+        operatorChanges.put("config", config(8));
         operator.refresh(read -> {});
         assertEquals(operator.config().get().version(), 8);
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceFixture.java
@@ -37,9 +37,9 @@
     CallerServiceFixture(
             FakeTime clock,
             SharedLog log,
-            ChangeFeed<OperatorChange> orders,
+            ChangeFeed<OperatorChange> operatorChanges,
             FakeJobQueries ownerQueries) {
-        this(null, clock, clock, log, orders, Optional.of(ownerQueries));
+        this(null, clock, clock, log, operatorChanges, Optional.of(ownerQueries));
     }
 
     /** Creates a service that can connect to an owner on the loopback interface and query it. */
@@ -48,8 +48,8 @@
             Clock clock,
             Timers timers,
             SharedLog log,
-            ChangeFeed<OperatorChange> orders) {
-        this(loop, clock, timers, log, orders, Optional.empty());
+            ChangeFeed<OperatorChange> operatorChanges) {
+        this(loop, clock, timers, log, operatorChanges, Optional.empty());
     }
 
     private CallerServiceFixture(
@@ -57,10 +57,10 @@
             Clock clock,
             Timers timers,
             SharedLog log,
-            ChangeFeed<OperatorChange> orders,
+            ChangeFeed<OperatorChange> operatorChanges,
             Optional<JobQueries> ownerQueries) {
         NodeLog out = NodeLog.silent(clock);
-        mOperator = new OperatorFollower(orders, clock, timers, out);
+        mOperator = new OperatorFollower(operatorChanges, clock, timers, out);
         mReader =
                 new JournalReader(
                         log,
@@ -87,7 +87,7 @@
                                         none,
                                         PlatformTimeouts.DEFAULTS,
                                         clock::nowMs)
-                                .callerBodies(),
+                                .callerCodec(),
                         clock,
                         timers,
                         out,
@@ -102,8 +102,8 @@
         return mLink;
     }
 
-    /** Reads the operator's orders. */
-    void readOperatorOrders() {
+    /** Reads the operator's changes. */
+    void readOperatorChanges() {
         mOperator.refresh(read -> {});
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/CallerServiceTest.java
@@ -44,28 +44,28 @@
     private FakeOperator mOperator;
     private CallerServiceFixture mService;
 
-    /** Operator orders; each read returns the newest configuration. */
+    /** Operator changes; each read returns the newest configuration. */
     private static final class FakeOperator implements ChangeFeed<OperatorChange> {
         private final List<String> mPrefixes = new ArrayList<>();
         private boolean mUnavailable;
 
         @Override
-        public void latest(Consumer<Result<OperatorChange>> then) {
-            changes(0, 0, then);
+        public void latest(Consumer<Result<OperatorChange>> callback) {
+            changes(0, 0, callback);
         }
 
         @Override
-        public void changes(long position, long waitMs, Consumer<Result<OperatorChange>> then) {
+        public void changes(long position, long waitMs, Consumer<Result<OperatorChange>> callback) {
             if (mUnavailable) {
-                then.accept(new Failed<>("unavailable"));
+                callback.accept(new Failed<>("unavailable"));
                 return;
             }
             List<RouteSettings> routes = new ArrayList<>();
-            QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
-            mPrefixes.forEach(p -> routes.add(new RouteSettings(p, "h", p, "s", terms)));
+            QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+            mPrefixes.forEach(p -> routes.add(new RouteSettings(p, "h", p, "s", policy)));
             FleetConfig config = new FleetConfig(mPrefixes.size(), routes, List.of(), 1000);
-            OperatorChange order = new OperatorChange.NewConfig(config);
-            then.accept(new Page<>(List.of(new Item<>("config", Optional.of(order))), 1));
+            OperatorChange change = new OperatorChange.NewConfig(config);
+            callback.accept(new Page<>(List.of(new Item<>("config", Optional.of(change))), 1));
         }
     }
 
@@ -76,7 +76,7 @@
         mOperator = new FakeOperator();
         mOperator.mPrefixes.add("/q/");
         mService = new CallerServiceFixture(mClock, mLog, mOperator, new FakeJobQueries());
-        mService.readOperatorOrders();
+        mService.readOperatorChanges();
     }
 
     private List<HttpReply> send(String method, String path, String body) {
@@ -166,7 +166,7 @@
 
     /** Stores a job as another node would, without reading the journal. */
     private void storeJobFromAnotherNode() {
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
         TaskStep step =
                 new TaskStep(
                         1,
@@ -176,10 +176,11 @@
                         PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
         List<TaskStep> steps = List.of(step);
-        JobDefinition order =
+        JobDefinition definition =
                 new JobDefinition(
-                        JOB, "/q/", "s", "a", steps, Timetable.AT_ONCE, terms, mClock.wallMs());
-        mLog.records(JournalPartitions.PRIMARY).add(JournalCodec.encode(new JobAccepted(order)));
+                        JOB, "/q/", "s", "a", steps, Timetable.AT_ONCE, policy, mClock.wallMs());
+        mLog.records(JournalPartitions.PRIMARY)
+                .add(JournalCodec.encode(new JobAccepted(definition)));
     }
 
     @Test
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/LaggingNodeTest.java
@@ -46,13 +46,13 @@
         mLog = new FakeSharedLog();
         mOwnerQueries = new FakeJobQueries();
         mLink = new BandwidthLimitedLog(mLog, mClock, LINK_BYTES_PER_S);
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
-        RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", terms);
-        FakeFeed<OperatorChange> orders = new FakeFeed<>();
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        RouteSettings queue = new RouteSettings("/q/", "h", "/q/", "s", policy);
+        FakeFeed<OperatorChange> operatorChanges = new FakeFeed<>();
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
-        orders.put("config", new OperatorChange.NewConfig(config));
-        mService = new CallerServiceFixture(mClock, mLink, orders, mOwnerQueries);
-        mService.readOperatorOrders();
+        operatorChanges.put("config", new OperatorChange.NewConfig(config));
+        mService = new CallerServiceFixture(mClock, mLink, operatorChanges, mOwnerQueries);
+        mService.readOperatorChanges();
         mReader = mService.reader();
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/caller/StalePendingCountTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/caller/StalePendingCountTest.java
@@ -63,11 +63,11 @@
         mLoop = (EventLoop) mGroup.next();
         Timers timers = (ms, action) -> mLoop.schedule(action, ms, TimeUnit.MILLISECONDS);
         mLog = new FakeSharedLog();
-        FakeFeed<OperatorChange> orders = new FakeFeed<>();
-        RouteSettings queue = new RouteSettings(QUEUE, "h", QUEUE, "s", terms());
+        FakeFeed<OperatorChange> operatorChanges = new FakeFeed<>();
+        RouteSettings queue = new RouteSettings(QUEUE, "h", QUEUE, "s", policy());
         FleetConfig config = new FleetConfig(1, List.of(queue), List.of(), 1000);
-        orders.put("config", new OperatorChange.NewConfig(config));
-        mService = new CallerServiceFixture(mLoop, mClock, timers, mLog, orders);
+        operatorChanges.put("config", new OperatorChange.NewConfig(config));
+        mService = new CallerServiceFixture(mLoop, mClock, timers, mLog, operatorChanges);
         mOwner =
                 JournalStream.listen(
                         mLoop,
@@ -77,7 +77,7 @@
                         LinkRate.UNKNOWN,
                         new NoHandover(),
                         new FakeJobQueries());
-        run(mService::readOperatorOrders);
+        run(mService::readOperatorChanges);
     }
 
     @AfterMethod
@@ -93,12 +93,12 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            then.accept(StoreOutcome.NOT_STORED);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            callback.accept(StoreOutcome.NOT_STORED);
         }
     }
 
-    private static QueuePolicy terms() {
+    private static QueuePolicy policy() {
         return new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
     }
 
@@ -134,7 +134,7 @@
                         List.of(),
                         PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
-        JobDefinition order =
+        JobDefinition definition =
                 new JobDefinition(
                         id,
                         QUEUE,
@@ -142,9 +142,9 @@
                         "a",
                         List.of(step),
                         Timetable.AT_ONCE,
-                        terms(),
+                        policy(),
                         mClock.wallMs());
-        return JournalCodec.encode(new JobAccepted(order));
+        return JournalCodec.encode(new JobAccepted(definition));
     }
 
     private String pending() throws Exception {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalCodecTest.java
@@ -39,7 +39,7 @@
     private static final EndedRun END = new EndedRun(TASK, 4, RunOutcome.FAILED, 5);
     private static final StartedRun START = new StartedRun(TASK, 4, "w1");
 
-    private static JobDefinition order() {
+    private static JobDefinition definition() {
         TaskStep step =
                 new TaskStep(
                         2,
@@ -57,16 +57,16 @@
                         PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
         List<TaskStep> steps = List.of(earlier, earlier, step);
-        QueuePolicy terms =
+        QueuePolicy policy =
                 new QueuePolicy(1, 3, 1.6, 600, Optional.of(new AdviceTiming(5, 2, 3000)));
-        return new JobDefinition("aa", "q", "s", "text", steps, new Timetable(7, 8, 9), terms, 99);
+        return new JobDefinition("aa", "q", "s", "text", steps, new Timetable(7, 8, 9), policy, 99);
     }
 
     @DataProvider
     public Object[][] records() {
         return new Object[][] {
-            {new JobAccepted(order())},
-            {new JobSnapshot(order(), List.of(START), List.of(END), 77)},
+            {new JobAccepted(definition())},
+            {new JobSnapshot(definition(), List.of(START), List.of(END), 77)},
             {new JobCancelled("aa", 5)},
             {new RunsStarted(List.of(START, START))},
             {new RunsEnded(List.of(END))},
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/JournalWriterTest.java
@@ -51,8 +51,8 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            mHandovers.add(then);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            mHandovers.add(callback);
         }
 
         void answer(StoreOutcome outcome) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/journal/MalformedRecordsTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/journal/MalformedRecordsTest.java
@@ -70,13 +70,13 @@
         return encodeMessage(o -> o.writeBytes(field, ByteString.copyFrom(encodeMessage(fields))));
     }
 
-    private static byte[] accepted(JobDefinition order) {
-        return JournalCodec.encode(new JobAccepted(order));
+    private static byte[] accepted(JobDefinition definition) {
+        return JournalCodec.encode(new JobAccepted(definition));
     }
 
-    private static JobDefinition order(Timetable timetable, TaskStep... steps) {
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
-        return new JobDefinition(JOB, "q", "s", "text", List.of(steps), timetable, terms, 99);
+    private static JobDefinition definition(Timetable timetable, TaskStep... steps) {
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        return new JobDefinition(JOB, "q", "s", "text", List.of(steps), timetable, policy, 99);
     }
 
     private static TaskStep step(int tasks, Integer... dependsOn) {
@@ -89,8 +89,8 @@
                 RunMode.PLAIN);
     }
 
-    private static JobDefinition validOrder() {
-        return order(Timetable.AT_ONCE, step(2), step(3, 0));
+    private static JobDefinition validDefinition() {
+        return definition(Timetable.AT_ONCE, step(2), step(3, 0));
     }
 
     @DataProvider
@@ -114,22 +114,22 @@
             {"deeply nested groups", nestedGroups},
             {"a truncated record", truncated},
             {"a number instead of a message", numberInsteadOfMessage},
-            {"no step", accepted(order(Timetable.AT_ONCE))},
-            {"no task", accepted(order(Timetable.AT_ONCE, step(0)))},
-            {"a negative number of tasks", accepted(order(Timetable.AT_ONCE, step(-1)))},
-            {"too many tasks", accepted(order(Timetable.AT_ONCE, step(HUGE_COUNT), step(9)))},
-            {"a step that depends on itself", accepted(order(Timetable.AT_ONCE, step(1, 0)))},
+            {"no step", accepted(definition(Timetable.AT_ONCE))},
+            {"no task", accepted(definition(Timetable.AT_ONCE, step(0)))},
+            {"a negative number of tasks", accepted(definition(Timetable.AT_ONCE, step(-1)))},
+            {"too many tasks", accepted(definition(Timetable.AT_ONCE, step(HUGE_COUNT), step(9)))},
+            {"a step that depends on itself", accepted(definition(Timetable.AT_ONCE, step(1, 0)))},
             {
                 "a step that depends on a negative step",
-                accepted(order(Timetable.AT_ONCE, step(1), step(1, -1)))
+                accepted(definition(Timetable.AT_ONCE, step(1), step(1, -1)))
             },
             {
                 "a step that depends on a later one",
-                accepted(order(Timetable.AT_ONCE, step(1), step(1, 2)))
+                accepted(definition(Timetable.AT_ONCE, step(1), step(1, 2)))
             },
-            {"no run", accepted(order(new Timetable(1, 1, 0), step(1)))},
-            {"a negative number of runs", accepted(order(new Timetable(1, 1, -3), step(1)))},
-            {"too many runs", accepted(order(new Timetable(1, 1, HUGE_COUNT), step(9)))},
+            {"no run", accepted(definition(new Timetable(1, 1, 0), step(1)))},
+            {"a negative number of runs", accepted(definition(new Timetable(1, 1, -3), step(1)))},
+            {"too many runs", accepted(definition(new Timetable(1, 1, HUGE_COUNT), step(9)))},
         };
     }
 
@@ -153,7 +153,7 @@
             String malformation, byte[] malformed) {
         FakeTime time = new FakeTime();
         FakeSharedLog log = new FakeSharedLog();
-        JobRegistry book = new JobRegistry(120_000);
+        JobRegistry registry = new JobRegistry(120_000);
         List<JournalRecord> applied = new ArrayList<>();
         JournalReader reader =
                 new JournalReader(
@@ -162,10 +162,10 @@
                         time,
                         time,
                         NodeLog.silent(time),
-                        book,
+                        registry,
                         (record, job) -> applied.add(record));
         List<byte[]> records = log.records(JournalPartitions.PRIMARY);
-        records.add(accepted(validOrder()));
+        records.add(accepted(validDefinition()));
         records.add(malformed);
         records.add(new byte[0]);
         records.add(JournalCodec.encode(new RunsStarted(List.of(START))));
@@ -179,8 +179,8 @@
                 applied.size(),
                 3,
                 "the job, its start and its cancellation are applied despite " + malformation);
-        assertEquals(book.jobs().size(), 1);
-        assertTrue(book.job(JOB).get().endedMs() > 0);
+        assertEquals(registry.jobs().size(), 1);
+        assertTrue(registry.job(JOB).get().endedMs() > 0);
     }
 
     @Test
@@ -188,8 +188,8 @@
         // Up to three bytes of each record are overwritten, from a fixed seed.
         List<JournalRecord> valid =
                 List.of(
-                        new JobAccepted(validOrder()),
-                        new JobSnapshot(validOrder(), List.of(START), List.of(END), 0),
+                        new JobAccepted(validDefinition()),
+                        new JobSnapshot(validDefinition(), List.of(START), List.of(END), 0),
                         new JobCancelled(JOB, 5),
                         new RunsStarted(List.of(START, START)),
                         new RunsEnded(List.of(END)),
@@ -213,10 +213,10 @@
 
     /** Applies a record as every node does, and takes snapshots of its jobs as the owner does. */
     private static void apply(Optional<JournalRecord> record) {
-        JobRegistry book = new JobRegistry(120_000);
-        book.apply(new JobAccepted(validOrder()));
-        record.ifPresent(book::apply);
-        for (JobProgress job : book.jobs()) {
+        JobRegistry registry = new JobRegistry(120_000);
+        registry.apply(new JobAccepted(validDefinition()));
+        record.ifPresent(registry::apply);
+        for (JobProgress job : registry.jobs()) {
             job.definition().criticalPathMs();
             job.snapshot(7);
         }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/AcceptExplorationTest.java
@@ -46,10 +46,10 @@
         NEXT_OWNER(null),
         LATE_APPENDS_COMPLETE(null);
 
-        private final ScriptedOutcome mFate;
+        private final ScriptedOutcome mOutcome;
 
-        Step(ScriptedOutcome fate) {
-            mFate = fate;
+        Step(ScriptedOutcome outcome) {
+            mOutcome = outcome;
         }
     }
 
@@ -86,7 +86,7 @@
                 }
                 case NEXT_OWNER -> nextOwner();
                 case LATE_APPENDS_COMPLETE -> mLog.performLateAppends();
-                default -> mLog.scriptAppends(step.mFate);
+                default -> mLog.scriptAppends(step.mOutcome);
             }
             mLog.deliverAnswers();
             mTime.advance(STEP_MS);
@@ -124,13 +124,13 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            mPendingHandovers.add(then);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            mPendingHandovers.add(callback);
             mOwnerJournal.storeHandedOver(
                     record,
                     o -> {
-                        if (mPendingHandovers.remove(then)) {
-                            then.accept(o);
+                        if (mPendingHandovers.remove(callback)) {
+                            callback.accept(o);
                         }
                     });
         }
@@ -165,8 +165,8 @@
 
     private static StoreOutcome run(List<Step> sequence, boolean connected) {
         Simulation simulation = new Simulation(connected);
-        Optional<Step> first = Optional.of(sequence.get(0)).filter(s -> s.mFate != null);
-        first.ifPresent(s -> simulation.mLog.scriptAppends(s.mFate));
+        Optional<Step> first = Optional.of(sequence.get(0)).filter(s -> s.mOutcome != null);
+        first.ifPresent(s -> simulation.mLog.scriptAppends(s.mOutcome));
         simulation.begin();
         sequence.subList(first.isPresent() ? 1 : 0, DEPTH).forEach(simulation::step);
         simulation.end();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/CutOffOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/CutOffOwnerTest.java
@@ -49,7 +49,7 @@
     private FakeSharedLog mLog;
     private FakeWorkers mWorkers;
     private FakeDirectory mDirectory;
-    private List<OwnerContext> mParts;
+    private List<OwnerContext> mContexts;
     private List<VmClient.VmInfo> mVms;
     private boolean[] mLateFromFirstStart;
 
@@ -59,7 +59,7 @@
         mLog = new FakeSharedLog();
         mWorkers = new FakeWorkers(mTime);
         mDirectory = new FakeDirectory();
-        mParts = new ArrayList<>();
+        mContexts = new ArrayList<>();
         mLateFromFirstStart = new boolean[0];
         mVms = List.of(Vms.vm("vm1", "w1"), Vms.vm("vm2", "w2"));
     }
@@ -67,8 +67,8 @@
     /** Returns the same VMs in every list. */
     private final class Vms implements VmClient {
         @Override
-        public void list(Consumer<Optional<List<VmInfo>>> then) {
-            then.accept(Optional.of(mVms));
+        public void list(Consumer<Optional<List<VmInfo>>> callback) {
+            callback.accept(Optional.of(mVms));
         }
 
         private static VmInfo vm(String id, String worker) {
@@ -76,13 +76,13 @@
         }
 
         @Override
-        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
-            then.accept(VmOutcome.NOT_DONE);
+        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback) {
+            callback.accept(VmOutcome.NOT_DONE);
         }
 
         @Override
-        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
-            then.accept(VmOutcome.NOT_DONE);
+        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback) {
+            callback.accept(VmOutcome.NOT_DONE);
         }
     }
 
@@ -91,16 +91,17 @@
         ServiceConfig service = new ServiceConfig(SERVICE, true, false);
         OperatorChange config =
                 new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
-        ChangeFeed<OperatorChange> orders =
+        ChangeFeed<OperatorChange> operatorChanges =
                 new FixedFeed<>(List.of(new ChangeFeed.Item<>("config", Optional.of(config))));
         OperatorFollower operator =
-                new OperatorFollower(orders, mTime, mTime, NodeLog.silent(mTime));
+                new OperatorFollower(operatorChanges, mTime, mTime, NodeLog.silent(mTime));
         operator.refresh(read -> {});
-        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        WavePublisher wavePublisher =
+                (number, completed, callback) -> callback.accept(new SharedLog.Stored(0, 1));
         OwnerContext.Platform platform =
-                new OwnerContext.Platform(mDirectory, connection, new Vms(), null, board);
-        OwnerSession[] work = new OwnerSession[1];
-        OwnerContext parts =
+                new OwnerContext.Platform(mDirectory, connection, new Vms(), null, wavePublisher);
+        OwnerSession[] session = new OwnerSession[1];
+        OwnerContext context =
                 FakeOwnerContext.of(
                         mTime,
                         log,
@@ -108,11 +109,11 @@
                         LIMITS,
                         operator,
                         platform,
-                        (record, job) -> work[0].applyRecord(record, job));
-        work[0] = new OwnerSession(parts, takeover, () -> {});
-        mParts.add(parts);
-        work[0].start();
-        return work[0];
+                        (record, job) -> session[0].applyRecord(record, job));
+        session[0] = new OwnerSession(context, takeover, () -> {});
+        mContexts.add(context);
+        session[0].start();
+        return session[0];
     }
 
     /** A job with one task that runs until it is cancelled. */
@@ -129,17 +130,17 @@
                         List.of(),
                         PlacementConstraints.ANYWHERE,
                         mode);
-        QueuePolicy terms = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
-        JobDefinition order =
+        QueuePolicy policy = new QueuePolicy(0, 2, 1.6, 600, Optional.empty());
+        JobDefinition definition =
                 new JobDefinition(
-                        JOB, "queue", SERVICE, "text", List.of(step), Timetable.AT_ONCE, terms, 1);
-        return JournalCodec.encode(new JobAccepted(order));
+                        JOB, "queue", SERVICE, "text", List.of(step), Timetable.AT_ONCE, policy, 1);
+        return JournalCodec.encode(new JobAccepted(definition));
     }
 
     private void pass(long ms) {
         for (long t = 0; t < ms; t += STEP_MS) {
             mTime.advance(STEP_MS);
-            mParts.forEach(p -> p.reader().refresh(read -> {}));
+            mContexts.forEach(p -> p.reader().refresh(read -> {}));
             mLog.deliverAnswers();
         }
     }
@@ -267,7 +268,7 @@
     }
 
     private long pollCount() {
-        return mParts.get(0).metrics().counter("looks").getCount();
+        return mContexts.get(0).metrics().counter("looks").getCount();
     }
 
     @Test
@@ -309,14 +310,15 @@
         SharedLog delegate = mLog;
         return new SharedLog() {
             @Override
-            public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
-                delegate.append(at, records, then);
+            public void append(
+                    LogPartition at, List<byte[]> records, Consumer<AppendResult> callback) {
+                delegate.append(at, records, callback);
             }
 
             @Override
             public void appendAt(
-                    LogPartition at, long end, byte[] record, Consumer<AppendResult> then) {
-                delegate.appendAt(at, end, record, then);
+                    LogPartition at, long end, byte[] record, Consumer<AppendResult> callback) {
+                delegate.appendAt(at, end, record, callback);
             }
 
             @Override
@@ -324,22 +326,22 @@
                     LogPartition at,
                     WriterEpoch writer,
                     List<byte[]> records,
-                    Consumer<AppendResult> then) {
+                    Consumer<AppendResult> callback) {
                 if (mLateFromFirstStart.length > 0 && containsStart(records)) {
                     mLateFromFirstStart[0] = true;
                     mLateFromFirstStart = new boolean[0];
                 }
                 if (late.test(at)) {
-                    mTime.after(600, () -> then.accept(new MaybeStored("no answer in time")));
+                    mTime.after(600, () -> callback.accept(new MaybeStored("no answer in time")));
                 } else {
-                    delegate.appendAs(at, writer, records, then);
+                    delegate.appendAs(at, writer, records, callback);
                 }
             }
 
             @Override
             public void read(
-                    LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
-                delegate.read(at, from, page, then);
+                    LogPartition at, long from, PageRequest page, Consumer<ReadResult> callback) {
+                delegate.read(at, from, page, callback);
             }
         };
     }
@@ -361,7 +363,7 @@
     @Test
     public void standingTaskRestartsElsewhereIfItsWorkerStaysUnreachable() {
         // An unanswered poll must not count as a renewal: the lease would never expire, and the
-        // lapsed task would not be started on another worker.
+        // expired task would not be started on another worker.
         FakeWorkers.Connection connection = mWorkers.connect();
         startOwnerWithFirstWorker(mLog, connection);
         connection.reconnect("w2");
@@ -374,9 +376,9 @@
     }
 
     @Test
-    public void startDelayedByTheStoreDoesNotLapseImmediately() {
+    public void startDelayedByTheStoreDoesNotExpireImmediately() {
         // A start whose append was first sent before a store outage has little of its lease left
-        // when the append is stored. The run must not lapse before its worker is polled again.
+        // when the append is stored. The run must not expire before its worker is polled again.
         boolean[] late = new boolean[1];
         mDirectory.add("w1", SERVICE);
         OwnerSession owner =
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/DisconnectableLog.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/DisconnectableLog.java
@@ -19,17 +19,17 @@
     }
 
     @Override
-    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> then) {
+    public void append(LogPartition at, List<byte[]> records, Consumer<AppendResult> callback) {
         if (!mDisconnected) {
-            mLog.append(at, records, r -> deliver(then, r));
+            mLog.append(at, records, r -> deliver(callback, r));
         }
     }
 
     @Override
     public void appendAt(
-            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> then) {
+            LogPartition at, long expectedEnd, byte[] record, Consumer<AppendResult> callback) {
         if (!mDisconnected) {
-            mLog.appendAt(at, expectedEnd, record, r -> deliver(then, r));
+            mLog.appendAt(at, expectedEnd, record, r -> deliver(callback, r));
         }
     }
 
@@ -38,22 +38,22 @@
             LogPartition at,
             WriterEpoch writer,
             List<byte[]> records,
-            Consumer<AppendResult> then) {
+            Consumer<AppendResult> callback) {
         if (!mDisconnected) {
-            mLog.appendAs(at, writer, records, r -> deliver(then, r));
+            mLog.appendAs(at, writer, records, r -> deliver(callback, r));
         }
     }
 
     @Override
-    public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> then) {
+    public void read(LogPartition at, long from, PageRequest page, Consumer<ReadResult> callback) {
         if (!mDisconnected) {
-            mLog.read(at, from, page, r -> deliver(then, r));
+            mLog.read(at, from, page, r -> deliver(callback, r));
         }
     }
 
-    private <T> void deliver(Consumer<T> then, T result) {
+    private <T> void deliver(Consumer<T> callback, T result) {
         if (!mDisconnected) {
-            then.accept(result);
+            callback.accept(result);
         }
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeDirectory.java
@@ -34,13 +34,13 @@
     }
 
     @Override
-    public void latest(Consumer<Result<WorkerInfo>> then) {
-        then.accept(new Page<>(List.copyOf(mItems), mItems.size()));
+    public void latest(Consumer<Result<WorkerInfo>> callback) {
+        callback.accept(new Page<>(List.copyOf(mItems), mItems.size()));
     }
 
     @Override
-    public void changes(long position, long waitMs, Consumer<Result<WorkerInfo>> then) {
+    public void changes(long position, long waitMs, Consumer<Result<WorkerInfo>> callback) {
         List<Item<WorkerInfo>> news = mItems.subList((int) position, mItems.size());
-        then.accept(new Page<>(List.copyOf(news), mItems.size()));
+        callback.accept(new Page<>(List.copyOf(news), mItems.size()));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeOwnerMonitor.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeOwnerMonitor.java
@@ -9,8 +9,8 @@
     OwnerState mState = OwnerState.STREAMING;
     Optional<KnownOwner> mOwner = Optional.empty();
     long mStoringMs = Long.MIN_VALUE / 2;
-    Runnable mWhenDoubtful = () -> {};
-    boolean mCallsOver;
+    Runnable mOnOwnerUnavailable = () -> {};
+    boolean mVmCallsFinished;
 
     @Override
     public void setOwner(Optional<KnownOwner> owner) {
@@ -24,7 +24,7 @@
 
     @Override
     public boolean areVmCallsFinished(long token) {
-        return mCallsOver && mState == OwnerState.GONE;
+        return mVmCallsFinished && mState == OwnerState.GONE;
     }
 
     @Override
@@ -34,7 +34,7 @@
 
     @Override
     public void onOwnerUnavailable(Runnable listener) {
-        mWhenDoubtful = listener;
+        mOnOwnerUnavailable = listener;
     }
 
     @Override
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FakeWorkers.java
@@ -117,43 +117,48 @@
             mDisconnected.add(id);
         }
 
-        /** Restores the connection and delivers orders that have not timed out yet. */
+        /** Restores the connection and delivers commands that have not timed out yet. */
         void reconnect(String id) {
             mDisconnected.remove(id);
-            List<Runnable> orders = List.copyOf(mUndelivered);
+            List<Runnable> commands = List.copyOf(mUndelivered);
             mUndelivered.clear();
-            orders.forEach(Runnable::run);
+            commands.forEach(Runnable::run);
         }
 
         @Override
-        public void start(WorkerAddress to, StartCommand order, Consumer<CommandResponse> then) {
-            call(to.id(), 0, unanswered(), then, () -> handleStart(worker(to.id()), order));
+        public void start(
+                WorkerAddress to, StartCommand command, Consumer<CommandResponse> callback) {
+            call(to.id(), 0, unanswered(), callback, () -> handleStart(worker(to.id()), command));
         }
 
         @Override
-        public void stop(WorkerAddress to, RunCommand order, Consumer<CommandResponse> then) {
-            call(to.id(), 0, unanswered(), then, () -> handleStop(worker(to.id()), order));
+        public void stop(WorkerAddress to, RunCommand command, Consumer<CommandResponse> callback) {
+            call(to.id(), 0, unanswered(), callback, () -> handleStop(worker(to.id()), command));
         }
 
         @Override
         public void throttle(
-                WorkerAddress to, RunCommand order, int percent, Consumer<CommandResponse> then) {
-            call(to.id(), 0, unanswered(), then, () -> answer(CommandOutcome.DONE));
+                WorkerAddress to,
+                RunCommand command,
+                int percent,
+                Consumer<CommandResponse> callback) {
+            call(to.id(), 0, unanswered(), callback, () -> answer(CommandOutcome.DONE));
         }
 
         @Override
-        public void poll(WorkerAddress to, PollCommand order, Consumer<PollResponse> then) {
+        public void poll(WorkerAddress to, PollCommand command, Consumer<PollResponse> callback) {
             PollResponse unanswered =
                     new PollResponse(CommandOutcome.UNANSWERED, -1, List.of(), List.of());
-            long wait = order.waitMs() / 2;
-            call(to.id(), wait, unanswered, then, () -> handleLook(worker(to.id()), order));
+            long wait = command.waitMs() / 2;
+            call(to.id(), wait, unanswered, callback, () -> handlePoll(worker(to.id()), command));
         }
 
         /**
-         * Executes an order, or holds it until the connection is restored or the order times out.
+         * Executes a command, or holds it until the connection is restored or the command times
+         * out.
          */
         private <T> void call(
-                String id, long waitMs, T unanswered, Consumer<T> then, Supplier<T> execute) {
+                String id, long waitMs, T unanswered, Consumer<T> callback, Supplier<T> execute) {
             boolean[] completed = new boolean[1];
             Runnable arrive =
                     () -> {
@@ -163,7 +168,7 @@
                             mTime.after(
                                     ANSWER_MS + waitMs,
                                     () ->
-                                            then.accept(
+                                            callback.accept(
                                                     mDisconnected.contains(id)
                                                             ? unanswered
                                                             : result));
@@ -179,7 +184,7 @@
                     () -> {
                         if (!completed[0]) {
                             completed[0] = true;
-                            then.accept(unanswered);
+                            callback.accept(unanswered);
                         }
                     });
         }
@@ -194,33 +199,34 @@
     }
 
     private WorkerClient.CommandResponse handleStart(
-            Worker worker, WorkerClient.StartCommand order) {
-        if (!worker.accepts(order.run().token())) {
+            Worker worker, WorkerClient.StartCommand command) {
+        if (!worker.accepts(command.run().token())) {
             return answer(CommandOutcome.FENCED);
         }
-        if (order.leaseUntilMs() <= clockMs()) {
+        if (command.leaseUntilMs() <= clockMs()) {
             return answer(CommandOutcome.LEASE_OVER);
         }
-        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
-        worker.mRunning.add(new Run(order.run().task(), order.run().attempt()));
+        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, command.leaseUntilMs());
+        worker.mRunning.add(new Run(command.run().task(), command.run().attempt()));
         return answer(CommandOutcome.DONE);
     }
 
-    private WorkerClient.CommandResponse handleStop(Worker worker, WorkerClient.RunCommand order) {
-        if (!worker.accepts(order.token())) {
+    private WorkerClient.CommandResponse handleStop(
+            Worker worker, WorkerClient.RunCommand command) {
+        if (!worker.accepts(command.token())) {
             return answer(CommandOutcome.FENCED);
         }
-        worker.end(new Run(order.task(), order.attempt()), RunOutcome.STOPPED);
+        worker.end(new Run(command.task(), command.attempt()), RunOutcome.STOPPED);
         return answer(CommandOutcome.DONE);
     }
 
-    private WorkerClient.PollResponse handleLook(Worker worker, WorkerClient.PollCommand order) {
-        if (!worker.accepts(order.token())) {
+    private WorkerClient.PollResponse handlePoll(Worker worker, WorkerClient.PollCommand command) {
+        if (!worker.accepts(command.token())) {
             return new WorkerClient.PollResponse(
                     CommandOutcome.FENCED, clockMs(), List.of(), List.of());
         }
-        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, order.leaseUntilMs());
-        worker.mUnacknowledged.removeIf(e -> e.sequence() <= order.acknowledged());
+        worker.mLeaseUntilMs = Math.max(worker.mLeaseUntilMs, command.leaseUntilMs());
+        worker.mUnacknowledged.removeIf(e -> e.sequence() <= command.acknowledged());
         List<RunStatus> running = new ArrayList<>();
         worker.mRunning.forEach(
                 r ->
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FixedFeed.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FixedFeed.java
@@ -7,12 +7,12 @@
 /** A feed whose values never change. */
 record FixedFeed<T>(List<ChangeFeed.Item<T>> items) implements ChangeFeed<T> {
     @Override
-    public void latest(Consumer<Result<T>> then) {
-        then.accept(new Page<>(items, 0));
+    public void latest(Consumer<Result<T>> callback) {
+        callback.accept(new Page<>(items, 0));
     }
 
     @Override
-    public void changes(long position, long waitMs, Consumer<Result<T>> then) {
-        then.accept(new Page<>(List.of(), 0));
+    public void changes(long position, long waitMs, Consumer<Result<T>> callback) {
+        callback.accept(new Page<>(List.of(), 0));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignOwnersTest.java
@@ -37,7 +37,7 @@
         mLog.records(OWNERS).add(foreign);
         startNode();
         passWithHeartbeats(400);
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(4 * MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(3L), description);
@@ -52,7 +52,7 @@
         passWithHeartbeats(4000);
 
         assertTrue(mTokens.isEmpty());
-        assertEquals(mSigns.mOwner.get().token(), 1);
+        assertEquals(mOwnerMonitor.mOwner.get().token(), 1);
     }
 
     @Test
@@ -67,11 +67,11 @@
         write(new OwnerHeartbeat(9, "", 0));
         passWithHeartbeats(1200);
         boolean takenEarly = !mTokens.isEmpty();
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(2 * MAX_ATTEMPT_MS);
 
         assertFalse(takenEarly);
-        assertEquals(mSigns.mOwner.get().address(), new InetSocketAddress("10.0.0.9", 1));
+        assertEquals(mOwnerMonitor.mOwner.get().address(), new InetSocketAddress("10.0.0.9", 1));
         assertEquals(mTokens, List.of(2L));
     }
 
@@ -93,7 +93,7 @@
         write(foreign);
         passWithHeartbeats(8000);
         boolean replaced = !mTokens.isEmpty();
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(4 * MAX_ATTEMPT_MS);
 
         assertFalse(replaced, "the owner wrote heartbeats all the time");
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ForeignWorkersTest.java
@@ -40,7 +40,7 @@
     private FakeTime mTime;
     private FakeSharedLog mLog;
     private FakeFeed<WorkerInfo> mDirectory;
-    private FakeFeed<OperatorChange> mOrders;
+    private FakeFeed<OperatorChange> mOperatorChanges;
     private OperatorFollower mOperator;
     private Set<String> mPolled;
     private OwnerSession mOwner;
@@ -50,8 +50,8 @@
         mTime = new FakeTime();
         mLog = new FakeSharedLog();
         mDirectory = new FakeFeed<>();
-        mOrders = new FakeFeed<>();
-        mOperator = new OperatorFollower(mOrders, mTime, mTime, NodeLog.silent(mTime));
+        mOperatorChanges = new FakeFeed<>();
+        mOperator = new OperatorFollower(mOperatorChanges, mTime, mTime, NodeLog.silent(mTime));
         mPolled = new HashSet<>();
         putConfig(1, "surveys");
     }
@@ -60,47 +60,49 @@
     private final class Workers implements WorkerClient {
         @Override
         public void start(
-                WorkerAddress worker, StartCommand order, Consumer<CommandResponse> then) {
+                WorkerAddress worker, StartCommand command, Consumer<CommandResponse> callback) {
             throw new AssertionError("there is no job");
         }
 
         @Override
-        public void stop(WorkerAddress worker, RunCommand order, Consumer<CommandResponse> then) {
+        public void stop(
+                WorkerAddress worker, RunCommand command, Consumer<CommandResponse> callback) {
             throw new AssertionError("there is no job");
         }
 
         @Override
         public void throttle(
                 WorkerAddress worker,
-                RunCommand order,
+                RunCommand command,
                 int percent,
-                Consumer<CommandResponse> then) {
+                Consumer<CommandResponse> callback) {
             throw new AssertionError("there is no job");
         }
 
         @Override
-        public void poll(WorkerAddress worker, PollCommand order, Consumer<PollResponse> then) {
+        public void poll(
+                WorkerAddress worker, PollCommand command, Consumer<PollResponse> callback) {
             mPolled.add(worker.id());
-            PollResponse answer =
+            PollResponse response =
                     new PollResponse(CommandOutcome.DONE, mTime.nowMs(), List.of(), List.of());
-            mTime.after(Math.max(1, order.waitMs()), () -> then.accept(answer));
+            mTime.after(Math.max(1, command.waitMs()), () -> callback.accept(response));
         }
     }
 
     /** A VM service that cannot be reached. */
     private static final class NoVms implements VmClient {
         @Override
-        public void list(Consumer<Optional<List<VmInfo>>> then) {
-            then.accept(Optional.empty());
+        public void list(Consumer<Optional<List<VmInfo>>> callback) {
+            callback.accept(Optional.empty());
         }
 
         @Override
-        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
+        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback) {
             throw new AssertionError("no VM is known");
         }
 
         @Override
-        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
+        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback) {
             throw new AssertionError("no VM is known");
         }
     }
@@ -108,7 +110,7 @@
     private void putConfig(long version, String service) {
         ServiceConfig pool = new ServiceConfig(service, true, false);
         FleetConfig config = new FleetConfig(version, List.of(), List.of(pool), 1000);
-        mOrders.put("config", new OperatorChange.NewConfig(config));
+        mOperatorChanges.put("config", new OperatorChange.NewConfig(config));
         mOperator.refresh(read -> {});
     }
 
@@ -119,11 +121,13 @@
     }
 
     private void startOwner() {
-        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        WavePublisher wavePublisher =
+                (number, completed, callback) -> callback.accept(new SharedLog.Stored(0, 1));
         OwnerContext.Platform platform =
-                new OwnerContext.Platform(mDirectory, new Workers(), new NoVms(), null, board);
-        OwnerContext parts = FakeOwnerContext.of(mTime, mLog, true, mOperator, platform);
-        mOwner = new OwnerSession(parts, new Takeover(1, true, true), () -> {});
+                new OwnerContext.Platform(
+                        mDirectory, new Workers(), new NoVms(), null, wavePublisher);
+        OwnerContext context = FakeOwnerContext.of(mTime, mLog, true, mOperator, platform);
+        mOwner = new OwnerSession(context, new Takeover(1, true, true), () -> {});
         mOwner.start();
         pass(READS_MS);
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/FormerOwnerTest.java
@@ -48,22 +48,22 @@
     /** Ignores tokens and reports that nothing was done, so that each owner repeats its calls. */
     private final class Vms implements VmClient {
         @Override
-        public void list(Consumer<Optional<List<VmInfo>>> then) {
+        public void list(Consumer<Optional<List<VmInfo>>> callback) {
             VmInfo vm = new VmInfo(VM, "off", VmPhase.UP, "", Resources.of(8, 1 << 20, 0));
-            then.accept(Optional.of(List.of(vm)));
+            callback.accept(Optional.of(List.of(vm)));
         }
 
         @Override
-        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
+        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback) {
             throw new AssertionError("no pool needs another VM");
         }
 
         @Override
-        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
+        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback) {
             if (holder.permit().leftMs() > 0) {
                 mCallers.add(holder.token());
             }
-            then.accept(VmOutcome.NOT_DONE);
+            callback.accept(VmOutcome.NOT_DONE);
         }
     }
 
@@ -73,22 +73,23 @@
                 new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(off), 1000));
         OperatorChange wave =
                 new OperatorChange.NewWave(new MaintenanceWave(1, List.of(VM), 30_000, 1));
-        ChangeFeed<OperatorChange> orders =
+        ChangeFeed<OperatorChange> operatorChanges =
                 new FixedFeed<>(
                         List.of(
                                 new ChangeFeed.Item<>("config", Optional.of(config)),
                                 new ChangeFeed.Item<>("wave/1", Optional.of(wave))));
         OperatorFollower operator =
-                new OperatorFollower(orders, mTime, mTime, NodeLog.silent(mTime));
+                new OperatorFollower(operatorChanges, mTime, mTime, NodeLog.silent(mTime));
         operator.refresh(read -> {});
-        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        WavePublisher wavePublisher =
+                (number, completed, callback) -> callback.accept(new SharedLog.Stored(0, 1));
         OwnerContext.Platform platform =
                 new OwnerContext.Platform(
-                        new FixedFeed<WorkerInfo>(List.of()), null, new Vms(), null, board);
-        OwnerContext parts = FakeOwnerContext.of(mTime, log, tokensChecked, operator, platform);
-        OwnerSession work = new OwnerSession(parts, takeover, () -> {});
-        work.start();
-        return work;
+                        new FixedFeed<WorkerInfo>(List.of()), null, new Vms(), null, wavePublisher);
+        OwnerContext context = FakeOwnerContext.of(mTime, log, tokensChecked, operator, platform);
+        OwnerSession session = new OwnerSession(context, takeover, () -> {});
+        session.start();
+        return session;
     }
 
     private void pass(long ms) {
@@ -125,7 +126,7 @@
     }
 
     @Test
-    public void successorOfOwnerThatLeftDoesNotWait() {
+    public void successorOfOwnerThatResignedDoesNotWait() {
         OwnerSession first =
                 startOwner(new DisconnectableLog(mLog), new Takeover(1, true, true), false);
         pass(1000);
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/NarrowOwnerTest.java
@@ -53,48 +53,52 @@
     private final Set<TaskName> mStarted = new HashSet<>();
 
     /** Counts the starts per second. */
-    private final class CountingWorkerOrders implements WorkerClient {
+    private final class CountingWorkerClient implements WorkerClient {
         private final WorkerClient mDelegate = new FakeWorkers(mTime).connect();
 
         @Override
-        public void start(WorkerAddress to, StartCommand order, Consumer<CommandResponse> then) {
+        public void start(
+                WorkerAddress to, StartCommand command, Consumer<CommandResponse> callback) {
             mStartsBySecond.merge(mTime.nowMs() / SECOND_MS, 1, Integer::sum);
-            mStarted.add(order.run().task());
-            mDelegate.start(to, order, then);
+            mStarted.add(command.run().task());
+            mDelegate.start(to, command, callback);
         }
 
         @Override
-        public void stop(WorkerAddress to, RunCommand order, Consumer<CommandResponse> then) {
-            mDelegate.stop(to, order, then);
+        public void stop(WorkerAddress to, RunCommand command, Consumer<CommandResponse> callback) {
+            mDelegate.stop(to, command, callback);
         }
 
         @Override
         public void throttle(
-                WorkerAddress to, RunCommand order, int percent, Consumer<CommandResponse> then) {
-            mDelegate.throttle(to, order, percent, then);
+                WorkerAddress to,
+                RunCommand command,
+                int percent,
+                Consumer<CommandResponse> callback) {
+            mDelegate.throttle(to, command, percent, callback);
         }
 
         @Override
-        public void poll(WorkerAddress to, PollCommand order, Consumer<PollResponse> then) {
-            mDelegate.poll(to, order, then);
+        public void poll(WorkerAddress to, PollCommand command, Consumer<PollResponse> callback) {
+            mDelegate.poll(to, command, callback);
         }
     }
 
     /** A VM service without VMs. */
     private static final class NoVms implements VmClient {
         @Override
-        public void list(Consumer<Optional<List<VmInfo>>> then) {
-            then.accept(Optional.of(List.of()));
+        public void list(Consumer<Optional<List<VmInfo>>> callback) {
+            callback.accept(Optional.of(List.of()));
         }
 
         @Override
-        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
-            then.accept(VmOutcome.NOT_DONE);
+        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback) {
+            callback.accept(VmOutcome.NOT_DONE);
         }
 
         @Override
-        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
-            then.accept(VmOutcome.NOT_DONE);
+        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback) {
+            callback.accept(VmOutcome.NOT_DONE);
         }
     }
 
@@ -107,7 +111,7 @@
                         List.of(),
                         PlacementConstraints.ANYWHERE,
                         RunMode.PLAIN);
-        JobDefinition order =
+        JobDefinition definition =
                 new JobDefinition(
                         "00000000000000aa",
                         "queue",
@@ -117,10 +121,10 @@
                         Timetable.AT_ONCE,
                         new QueuePolicy(0, 2, 1.6, 600, Optional.empty()),
                         1);
-        return JournalCodec.encode(new JobAccepted(order));
+        return JournalCodec.encode(new JobAccepted(definition));
     }
 
-    private OwnerContext parts(OwnerSession[] work) {
+    private OwnerContext context(OwnerSession[] session) {
         ServiceConfig service = new ServiceConfig(SERVICE, true, false);
         OperatorChange config =
                 new OperatorChange.NewConfig(new FleetConfig(1, List.of(), List.of(service), 1000));
@@ -136,7 +140,8 @@
         for (int i = 0; i < WORKERS; i++) {
             directory.add("w" + i, SERVICE);
         }
-        WavePublisher board = (number, completed, then) -> then.accept(new SharedLog.Stored(0, 1));
+        WavePublisher wavePublisher =
+                (number, completed, callback) -> callback.accept(new SharedLog.Stored(0, 1));
         return FakeOwnerContext.of(
                 mTime,
                 mLog,
@@ -145,21 +150,21 @@
                 LINK,
                 operator,
                 new OwnerContext.Platform(
-                        directory, new CountingWorkerOrders(), new NoVms(), null, board),
-                (record, job) -> work[0].applyRecord(record, job));
+                        directory, new CountingWorkerClient(), new NoVms(), null, wavePublisher),
+                (record, job) -> session[0].applyRecord(record, job));
     }
 
-    /** Starts must not fill the owner's link, or orders and polls time out. */
+    /** Starts must not fill the owner's link, or commands and polls time out. */
     @Test
     public void startsUseAtMostHalfOfANarrowLink() {
-        OwnerSession[] work = new OwnerSession[1];
-        OwnerContext parts = parts(work);
-        work[0] = new OwnerSession(parts, new Takeover(1, true, true), () -> {});
-        work[0].start();
-        work[0].storeHandedOver(backlog(), outcome -> {});
+        OwnerSession[] session = new OwnerSession[1];
+        OwnerContext context = context(session);
+        session[0] = new OwnerSession(context, new Takeover(1, true, true), () -> {});
+        session[0].start();
+        session[0].storeHandedOver(backlog(), outcome -> {});
         for (long t = 0; t < 6 * SECOND_MS; t += STEP_MS) {
             mTime.advance(STEP_MS);
-            parts.reader().refresh(read -> {});
+            context.reader().refresh(read -> {});
             mLog.deliverAnswers();
         }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTest.java
@@ -22,18 +22,18 @@
         passWithHeartbeats(4000);
 
         assertTrue(mTokens.isEmpty());
-        assertEquals(mSigns.mOwner.get().token(), 1);
+        assertEquals(mOwnerMonitor.mOwner.get().token(), 1);
     }
 
     @Test
-    public void ownerThatLeftIsReplacedImmediately() {
+    public void ownerThatResignedIsReplacedImmediately() {
         // A planned stop must not delay jobs: followers need not wait for the owner's timeout.
         addOtherOwner();
         startNode();
         passWithHeartbeats(800);
         write(new OwnerResigned(1, "other", true));
-        mSigns.mState = OwnerState.GONE;
-        mSigns.mWhenDoubtful.run();
+        mOwnerMonitor.mState = OwnerState.GONE;
+        mOwnerMonitor.mOnOwnerUnavailable.run();
         pass(MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
@@ -45,7 +45,7 @@
         // that owner.
         addOtherOwner();
         startNode();
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
@@ -57,7 +57,7 @@
         // If that counted as a failed owner, both sides would replace each other in turn.
         addOtherOwner();
         startNode();
-        mSigns.mState = OwnerState.REFUSED;
+        mOwnerMonitor.mState = OwnerState.REFUSED;
         passWithHeartbeats(4000);
 
         assertTrue(mTokens.isEmpty());
@@ -68,7 +68,7 @@
         addOtherOwner();
         startNode();
         passWithHeartbeats(800);
-        mSigns.mState = OwnerState.REFUSED;
+        mOwnerMonitor.mState = OwnerState.REFUSED;
         pass(OwnerState.REFUSED.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
@@ -81,7 +81,7 @@
         addOtherOwner();
         startNode();
         passWithHeartbeats(800);
-        mSigns.mStoringMs = mTime.nowMs();
+        mOwnerMonitor.mStoringMs = mTime.nowMs();
         pass(OwnerState.STREAMING.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
@@ -93,7 +93,7 @@
         // journal.
         addOtherOwner();
         startNode();
-        mSigns.mStoringMs = mTime.nowMs();
+        mOwnerMonitor.mStoringMs = mTime.nowMs();
         passWithHeartbeats(4000);
 
         assertTrue(mTokens.isEmpty());
@@ -107,14 +107,14 @@
         startNode();
         passWithHeartbeats(400);
         mLog.records(OWNERS).add(new OwnerRecord("third", "10.0.0.3:1", "life").encode());
-        mSigns.mState = OwnerState.SILENT;
-        for (int i = 0; i < 300 && mSigns.mOwner.get().token() == 1; i++) {
+        mOwnerMonitor.mState = OwnerState.SILENT;
+        for (int i = 0; i < 300 && mOwnerMonitor.mOwner.get().token() == 1; i++) {
             pass(10);
         }
 
         assertTrue(mTokens.isEmpty());
-        assertEquals(mSigns.mOwner.get().token(), 2);
-        assertEquals(mSigns.mOwner.get().address(), new InetSocketAddress("10.0.0.3", 1));
+        assertEquals(mOwnerMonitor.mOwner.get().token(), 2);
+        assertEquals(mOwnerMonitor.mOwner.get().address(), new InetSocketAddress("10.0.0.3", 1));
     }
 
     @Test(dataProvider = "vacancyScenarios")
@@ -123,35 +123,35 @@
         // and polls time out while nodes with wider links are available.
         vacancy.run();
         startNode(NARROW);
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(MAX_ATTEMPT_MS);
         assertTrue(mTokens.isEmpty(), "took over before others could try");
         mLog.records(OWNERS).add(new OwnerRecord("third", "10.0.0.3:1", "life").encode());
         write(new OwnerHeartbeat(mLog.records(OWNERS).size(), "10.0.0.3:1", 0));
-        mSigns.mState = OwnerState.STREAMING;
+        mOwnerMonitor.mState = OwnerState.STREAMING;
         pass(MAX_ATTEMPT_MS);
 
         assertTrue(mTokens.isEmpty());
-        assertEquals(mSigns.mOwner.get().address(), new InetSocketAddress("10.0.0.3", 1));
+        assertEquals(mOwnerMonitor.mOwner.get().address(), new InetSocketAddress("10.0.0.3", 1));
     }
 
     @DataProvider
     public Object[][] vacancyScenarios() {
         Runnable first = () -> {};
-        Runnable left =
+        Runnable onResigned =
                 () -> {
                     addOtherOwner();
                     write(new OwnerResigned(1, "other", true));
                 };
         Runnable lost = this::addOtherOwner;
-        return new Object[][] {{first}, {left}, {lost}};
+        return new Object[][] {{first}, {onResigned}, {lost}};
     }
 
     @Test
     public void nodeWithNarrowLinkTakesOverIfNoOtherNodeDoes() {
         addOtherOwner();
         startNode(NARROW);
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         pass(MAX_NARROW_ATTEMPT_MS);
 
         assertEquals(mTokens, List.of(2L));
@@ -161,7 +161,7 @@
     public void nodeThatCannotReachTheVmServiceYieldsToOtherNodes() {
         addOtherOwner();
         startNode();
-        mSigns.mState = OwnerState.GONE;
+        mOwnerMonitor.mState = OwnerState.GONE;
         mListedVms = Optional.empty();
         pass(MAX_ATTEMPT_MS);
         boolean takenEarly = !mTokens.isEmpty();
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTestBase.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerElectionTestBase.java
@@ -34,18 +34,18 @@
 
     FakeTime mTime;
     FakeSharedLog mLog;
-    FakeOwnerMonitor mSigns;
+    FakeOwnerMonitor mOwnerMonitor;
     Optional<List<VmClient.VmInfo>> mListedVms;
     List<Long> mTokens;
     List<Boolean> mPredecessorCallsFinished;
     List<Boolean> mRenewalsFinished;
-    OwnerElection mOwnership;
+    OwnerElection mElection;
 
     @BeforeMethod
     public void setUp() {
         mTime = new FakeTime();
         mLog = new FakeSharedLog();
-        mSigns = new FakeOwnerMonitor();
+        mOwnerMonitor = new FakeOwnerMonitor();
         mListedVms = Optional.of(List.of());
         mTokens = new ArrayList<>();
         mPredecessorCallsFinished = new ArrayList<>();
@@ -54,17 +54,17 @@
 
     private final class Vms implements VmClient {
         @Override
-        public void list(Consumer<Optional<List<VmInfo>>> then) {
-            then.accept(mListedVms);
+        public void list(Consumer<Optional<List<VmInfo>>> callback) {
+            callback.accept(mListedVms);
         }
 
         @Override
-        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> then) {
+        public void move(String vm, String pool, Holder holder, Consumer<VmOutcome> callback) {
             throw new AssertionError("called before the takeover");
         }
 
         @Override
-        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> then) {
+        public void reboot(String vm, long wave, Holder holder, Consumer<VmOutcome> callback) {
             throw new AssertionError("called before the takeover");
         }
     }
@@ -84,8 +84,8 @@
                         mTime,
                         out,
                         new JobRegistry(120_000),
-                        (record, job) -> mOwnership.applyRecord(record));
-        mOwnership =
+                        (record, job) -> mElection.applyRecord(record));
+        mElection =
                 new OwnerElection(
                         mLog,
                         reader,
@@ -95,11 +95,11 @@
                         "node",
                         "10.0.0.1:1",
                         link,
-                        mSigns,
+                        mOwnerMonitor,
                         new Vms(),
                         this::recordTakeover);
         reader.follow();
-        mOwnership.start();
+        mElection.start();
     }
 
     private void recordTakeover(Takeover takeover) {
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerJournalTest.java
@@ -25,13 +25,13 @@
 
     private FakeTime mTime;
     private FakeSharedLog mLog;
-    private OwnerContext mParts;
+    private OwnerContext mContext;
 
     @BeforeMethod
     public void setUp() {
         mTime = new FakeTime();
         mLog = new FakeSharedLog();
-        mParts = FakeOwnerContext.of(mTime, mLog);
+        mContext = FakeOwnerContext.of(mTime, mLog);
     }
 
     private int storedCount() {
@@ -54,8 +54,8 @@
         // A paused owner that resumes after a takeover must not store an end or a start, because
         // its successor has already read the journal.
         AtomicInteger fenced = new AtomicInteger();
-        OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
-        OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
+        OwnerJournal first = new OwnerJournal(mContext, 1, fenced::incrementAndGet);
+        OwnerJournal second = new OwnerJournal(mContext, 2, () -> {});
         first.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         second.raiseEpoch(() -> {});
@@ -72,7 +72,7 @@
 
     @Test
     public void recordWhoseAnswerIsLostIsStoredOnce() {
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         mLog.scriptAppends(
@@ -92,7 +92,7 @@
     public void pendingHandoversAreAnsweredWhenTheJournalIsClosed() {
         // A caller whose record was handed over must get an answer when the owner is replaced:
         // unknown if the record was sent, not stored otherwise.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -112,7 +112,7 @@
     public void handedOverRecordsAreRejectedWhileAllPartitionsRefuse() {
         // Callers of other nodes must learn at once that all partitions are down; the owner's own
         // records keep waiting.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -136,7 +136,7 @@
     public void unansweredAppendIsResentAndStoredOnce() {
         // All starts and ends wait for the owner's append, so a lost answer must not cost a whole
         // timeout.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         mLog.scriptAppends(ScriptedOutcome.SILENT);
@@ -156,7 +156,7 @@
     public void handedOverRecordsWaitWhileAnAnswerIsLate() {
         // Handed-over records must not be rejected at the first late answer of a slow store: all
         // nodes would then append concurrently and slow it down further.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -177,7 +177,7 @@
     public void handedOverRecordThatMayBeStoredIsNotRejected() {
         // A record whose append may be stored must not be reported as not stored when its retry is
         // refused.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -195,7 +195,7 @@
     @Test
     public void recordsGoToTheSparePartitionWhileTheFirstIsDown() {
         // While the journal's first partition is down, records must go to the spare one.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -217,7 +217,7 @@
 
     @Test
     public void recordsGoToTheThirdPartitionWhileTwoAreDown() {
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -232,7 +232,7 @@
 
     @Test
     public void recordsGoToTheSparePartitionWhileTheFirstDoesNotAnswer() {
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -248,7 +248,7 @@
     public void appendThatMayBeStoredIsRepeatedUnchanged() {
         // The store recognises a repeated append by its sequence number alone. Other records sent
         // with that number would be taken for the first ones and lost.
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         List<StoreOutcome> outcomes = new ArrayList<>();
@@ -272,12 +272,12 @@
         // The first owner may write to any partition. A second one that raises the epoch in the
         // first partition alone could miss a start recorded after it has read the journal.
         AtomicInteger fenced = new AtomicInteger();
-        OwnerJournal first = new OwnerJournal(mParts, 1, fenced::incrementAndGet);
+        OwnerJournal first = new OwnerJournal(mContext, 1, fenced::incrementAndGet);
         first.raiseEpoch(() -> {});
         mLog.deliverAnswers();
         boolean[] raised = {false};
         mLog.setUnavailable(SPARE, true);
-        OwnerJournal second = new OwnerJournal(mParts, 2, () -> {});
+        OwnerJournal second = new OwnerJournal(mContext, 2, () -> {});
         second.raiseEpoch(() -> raised[0] = true);
         pass(1000);
         boolean raisedEarly = raised[0];
@@ -295,7 +295,7 @@
 
     @Test
     public void recordsEnqueuedDuringAnAppendAreSentTogether() {
-        OwnerJournal journal = new OwnerJournal(mParts, 1, () -> {});
+        OwnerJournal journal = new OwnerJournal(mContext, 1, () -> {});
         journal.raiseEpoch(() -> {});
         for (int i = 0; i < 5; i++) {
             journal.store(new OwnerHeartbeat(1, "a" + i, 0), () -> {});
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/OwnerLookupTest.java
@@ -26,7 +26,7 @@
         startNode();
         pass(500);
 
-        assertEquals(mSigns.mOwner.map(KnownOwner::token), Optional.of(1L));
+        assertEquals(mOwnerMonitor.mOwner.map(KnownOwner::token), Optional.of(1L));
     }
 
     @Test
@@ -38,7 +38,7 @@
         mLog.records(OWNERS).add(new OwnerRecord("third", "10.0.0.3:1", "life").encode());
         pass(1000);
 
-        assertEquals(mSigns.mOwner.map(KnownOwner::token), Optional.of(2L));
+        assertEquals(mOwnerMonitor.mOwner.map(KnownOwner::token), Optional.of(2L));
         assertTrue(mTokens.isEmpty());
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/PredecessorTest.java
@@ -14,13 +14,13 @@
 /** Tests what a new owner assumes about VM calls and lease renewals of earlier owners. */
 public class PredecessorTest extends OwnerElectionTestBase {
     @Test(dataProvider = "booleans")
-    public void callsOfOwnerThatLeftAreFinishedIfItsRecordSaysSo(boolean callsOver) {
+    public void callsOfOwnerThatResignedAreFinishedIfItsRecordSaysSo(boolean vmCallsFinished) {
         addOtherOwner();
-        write(new OwnerResigned(1, "other", callsOver));
+        write(new OwnerResigned(1, "other", vmCallsFinished));
         startNode();
         pass(MAX_ATTEMPT_MS);
 
-        assertEquals(mPredecessorCallsFinished, List.of(callsOver));
+        assertEquals(mPredecessorCallsFinished, List.of(vmCallsFinished));
     }
 
     @DataProvider
@@ -34,8 +34,8 @@
         addOtherOwner();
         write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
-        mSigns.mState = OwnerState.GONE;
-        mSigns.mCallsOver = true;
+        mOwnerMonitor.mState = OwnerState.GONE;
+        mOwnerMonitor.mVmCallsFinished = true;
         pass(MAX_ATTEMPT_MS);
 
         assertEquals(mPredecessorCallsFinished, List.of(true));
@@ -48,8 +48,8 @@
         addOtherOwner();
         write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS - 1));
         startNode();
-        mSigns.mState = OwnerState.GONE;
-        mSigns.mCallsOver = true;
+        mOwnerMonitor.mState = OwnerState.GONE;
+        mOwnerMonitor.mVmCallsFinished = true;
         pass(MAX_ATTEMPT_MS);
 
         assertEquals(mPredecessorCallsFinished, List.of(false));
@@ -71,22 +71,22 @@
             String description,
             long ownedMs,
             OwnerState state,
-            boolean reportsCallsOver,
+            boolean reportsVmCallsFinished,
             boolean expected) {
         // A successor that assumes that a disconnected owner's renewals have ended starts tasks
         // twice.
         addOtherOwner();
         write(new OwnerHeartbeat(1, OTHER_ADDRESS, ownedMs));
         startNode();
-        mSigns.mState = state;
-        mSigns.mCallsOver = reportsCallsOver;
+        mOwnerMonitor.mState = state;
+        mOwnerMonitor.mVmCallsFinished = reportsVmCallsFinished;
         pass(OwnerState.SILENT.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mRenewalsFinished, List.of(expected), description);
     }
 
     @Test
-    public void renewalsAreFinishedIfOwnerLeftAfterLongTenure() {
+    public void renewalsAreFinishedIfOwnerResignedAfterLongTenure() {
         addOtherOwner();
         write(new OwnerHeartbeat(1, OTHER_ADDRESS, RenewalWindow.WAIT_MS));
         write(new OwnerResigned(1, "other", false));
@@ -97,12 +97,12 @@
     }
 
     @Test
-    public void callsOfSilentOwnerAreNotFinished() {
+    public void callsOfUnresponsiveOwnerAreNotFinished() {
         addOtherOwner();
         write(new OwnerHeartbeat(1, OTHER_ADDRESS, CallLease.WAIT_MS));
         startNode();
-        mSigns.mState = OwnerState.SILENT;
-        mSigns.mCallsOver = true;
+        mOwnerMonitor.mState = OwnerState.SILENT;
+        mOwnerMonitor.mVmCallsFinished = true;
         pass(OwnerState.SILENT.takeOverTimeoutMs() + MAX_ATTEMPT_MS);
 
         assertEquals(mPredecessorCallsFinished, List.of(false));
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/ResignationPolicyTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/ResignationPolicyTest.java
@@ -6,21 +6,21 @@
 import org.foxtailplank.node.LinkRate;
 import org.testng.annotations.Test;
 
-/** Tests when an owner on a narrow link steps down. */
+/** Tests when an owner on a narrow link resigns. */
 public class ResignationPolicyTest {
     private static final LinkRate NARROW = new LinkRate(10);
     private static final LinkRate WIDE = new LinkRate(200);
     private static final long LATER_MS = 5000;
 
     private static ResignationPolicy owner(LinkRate link) {
-        ResignationPolicy owner = new ResignationPolicy(link);
-        owner.ownershipGained(0);
-        return owner;
+        ResignationPolicy policy = new ResignationPolicy(link);
+        policy.ownershipGained(0);
+        return policy;
     }
 
     /** A node on a narrow link must not stay the owner while a follower has an ample link. */
     @Test
-    public void ownerOnNarrowLinkStepsDownForFollowerOnAmpleLink() {
+    public void ownerOnNarrowLinkResignsForFollowerOnAmpleLink() {
         assertTrue(owner(NARROW).shouldResign(LATER_MS - 100, LATER_MS));
     }
 
@@ -39,11 +39,11 @@
     /** Two nodes must not hand ownership back and forth. */
     @Test
     public void ownerThatSteppedDownRecentlyStays() {
-        ResignationPolicy owner = owner(NARROW);
-        assertFalse(owner.shouldResign(100, 100));
-        assertTrue(owner.shouldResign(LATER_MS, LATER_MS));
-        owner.ownershipGained(LATER_MS + 1000);
+        ResignationPolicy policy = owner(NARROW);
+        assertFalse(policy.shouldResign(100, 100));
+        assertTrue(policy.shouldResign(LATER_MS, LATER_MS));
+        policy.ownershipGained(LATER_MS + 1000);
 
-        assertFalse(owner.shouldResign(2 * LATER_MS, 2 * LATER_MS));
+        assertFalse(policy.shouldResign(2 * LATER_MS, 2 * LATER_MS));
     }
 }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveDeadlinesTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/owner/WaveDeadlinesTest.java
@@ -11,19 +11,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the deadline of a wave for owners that saw its order at different times. */
+/** Tests the deadline of a wave for owners that saw it at different times. */
 public class WaveDeadlinesTest {
     private static final long NOW_MS = 5000;
     private static final long WALL_MS = 1_700_000_000_000L;
     private static final MaintenanceWave WAVE = new MaintenanceWave(1, List.of("a"), 26_000, 1);
 
-    private JobRegistry mBook;
+    private JobRegistry mRegistry;
     private WaveDeadlines mDeadlines;
 
     @BeforeMethod
     public void setUp() {
-        mBook = new JobRegistry(1000);
-        mDeadlines = new WaveDeadlines(mBook);
+        mRegistry = new JobRegistry(1000);
+        mDeadlines = new WaveDeadlines(mRegistry);
     }
 
     private static List<DueWave> waveDueIn(long leftMs) {
@@ -32,9 +32,9 @@
 
     @Test
     public void recordedDeadlineWinsOverLaterOne() {
-        // An owner that read the order late, such as after a store outage, must not extend the
+        // An owner that read the wave late, such as after a store outage, must not extend the
         // wave.
-        mBook.apply(new WaveDue(1, WALL_MS + 8700));
+        mRegistry.apply(new WaveDue(1, WALL_MS + 8700));
 
         assertEquals(mDeadlines.withDeadlines(waveDueIn(18_700), NOW_MS, WALL_MS), waveDueIn(8700));
     }
@@ -48,21 +48,21 @@
 
     @Test
     public void recordedDeadlineIsNotRecordedAgain() {
-        mBook.apply(new WaveDue(1, WALL_MS + 8700));
+        mRegistry.apply(new WaveDue(1, WALL_MS + 8700));
 
         assertEquals(mDeadlines.missingRecords(waveDueIn(18_700), NOW_MS, WALL_MS), List.of());
     }
 
     @Test
     public void earlierDeadlineWinsOverRecordedOne() {
-        mBook.apply(new WaveDue(1, WALL_MS + 8700));
+        mRegistry.apply(new WaveDue(1, WALL_MS + 8700));
 
         assertEquals(mDeadlines.withDeadlines(waveDueIn(4000), NOW_MS, WALL_MS), waveDueIn(4000));
     }
 
     @Test
     public void deadlineOfCompletedWaveIsNotRecorded() {
-        mBook.apply(new WaveCompleted(1));
+        mRegistry.apply(new WaveCompleted(1));
 
         assertEquals(mDeadlines.missingRecords(waveDueIn(26_000), NOW_MS, WALL_MS), List.of());
     }
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/JournalStreamTest.java
@@ -83,8 +83,8 @@
         }
 
         @Override
-        public void handOver(byte[] record, Consumer<StoreOutcome> then) {
-            then.accept(StoreOutcome.NOT_STORED);
+        public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
+            callback.accept(StoreOutcome.NOT_STORED);
         }
     }
 
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/OwnerLinkTest.java
@@ -46,9 +46,9 @@
                 }
 
                 @Override
-                public void handOver(byte[] record, Consumer<StoreOutcome> then) {
+                public void handOver(byte[] record, Consumer<StoreOutcome> callback) {
                     if (record[0] == 1) {
-                        then.accept(StoreOutcome.STORED);
+                        callback.accept(StoreOutcome.STORED);
                     }
                 }
             };
--- a/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
+++ b/foxtail-node/src/test/java/org/foxtailplank/node/peer/StreamBudgetTest.java
@@ -6,7 +6,7 @@
 import org.foxtailplank.node.LinkRate;
 import org.testng.annotations.Test;
 
-/** Guards against streamed records that fill a narrow link and delay orders to workers. */
+/** Guards against streamed records that fill a narrow link and delay commands to workers. */
 public class StreamBudgetTest {
     private static final LinkRate NARROW = new LinkRate(1.4);
     private static final LinkRate WIDE = new LinkRate(140);
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/Promise.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/Promise.java
@@ -294,7 +294,9 @@
     /** From when on an accepted job that hasn't begun counts as waiting, in milliseconds. */
     private static final long WAITING_MS = 5000;
 
-    /** Until when tasks of a cancelled job may start: 4 s, and 3 s that an order may be late. */
+    /**
+     * Until when tasks of a cancelled job may start: 4 s, and 3 s that a start command may be late.
+     */
     private static final long CANCEL_MS = 7000;
 
     /** Time until a standing task that was started is at work, in milliseconds. */
--- a/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakCallers.java
+++ b/foxtail-soak/src/main/java/org/foxtailplank/soak/SoakCallers.java
@@ -238,10 +238,11 @@
                 });
     }
 
-    private void send(int node, HttpCall call, Consumer<HttpResult> then) {
+    private void send(int node, HttpCall call, Consumer<HttpResult> callback) {
         Map<String, String> headers =
                 Map.of("Host", SoakSystem.HOST, "Deadline-Ms", Long.toString(DEADLINE_MS));
-        mClient.call(mSystem.nodes().get(node).callers(), call.with(headers), DEADLINE_MS, then);
+        mClient.call(
+                mSystem.nodes().get(node).callers(), call.with(headers), DEADLINE_MS, callback);
     }
 
     private static int status(HttpResult result) {
