--- a/foxtail-cli/src/main/java/org/foxtailplank/cli/internal/config/LogHistory.java
+++ b/foxtail-cli/src/main/java/org/foxtailplank/cli/internal/config/LogHistory.java
@@ -18,7 +18,7 @@
 import org.foxtailplank.process.PekkoRuntime;
 import org.foxtailplank.process.ProcessException;
 import org.foxtailplank.settings.PlatformSettings;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChange;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
@@ -59,7 +59,7 @@
      * @param change what made it
      */
     record Step(long version, long from, ConfigurationChange change) {
-        Author author() {
+        ChangeAuthor author() {
             return change instanceof ConfigurationChanged c
                     ? c.author()
                     : ((ConfigurationPublished) change).author();
--- a/foxtail-cli/src/test/java/org/foxtailplank/cli/FakeFleet.java
+++ b/foxtail-cli/src/test/java/org/foxtailplank/cli/FakeFleet.java
@@ -19,8 +19,8 @@
 import org.foxtailplank.process.PekkoRuntime;
 import org.foxtailplank.process.ProcessException;
 import org.foxtailplank.settings.ConfigurationCheck;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.Configuration;
 import org.foxtailplank.state.FleetState;
 import org.foxtailplank.state.FleetTopology;
@@ -91,7 +91,7 @@
     synchronized Verdict publish(Draft p) {
         Map<ZoneId, String> overlays = byZone(p.overlays());
         FleetTopology shape = ConfigurationCheck.of(p.base(), overlays).shape().orElseThrow();
-        Author author = new Author(p.who(), p.why());
+        ChangeAuthor author = new ChangeAuthor(p.who(), p.why());
         return append(
                 p.version(),
                 new Publication(p.base(), overlays, shape, author).toChange(mState, p.version()));
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ApiRequest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
 import java.util.List;
 import java.util.Map;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 
 /**
  * An authenticated request to the administration API.
@@ -30,10 +30,10 @@
     }
 
     /** Returns the author of a change as stored in the log. */
-    Author author(RequestBodies.ChangeBody body) {
+    ChangeAuthor author(RequestBodies.ChangeBody body) {
         String team = principal.team().value();
         String who = body.who() == null || body.who().isBlank() ? team : team + "/" + body.who();
-        return new Author(who, body.why());
+        return new ChangeAuthor(who, body.why());
     }
 
     /** Parses the body into a record. */
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ChangeEndpoints.java
@@ -20,8 +20,8 @@
 import org.foxtailplank.request.RequestClass;
 import org.foxtailplank.settings.Role;
 import org.foxtailplank.settings.Settings;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.JobCancelled;
 import org.foxtailplank.state.JobSpec;
 import org.foxtailplank.state.JobState;
@@ -86,7 +86,7 @@
         RequestBodies.MoveBody body = request.parseBody(RequestBodies.MoveBody.class);
         VmId vm = VmId.of(request.pathParameter());
         PoolId to = PoolId.of(body.to());
-        Author author = request.author(body);
+        ChangeAuthor author = request.author(body);
         return mLog.read(view -> view.vm(vm).map(state -> state.pool()))
                 .thenCompose(
                         from ->
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.internal.state.MergePatch;
 import org.foxtailplank.platform.FleetLog;
 import org.foxtailplank.settings.Role;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.Configuration;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.ObjectKey;
@@ -76,7 +76,7 @@
     }
 
     private CompletionStage<ApiResponse> patch(
-            Configuration current, RequestBodies.ConfigPatchBody body, Author author) {
+            Configuration current, RequestBodies.ConfigPatchBody body, ChangeAuthor author) {
         if (current.version() != body.version()) {
             String detail = "configuration is at version %d, not %d";
             Verdict.Void stale =
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ExplainEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ExplainEndpoints.java
@@ -30,7 +30,7 @@
 import org.foxtailplank.platform.FleetLog;
 import org.foxtailplank.settings.Role;
 import org.foxtailplank.settings.Settings;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.WavePhase;
 import org.foxtailplank.state.WaveState;
@@ -149,7 +149,7 @@
                 pools,
                 Set.of(),
                 WavePhase.RUNNING,
-                new Author("plan", "plan"),
+                new ChangeAuthor("plan", "plan"),
                 view.nextOffset(),
                 view.nextOffset());
     }
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/plan/FleetPlanner.java
@@ -17,8 +17,8 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.VmAction;
@@ -95,7 +95,7 @@
         if (decision instanceof WaveDecision.Go go) {
             go.step().vms().forEach(vm -> batch.reboot(vm, wave));
         } else if (decision instanceof WaveDecision.Pause pause) {
-            Author author = new Author(mAuthor, pause.reason());
+            ChangeAuthor author = new ChangeAuthor(mAuthor, pause.reason());
             batch.addWaveChange(wave, new WaveControlled(wave.id(), WaveOrder.PAUSE, author));
         } else if (decision instanceof WaveDecision.Finished) {
             batch.addWaveChange(wave, new WaveFinished(wave.id(), batch.mZone));
@@ -104,8 +104,8 @@
 
     private static String bufferReason(BufferPlan plan, FleetView view, VmId id) {
         return view.vm(id)
-                .map(vm -> plan.wants().get(vm.pool()))
-                .map(want -> want.text())
+                .map(vm -> plan.poolSizings().get(vm.pool()))
+                .map(sizing -> sizing.text())
                 .orElse("buffer");
     }
 
@@ -142,7 +142,7 @@
         }
 
         void observe(VmId id, VmHealth health) {
-            Author author = new Author(mAuthor, "the platform's list");
+            ChangeAuthor author = new ChangeAuthor(mAuthor, "the platform's list");
             findChangeable(id)
                     .ifPresent(
                             vm ->
@@ -161,7 +161,7 @@
         }
 
         void release(VmMove move) {
-            Author author = new Author(mAuthor, move.reason());
+            ChangeAuthor author = new ChangeAuthor(mAuthor, move.reason());
             findChangeable(move.vm())
                     .ifPresent(
                             vm ->
@@ -193,7 +193,7 @@
         }
 
         private Change intent(VmState vm, VmAction action, Optional<WaveId> wave, String why) {
-            Author author = new Author(mAuthor, why);
+            ChangeAuthor author = new ChangeAuthor(mAuthor, why);
             return new VmActionIntended(vm.id(), action, vm.generation() + 1, wave, author);
         }
     }
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/ControllerTest.java
@@ -29,7 +29,7 @@
 import org.foxtailplank.standin.PlatformOptions;
 import org.foxtailplank.standin.PlatformStandin;
 import org.foxtailplank.standin.SmallDeployment;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.LogRecord;
@@ -217,7 +217,7 @@
                                 "{}",
                                 Map.of(),
                                 FleetShapes.of(settings),
-                                new Author("test", "first")));
+                                new ChangeAuthor("test", "first")));
         assertTrue(mLog.submit(record).toCompletableFuture().get(10, TimeUnit.SECONDS).isApplied());
     }
 
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
@@ -24,8 +24,8 @@
 import org.foxtailplank.settings.Settings;
 import org.foxtailplank.settings.VmSettings;
 import org.foxtailplank.standin.SmallDeployment;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
 import org.foxtailplank.state.FleetTopology;
@@ -40,7 +40,7 @@
 /** A zone with two services on three racks, with fakes of its log, platform and workers. */
 final class TestFleet {
     static final ZoneId ZONE = ZoneId.of("a");
-    static final Author OPERATOR = new Author("operators", "test");
+    static final ChangeAuthor OPERATOR = new ChangeAuthor("operators", "test");
     static final FleetSettings SETTINGS =
             new FleetSettings(
                     0.5,
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlan.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/BufferPlan.java
@@ -11,12 +11,12 @@
  * @param wake VMs to power on
  * @param sleep VMs to drain and power off
  * @param moves VMs to move to another pool
- * @param wants wanted number of VMs for each pool
+ * @param poolSizings desired number of VMs for each pool, and its components
  * @param history history for the next plan
  */
 public record BufferPlan(
         List<VmId> wake,
         List<VmId> sleep,
         List<VmMove> moves,
-        Map<PoolId, PoolWant> wants,
+        Map<PoolId, PoolSizing> poolSizings,
         BufferHistory history) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/fleet/FleetExplainer.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/fleet/FleetExplainer.java
@@ -62,11 +62,11 @@
     }
 
     private Reason ofPhase(VmState vm) {
-        String want = wantOf(vm.pool());
+        String sizing = wantOf(vm.pool());
         return switch (vm.phase()) {
-            case SERVING -> new Reason(ReasonKind.WANTED, "it serves; its pool has " + want, "");
-            case WAKING -> new Reason(ReasonKind.WANTED, "it wakes; its pool has " + want, "");
-            case OFF -> new Reason(ReasonKind.NOT_WANTED, "it is off; its pool has " + want, "");
+            case SERVING -> new Reason(ReasonKind.WANTED, "it serves; its pool has " + sizing, "");
+            case WAKING -> new Reason(ReasonKind.WANTED, "it wakes; its pool has " + sizing, "");
+            case OFF -> new Reason(ReasonKind.NOT_WANTED, "it is off; its pool has " + sizing, "");
             case STOPPING ->
                     new Reason(ReasonKind.ORDERED, "it is drained" + ofWave(vm), "work in flight");
             case RELEASING ->
@@ -80,8 +80,8 @@
     }
 
     private String wantOf(PoolId pool) {
-        return Optional.ofNullable(buffer.wants().get(pool))
-                .map(PoolWant::text)
+        return Optional.ofNullable(buffer.poolSizings().get(pool))
+                .map(PoolSizing::text)
                 .orElse("no plan yet");
     }
 
@@ -92,16 +92,16 @@
 
     private List<Reason> reasons(PoolState pool) {
         List<Reason> reasons = new ArrayList<>();
-        PoolWant want = buffer.wants().get(pool.id());
-        if (want == null) {
+        PoolSizing sizing = buffer.poolSizings().get(pool.id());
+        if (sizing == null) {
             return List.of(new Reason(ReasonKind.WANTED, "no plan covers it yet", "the next plan"));
         }
-        reasons.add(new Reason(ReasonKind.WANTED, want.text(), waitsFor(want)));
-        if (want.missing() > 0) {
+        reasons.add(new Reason(ReasonKind.WANTED, sizing.text(), waitsFor(sizing)));
+        if (sizing.missing() > 0) {
             reasons.add(
                     new Reason(
                             ReasonKind.NO_ROOM,
-                            "it lacks " + want.missing() + " VMs even with all of its VMs on",
+                            "it lacks " + sizing.missing() + " VMs even with all of its VMs on",
                             "spare VMs of other pools for the move cooldown"));
         }
         buffer.moves().stream()
@@ -110,11 +110,11 @@
         return reasons;
     }
 
-    private static String waitsFor(PoolWant want) {
-        if (want.on() < want.wanted()) {
-            return want.wanted() - want.on() + " VMs to wake";
+    private static String waitsFor(PoolSizing sizing) {
+        if (sizing.poweredOn() < sizing.desired()) {
+            return sizing.desired() - sizing.poweredOn() + " VMs to wake";
         }
-        return want.on() > want.wanted() ? "the surplus to last a few wakes" : "";
+        return sizing.poweredOn() > sizing.desired() ? "the surplus to last a few wakes" : "";
     }
 
     /** Explains the state of a wave; empty for an unknown one. */
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/DemandBufferPlanner.java
@@ -11,8 +11,8 @@
 import org.foxtailplank.fleet.BufferPlan;
 import org.foxtailplank.fleet.BufferPlanner;
 import org.foxtailplank.fleet.Observation;
+import org.foxtailplank.fleet.PoolSizing;
 import org.foxtailplank.fleet.PoolUse;
-import org.foxtailplank.fleet.PoolWant;
 import org.foxtailplank.fleet.VmMove;
 import org.foxtailplank.id.PoolId;
 import org.foxtailplank.id.VmId;
@@ -50,7 +50,7 @@
         WavePools cover = WavePools.of(view);
         Map<PoolId, Integer> incoming = incoming(view);
         Map<PoolId, PoolHistory> pools = new HashMap<>();
-        Map<PoolId, PoolWant> wants = new TreeMap<>();
+        Map<PoolId, PoolSizing> poolSizings = new TreeMap<>();
         Map<PoolId, PoolRacks> racksOf = new TreeMap<>();
         List<VmId> wake = new ArrayList<>();
         List<VmId> sleep = new ArrayList<>();
@@ -61,13 +61,14 @@
             PoolRacks racks = PoolRacks.of(view.vmsOf(pool.id()), observation);
             DemandEstimate demand = estimate(before.demand(), pool, observation, nowMs);
             double surge = cover.contains(pool.id()) ? mSettings.rolloutWeight() : -1;
-            WantedCount wanted = wanted(pool, demand, budgets.of(pool.id()), racks, surge, nowMs);
-            wants.put(pool.id(), wanted.toPoolWant(racks));
+            PoolSizingInputs inputs =
+                    sizingInputs(pool, demand, budgets.of(pool.id()), racks, surge, nowMs);
+            poolSizings.put(pool.id(), inputs.toPoolSizing(racks));
             int arriving = incoming.getOrDefault(pool.id(), 0);
-            PoolHistory after = nextHistory(before, demand, wanted, racks, arriving, nowMs);
-            wake.addAll(wake(racks, wanted));
+            PoolHistory after = nextHistory(before, demand, inputs, racks, arriving, nowMs);
+            wake.addAll(wake(racks, inputs));
             int lasting = after.surplus().sustained(nowMs, MIN_SURPLUS_WAKES * mWakeMs);
-            sleep.addAll(sleep(racks, wanted, budgets.of(pool.id()), lasting));
+            sleep.addAll(sleep(racks, inputs, budgets.of(pool.id()), lasting));
             pools.put(pool.id(), lasting > 0 ? after.afterSleep() : after);
             racksOf.put(pool.id(), racks);
         }
@@ -78,7 +79,7 @@
             pools.computeIfPresent(move.from(), (id, h) -> h.afterMove());
             pools.computeIfPresent(move.to(), (id, h) -> h.afterMove());
         }
-        return new BufferPlan(wake, sleep, moves, wants, new BufferHistory(pools, moved));
+        return new BufferPlan(wake, sleep, moves, poolSizings, new BufferHistory(pools, moved));
     }
 
     private DemandEstimate estimate(
@@ -91,7 +92,7 @@
         return before.update(use, mWakeMs + Math.min(lag, STALE_WAKES * mWakeMs));
     }
 
-    private WantedCount wanted(
+    private PoolSizingInputs sizingInputs(
             PoolState pool,
             DemandEstimate demand,
             AvailabilityBudget budget,
@@ -100,7 +101,7 @@
             long nowMs) {
         int othersServe = Math.max(0, budget.serving() - racks.onCount());
         long stale = STALE_WAKES * mWakeMs;
-        return new WantedCount(
+        return new PoolSizingInputs(
                 demand.demandAt(pool.target(), nowMs, stale)
                         * demand.saturationFactor(racks.servingCount()),
                 demand.growth(),
@@ -114,14 +115,14 @@
     private static PoolHistory nextHistory(
             PoolHistory before,
             DemandEstimate demand,
-            WantedCount wanted,
+            PoolSizingInputs inputs,
             PoolRacks racks,
             int arriving,
             long nowMs) {
         int largest = racks.largestRackSize();
-        int surplus = racks.onCount() - wanted.bounded(largest);
-        int shortage = wanted.required(largest) - racks.availableCount() - arriving;
-        int spare = racks.availableCount() - wanted.unbounded(largest);
+        int surplus = racks.onCount() - inputs.bounded(largest);
+        int shortage = inputs.required(largest) - racks.availableCount() - arriving;
+        int spare = racks.availableCount() - inputs.unbounded(largest);
         return new PoolHistory(
                 demand,
                 before.surplus().update(surplus, nowMs),
@@ -135,9 +136,9 @@
         return incoming;
     }
 
-    private static List<VmId> wake(PoolRacks racks, WantedCount wanted) {
+    private static List<VmId> wake(PoolRacks racks, PoolSizingInputs inputs) {
         List<VmId> wake = new ArrayList<>();
-        while (racks.onCount() < wanted.bounded(racks.largestRackSize())) {
+        while (racks.onCount() < inputs.bounded(racks.largestRackSize())) {
             Optional<VmState> vm = racks.takeForWake();
             if (vm.isEmpty()) {
                 break;
@@ -149,10 +150,10 @@
 
     /** Selects VMs to put to sleep, at most the sustained surplus and within the budget. */
     private static List<VmId> sleep(
-            PoolRacks racks, WantedCount wanted, AvailabilityBudget budget, int lasting) {
+            PoolRacks racks, PoolSizingInputs inputs, AvailabilityBudget budget, int lasting) {
         List<VmId> sleep = new ArrayList<>();
         while (sleep.size() < lasting
-                && racks.onCount() > wanted.bounded(racks.largestRackSize())) {
+                && racks.onCount() > inputs.bounded(racks.largestRackSize())) {
             Optional<VmState> vm = racks.nextToStop();
             if (vm.isEmpty()) {
                 break;
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolHistory.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolHistory.java
@@ -6,9 +6,9 @@
  * Planning history of one pool.
  *
  * @param demand estimated demand
- * @param surplus powered-on VMs beyond the wanted count
+ * @param surplus powered-on VMs beyond the desired count
  * @param shortage required VMs beyond the available ones
- * @param spare available VMs beyond the wanted count
+ * @param spare available VMs beyond the desired count
  */
 public record PoolHistory(
         DemandEstimate demand,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/WantedCount.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/buffer/PoolSizingInputs.java
@@ -1,9 +1,9 @@
 package org.foxtailplank.internal.buffer;
 
-import org.foxtailplank.fleet.PoolWant;
+import org.foxtailplank.fleet.PoolSizing;
 
 /**
- * Inputs for the number of VMs wanted in a pool, except the size of its largest rack.
+ * Inputs for the desired number of VMs in a pool, except the size of its largest rack.
  *
  * @param demand estimated demand
  * @param growth rise within one wake
@@ -13,7 +13,7 @@
  * @param available VMs that are on or could be woken
  * @param measured whether the estimate is based on a fresh measurement
  */
-record WantedCount(
+record PoolSizingInputs(
         double demand,
         double growth,
         int minAvailable,
@@ -23,7 +23,8 @@
         boolean measured) {
 
     /**
-     * Returns the VMs wanted for a size of the largest rack, limited to the available ones.
+     * Returns the desired number of VMs for a size of the largest rack, limited to the available
+     * ones.
      *
      * <p>Growth and the loss of a rack share one reserve, because a rack loss during full growth is
      * rare and the budget holds without the growth.
@@ -42,7 +43,7 @@
         return Math.max((int) Math.ceil(demand), forBudget);
     }
 
-    /** Returns the VMs wanted, not limited to the available ones. */
+    /** Returns the desired number of VMs, not limited to the available ones. */
     int unbounded(int largestRack) {
         return base(largestRack);
     }
@@ -65,9 +66,9 @@
         return Math.min(idle, Math.max(1, (int) Math.ceil(surge * idle)));
     }
 
-    PoolWant toPoolWant(PoolRacks racks) {
+    PoolSizing toPoolSizing(PoolRacks racks) {
         int largest = racks.largestRackSize();
-        return new PoolWant(
+        return new PoolSizing(
                 racks.onCount(),
                 bounded(largest),
                 available,
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
@@ -10,7 +10,7 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.Configuration;
 import org.foxtailplank.state.ConfigurationChange;
 import org.foxtailplank.state.ConfigurationChanged;
@@ -123,7 +123,7 @@
         mShapes.put(id, shape);
     }
 
-    private Configuration configuration(long version, Author author) {
+    private Configuration configuration(long version, ChangeAuthor author) {
         Map<ZoneId, String> overlays = new TreeMap<>();
         mOverlays.forEach((z, t) -> overlays.put(z, t.text()));
         return new Configuration(version, mBase.text(), Map.copyOf(overlays), author);
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/WaveFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/WaveFold.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ObjectKey;
 import org.foxtailplank.state.Verdict;
 import org.foxtailplank.state.WaveChange;
@@ -110,7 +110,7 @@
     }
 
     private static WaveState with(
-            WaveState w, Set<ZoneId> finished, WavePhase phase, Author author, long offset) {
+            WaveState w, Set<ZoneId> finished, WavePhase phase, ChangeAuthor author, long offset) {
         return new WaveState(
                 w.id(), w.zones(), w.pools(), finished, phase, author, w.started(), offset);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Author.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ChangeAuthor.java
@@ -6,4 +6,4 @@
  * @param who operator or controller
  * @param why reason, as free text
  */
-public record Author(String who, String why) {}
+public record ChangeAuthor(String who, String why) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Configuration.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Configuration.java
@@ -12,4 +12,4 @@
  * @param author who published it, and why
  */
 public record Configuration(
-        long version, String base, Map<ZoneId, String> overlays, Author author) {}
+        long version, String base, Map<ZoneId, String> overlays, ChangeAuthor author) {}
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
@@ -16,7 +16,7 @@
         String basePatch,
         Map<ZoneId, String> overlayPatches,
         FleetTopology shapePatch,
-        Author author)
+        ChangeAuthor author)
         implements ConfigurationChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
@@ -13,7 +13,7 @@
  * @param author who published it, and why
  */
 public record ConfigurationPublished(
-        String base, Map<ZoneId, String> overlays, FleetTopology shape, Author author)
+        String base, Map<ZoneId, String> overlays, FleetTopology shape, ChangeAuthor author)
         implements ConfigurationChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobCancelled.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobCancelled.java
@@ -9,7 +9,7 @@
  * @param job the job
  * @param author who cancelled it, and why
  */
-public record JobCancelled(JobId job, Author author) implements JobChange {
+public record JobCancelled(JobId job, ChangeAuthor author) implements JobChange {
 
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/JobSubmitted.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/JobSubmitted.java
@@ -10,7 +10,7 @@
  * @param spec resource requirements
  * @param author who submitted it, and why
  */
-public record JobSubmitted(JobId job, JobSpec spec, Author author) implements JobChange {
+public record JobSubmitted(JobId job, JobSpec spec, ChangeAuthor author) implements JobChange {
 
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/PoolTargetChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/PoolTargetChanged.java
@@ -11,7 +11,7 @@
  * @param reserve VMs powered on beyond the target
  * @param author who made the change, and why
  */
-public record PoolTargetChanged(PoolId pool, int target, int reserve, Author author)
+public record PoolTargetChanged(PoolId pool, int target, int reserve, ChangeAuthor author)
         implements Change {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
@@ -19,7 +19,7 @@
  * @param author who publishes it, and why
  */
 public record Publication(
-        String base, Map<ZoneId, String> overlays, FleetTopology shape, Author author) {
+        String base, Map<ZoneId, String> overlays, FleetTopology shape, ChangeAuthor author) {
     /**
      * Longest configuration that is always published whole, with its comments. Larger ones are
      * patched, which bounds the log traffic of frequent changes.
--- a/foxtail-core/src/main/java/org/foxtailplank/state/TeamQuotaChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/TeamQuotaChanged.java
@@ -10,7 +10,7 @@
  * @param quota share under contention
  * @param author who made the change, and why
  */
-public record TeamQuotaChanged(TeamId team, double quota, Author author) implements Change {
+public record TeamQuotaChanged(TeamId team, double quota, ChangeAuthor author) implements Change {
 
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmActionIntended.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmActionIntended.java
@@ -17,7 +17,7 @@
  * @param author who intends it, and why
  */
 public record VmActionIntended(
-        VmId vm, VmAction action, long generation, Optional<WaveId> wave, Author author)
+        VmId vm, VmAction action, long generation, Optional<WaveId> wave, ChangeAuthor author)
         implements VmChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmObserved.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmObserved.java
@@ -14,7 +14,7 @@
  * @param health observed health
  * @param author who observed it, and how
  */
-public record VmObserved(VmId vm, long generation, VmHealth health, Author author)
+public record VmObserved(VmId vm, long generation, VmHealth health, ChangeAuthor author)
         implements VmChange {
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmReleased.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmReleased.java
@@ -15,7 +15,7 @@
  * @param to pool to join
  * @param author who releases it, and why
  */
-public record VmReleased(VmId vm, PoolId from, PoolId to, Author author) implements VmChange {
+public record VmReleased(VmId vm, PoolId from, PoolId to, ChangeAuthor author) implements VmChange {
 
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveControlled.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveControlled.java
@@ -10,7 +10,8 @@
  * @param order the command
  * @param author who gave the command, and why
  */
-public record WaveControlled(WaveId wave, WaveOrder order, Author author) implements WaveChange {
+public record WaveControlled(WaveId wave, WaveOrder order, ChangeAuthor author)
+        implements WaveChange {
 
     @Override
     public Set<ObjectKey> touches() {
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveStarted.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveStarted.java
@@ -13,7 +13,7 @@
  * @param pools pools that it covers; empty for all
  * @param author who started it, and why
  */
-public record WaveStarted(WaveId wave, Set<ZoneId> zones, Set<PoolId> pools, Author author)
+public record WaveStarted(WaveId wave, Set<ZoneId> zones, Set<PoolId> pools, ChangeAuthor author)
         implements WaveChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/WaveState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/WaveState.java
@@ -23,6 +23,6 @@
         Set<PoolId> pools,
         Set<ZoneId> finished,
         WavePhase phase,
-        Author lastOrder,
+        ChangeAuthor lastOrder,
         long started,
         long version) {}
--- a/foxtail-core/src/test/java/org/foxtailplank/fleet/FakeFleetView.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/fleet/FakeFleetView.java
@@ -13,7 +13,7 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.Configuration;
 import org.foxtailplank.state.EpochState;
 import org.foxtailplank.state.FleetView;
@@ -82,7 +82,7 @@
                         Set.of(),
                         Set.of(),
                         WavePhase.RUNNING,
-                        new Author("test", "test"),
+                        new ChangeAuthor("test", "test"),
                         at,
                         at);
         mWaves.put(wave.id(), wave);
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/buffer/DemandBufferPlannerTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/buffer/DemandBufferPlannerTest.java
@@ -66,7 +66,7 @@
         BufferPlan plan = plan(fleet(2, 10), Optional.empty(), 0);
 
         // Six are declared, and the loss of the largest rack is kept in reserve.
-        assertTrue(plan.wake().size() >= 5, plan.wants().toString());
+        assertTrue(plan.wake().size() >= 5, plan.poolSizings().toString());
     }
 
     @Test
@@ -78,7 +78,7 @@
 
         BufferPlan plan = plan(fleet, Optional.of(new PoolUse(0, 6, 6)), 2_000);
 
-        assertTrue(plan.wake().size() >= 6, plan.wants().toString());
+        assertTrue(plan.wake().size() >= 6, plan.poolSizings().toString());
     }
 
     @Test
@@ -94,8 +94,9 @@
             }
         }
 
-        assertEquals(plan.wants().get(POOL).on(), plan.wants().get(POOL).wanted());
-        assertTrue(plan.wants().get(POOL).on() <= 4, plan.wants().toString());
+        assertEquals(
+                plan.poolSizings().get(POOL).poweredOn(), plan.poolSizings().get(POOL).desired());
+        assertTrue(plan.poolSizings().get(POOL).poweredOn() <= 4, plan.poolSizings().toString());
     }
 
     @Test
@@ -119,8 +120,8 @@
 
         BufferPlan plan = plan(fleet, Optional.of(new PoolUse(WAKE / 2, 7, 6)), WAKE / 2);
 
-        assertEquals(plan.wants().get(POOL).growth(), 3.0, 0.01);
-        assertTrue(plan.wants().get(POOL).wanted() >= 10);
+        assertEquals(plan.poolSizings().get(POOL).growth(), 3.0, 0.01);
+        assertTrue(plan.poolSizings().get(POOL).desired() >= 10);
     }
 
     @Test
@@ -169,8 +170,8 @@
     private static int wanted(FakeFleetView fleet, double weight) {
         return BufferPlanner.byDemand(settings(weight))
                 .plan(fleet, Observation.none(), BufferHistory.none(), 0)
-                .wants()
+                .poolSizings()
                 .get(POOL)
-                .wanted();
+                .desired();
     }
 }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerFoldTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerFoldTest.java
@@ -20,8 +20,8 @@
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.state.ActionOutcome;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.FleetState;
 import org.foxtailplank.state.FleetTopology;
@@ -42,7 +42,7 @@
 /** Tests the wave planner on {@link FleetState}: both agree on allowed stops and on failures. */
 public class RackWavePlannerFoldTest {
 
-    private static final Author AUTHOR = new Author("test", "test");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("test", "test");
     private static final ZoneId ZONE = ZoneId.of("a");
     private static final WaveId WAVE = WaveId.of("w");
 
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
@@ -16,7 +16,7 @@
 
 /** Writes records to its own {@link FleetState}. */
 public final class FoldDriver {
-    public static final Author AUTHOR = new Author("ivana", "test");
+    public static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "test");
     public static final NodeId NODE = NodeId.of("entry-1");
     public static final ZoneId ZONE = ZoneId.of("sofia-1");
 
--- a/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/Changes.java
+++ b/foxtail-load/src/main/java/org/foxtailplank/load/internal/fleet/Changes.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.WaveId;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.VmAction;
 import org.foxtailplank.state.VmActionIntended;
@@ -11,7 +11,7 @@
 /** Words decisions as changes of the log. */
 final class Changes {
 
-    static final Author AUTHOR = new Author("driver", "measurement");
+    static final ChangeAuthor AUTHOR = new ChangeAuthor("driver", "measurement");
 
     private Changes() {}
 
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/Configurations.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/Configurations.java
@@ -8,7 +8,7 @@
 import org.foxtailplank.id.ServiceId;
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.FleetTopology;
@@ -20,7 +20,7 @@
 
     private static final int VMS_PER_RACK = 4;
     private static final int ZONES = 11;
-    private static final Author AUTHOR = new Author("ivana", "measurement");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "measurement");
 
     private Configurations() {}
 
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FleetNodes.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FleetNodes.java
@@ -18,8 +18,8 @@
 import org.foxtailplank.platform.FollowMode;
 import org.foxtailplank.platform.FollowOptions;
 import org.foxtailplank.platform.PlatformLog;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.FleetTopology;
 import org.foxtailplank.state.LogRecord;
@@ -33,7 +33,7 @@
 final class FleetNodes {
     static final TeamId TEAM = TeamId.of("adjusters");
 
-    private static final Author AUTHOR = new Author("ivana", "test");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "test");
     private static final long WAIT_SECONDS = 30;
     private static final Duration RESTORE_DELAY = Duration.ofMillis(80);
     private static final Duration SNAPSHOTS_NEVER = Duration.ofDays(365);
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FollowedFleetLogTest.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/FollowedFleetLogTest.java
@@ -16,7 +16,7 @@
 import org.foxtailplank.platform.FollowOptions;
 import org.foxtailplank.platform.PlatformException;
 import org.foxtailplank.platform.PlatformException.Effect;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.FleetView;
 import org.foxtailplank.state.LogRecord;
 import org.foxtailplank.state.ObjectKey;
@@ -100,7 +100,7 @@
                 NodeId.of("entry-1"),
                 Optional.empty(),
                 expects,
-                new TeamQuotaChanged(TEAM, quota, new Author("ivana", "test")));
+                new TeamQuotaChanged(TEAM, quota, new ChangeAuthor("ivana", "test")));
     }
 
     private static <T> T get(CompletionStage<T> stage) throws Exception {
--- a/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/MeasuredFleet.java
+++ b/foxtail-platform/src/test/java/org/foxtailplank/platform/internal/fleet/MeasuredFleet.java
@@ -14,8 +14,8 @@
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.state.ActingEpoch;
 import org.foxtailplank.state.ActionOutcome;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
@@ -37,7 +37,7 @@
 final class MeasuredFleet {
     private static final int VMS_PER_RACK = 4;
     private static final NodeId NODE = NodeId.of("entry-1");
-    private static final Author AUTHOR = new Author("ivana", "wave december");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "wave december");
 
     private final List<LogRecord> mRecords = new ArrayList<>();
     private final FleetState mState = new FleetState();
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
@@ -12,8 +12,8 @@
 import org.foxtailplank.id.VmId;
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
@@ -233,8 +233,8 @@
     }
 
     /** Decodes the author of a change. */
-    public static Author author(AuthorProto p) {
-        return new Author(p.getWho(), p.getWhy());
+    public static ChangeAuthor author(AuthorProto p) {
+        return new ChangeAuthor(p.getWho(), p.getWhy());
     }
 
     /** Decodes a map from zones to texts. */
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
@@ -1,8 +1,8 @@
 package org.foxtailplank.wire.internal.records;
 
 import org.foxtailplank.id.ZoneId;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChange;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
@@ -213,7 +213,7 @@
     }
 
     /** Encodes the author of a change. */
-    public static AuthorProto author(Author a) {
+    public static AuthorProto author(ChangeAuthor a) {
         return AuthorProto.newBuilder().setWho(a.who()).setWhy(a.why()).build();
     }
 }
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
@@ -21,9 +21,9 @@
 import org.foxtailplank.request.RequestClass;
 import org.foxtailplank.state.ActingEpoch;
 import org.foxtailplank.state.ActionOutcome;
-import org.foxtailplank.state.Author;
 import org.foxtailplank.state.Basis;
 import org.foxtailplank.state.Change;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.ConfigurationChanged;
 import org.foxtailplank.state.ConfigurationPublished;
 import org.foxtailplank.state.EpochTaken;
@@ -60,7 +60,7 @@
 
 /** Tests the record codec, including records written by a newer version. */
 public class RecordCodecTest {
-    private static final Author AUTHOR = new Author("ivana", "ticket 7");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "ticket 7");
     private static final VmId VM = VmId.of("vm-1");
     private static final PoolId POOL = PoolId.of("claims");
     private static final ZoneId ZONE = ZoneId.of("sofia-1");
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/SnapshotCodecTest.java
@@ -23,7 +23,7 @@
 import org.foxtailplank.id.WaveId;
 import org.foxtailplank.id.ZoneId;
 import org.foxtailplank.request.RequestClass;
-import org.foxtailplank.state.Author;
+import org.foxtailplank.state.ChangeAuthor;
 import org.foxtailplank.state.Configuration;
 import org.foxtailplank.state.EpochState;
 import org.foxtailplank.state.FleetSnapshot;
@@ -46,7 +46,7 @@
 
 /** Tests the snapshot codec and the reassembly of snapshots from chunks. */
 public class SnapshotCodecTest {
-    private static final Author AUTHOR = new Author("ivana", "ticket 7");
+    private static final ChangeAuthor AUTHOR = new ChangeAuthor("ivana", "ticket 7");
     private static final ZoneId ZONE = ZoneId.of("sofia-1");
     private static final PoolId POOL = PoolId.of("claims");
     private static final WaveId WAVE = WaveId.of("december");
