--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/ConfigurationChecker.java
@@ -21,13 +21,13 @@
     /**
      * The result of a check.
      *
-     * @param shape fleet layout that the state fold needs; empty if there are errors
+     * @param topology fleet topology that the state fold needs; empty if there are errors
      * @param errors all errors, one line each
      */
-    record Result(Optional<FleetTopology> shape, List<String> errors) {
+    record Result(Optional<FleetTopology> topology, List<String> errors) {
         /** Returns the result of a check without errors. */
-        public static Result valid(FleetTopology shape) {
-            return new Result(Optional.of(shape), List.of());
+        public static Result valid(FleetTopology topology) {
+            return new Result(Optional.of(topology), List.of());
         }
 
         /** Returns the result of a check that found errors. */
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmObserver.java
@@ -30,7 +30,7 @@
                         .filter(a -> a.progress() != ActionReport.Progress.RUNNING)
                         .isPresent();
         return new VmObservation(
-                toVmAtPlatform(report),
+                toPlatformVmStatus(report),
                 report.instance().isPresent(),
                 pending.willServe(),
                 pending.tasks(),
@@ -53,7 +53,7 @@
         return Duration.between(times.computeIfAbsent(vm, v -> now), now);
     }
 
-    private static PlatformVmStatus toVmAtPlatform(VmReport report) {
+    private static PlatformVmStatus toPlatformVmStatus(VmReport report) {
         PlatformVmStatus.Power power =
                 switch (report.power()) {
                     case OFF, FAILED -> PlatformVmStatus.Power.DOWN;
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/act/VmStepExecutor.java
@@ -103,11 +103,12 @@
 
     private CompletionStage<?> execute(VmProcedureStep step, PendingVm pending, ActingEpoch epoch) {
         VmId vm = pending.vm().id();
-        if (step instanceof VmProcedureStep.RequestDrain ask) {
-            return requestAction(pending, ask.call(), PlatformAction.DRAIN, "it is to stop");
+        if (step instanceof VmProcedureStep.RequestDrain drain) {
+            return requestAction(pending, drain.call(), PlatformAction.DRAIN, "it is to stop");
         }
-        if (step instanceof VmProcedureStep.RequestAction ask) {
-            return requestAction(pending, ask.call(), toPlatform(ask.action()), ask.note());
+        if (step instanceof VmProcedureStep.RequestAction request) {
+            return requestAction(
+                    pending, request.call(), toPlatform(request.action()), request.note());
         }
         if (step instanceof VmProcedureStep.Confirm confirm) {
             long generation = pending.vm().generation();
--- a/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
+++ b/foxtail-controller/src/main/java/org/foxtailplank/controller/internal/admin/ConfigurationEndpoints.java
@@ -47,11 +47,12 @@
         RequestBodies.ConfigBody body = request.parseBody(RequestBodies.ConfigBody.class);
         Map<ZoneId, String> overlays = byZone(body.overlays());
         ConfigurationChecker.Result checked = mChecker.check(body.base(), overlays);
-        if (checked.shape().isEmpty()) {
+        if (checked.topology().isEmpty()) {
             return invalidConfiguration(checked);
         }
         return appendChange(
-                new Publication(body.base(), overlays, checked.shape().get(), request.author(body)),
+                new Publication(
+                        body.base(), overlays, checked.topology().get(), request.author(body)),
                 body.version());
     }
 
@@ -95,12 +96,12 @@
         }
         ConfigurationChecker.Result checked =
                 mChecker.check(merged.get().base(), merged.get().overlays());
-        if (checked.shape().isEmpty()) {
+        if (checked.topology().isEmpty()) {
             return invalidConfiguration(checked);
         }
         Merged m = merged.get();
         return appendChange(
-                new Publication(m.base(), m.overlays(), checked.shape().get(), author),
+                new Publication(m.base(), m.overlays(), checked.topology().get(), author),
                 body.version());
     }
 
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestController.java
@@ -61,7 +61,7 @@
                         () -> policy,
                         node -> silent.contains(node) ? Duration.ofHours(1) : Duration.ZERO,
                         fleet.clock());
-        ShardContext parts =
+        ShardContext context =
                 new ShardContext(
                         mLog,
                         writer,
@@ -71,7 +71,7 @@
                         fleet.platform().directory(Interruption.none()),
                         runner,
                         fleet.clock());
-        mShardLoop = new ShardLoop(TestFleet.ZONE, parts, this);
+        mShardLoop = new ShardLoop(TestFleet.ZONE, context, this);
         mPlacementLoop =
                 new PlacementLoop(
                         new PlacementContext(
--- a/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
+++ b/foxtail-controller/src/test/java/org/foxtailplank/controller/internal/act/TestFleet.java
@@ -70,7 +70,7 @@
     private int mRecords;
 
     TestFleet() {
-        Map<VmId, VmLocation> places = new HashMap<>();
+        Map<VmId, VmLocation> locations = new HashMap<>();
         Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> budgets = new HashMap<>();
         for (String service : SERVICES) {
@@ -85,12 +85,13 @@
                 mPlatform.add(vm, ZONE.value(), rack, service);
                 mSizes.put(
                         VmId.of(vm), new VmSettings(RackId.of(rack), ZONE, PROCESSORS, MEMORY, 0));
-                places.put(VmId.of(vm), new VmLocation(ZONE, RackId.of(rack), PoolId.of(service)));
+                locations.put(
+                        VmId.of(vm), new VmLocation(ZONE, RackId.of(rack), PoolId.of(service)));
             }
         }
         mWorkers = new FakeTaskWorkers(mClock, List.copyOf(mSizes.keySet()));
-        FleetTopology shape = new FleetTopology(places, pools, budgets);
-        Change change = new ConfigurationPublished("{}", Map.of(), shape, OPERATOR);
+        FleetTopology topology = new FleetTopology(locations, pools, budgets);
+        Change change = new ConfigurationPublished("{}", Map.of(), topology, OPERATOR);
         submit(change, ObjectKey.configuration(), 0);
     }
 
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/admission/AdmissionQueue.java
@@ -101,7 +101,7 @@
             c.teams().forEach(t -> collectExpired(t, now + serviceTime, expired));
             c.expiredRemoved(expired.size() - before);
         }
-        expired.forEach(t -> mBytes -= t.bytes());
+        expired.forEach(r -> mBytes -= r.bytes());
         return expired;
     }
 
@@ -109,10 +109,10 @@
             TeamQueue<T> team, long completion, List<QueuedRequest<T>> expired) {
         Iterator<QueuedRequest<T>> it = team.requests().iterator();
         while (it.hasNext()) {
-            QueuedRequest<T> t = it.next();
-            if (t.deadline() - completion < 0) {
+            QueuedRequest<T> request = it.next();
+            if (request.deadline() - completion < 0) {
                 it.remove();
-                expired.add(t);
+                expired.add(request);
             }
         }
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmProcedure.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/control/VmProcedure.java
@@ -15,11 +15,11 @@
  * report at any step.
  */
 public final class VmProcedure {
-    private final VmTimeouts mWaits;
+    private final VmTimeouts mTimeouts;
 
     /** Creates a procedure with its timeouts. */
-    public VmProcedure(VmTimeouts waits) {
-        mWaits = waits;
+    public VmProcedure(VmTimeouts timeouts) {
+        mTimeouts = timeouts;
     }
 
     /** Returns the next step for a VM. */
@@ -84,10 +84,10 @@
         if (observation.backend().filter(b -> !b.leaving()).isPresent()) {
             return new VmProcedureStep.Confirm(ActionOutcome.DONE, "its backend server serves");
         }
-        if (observation.ended().compareTo(mWaits.serveTimeout()) >= 0) {
+        if (observation.ended().compareTo(mTimeouts.serveTimeout()) >= 0) {
             String why =
                     "its backend server did not serve within "
-                            + mWaits.serveTimeout().toMillis()
+                            + mTimeouts.serveTimeout().toMillis()
                             + " ms";
             return new VmProcedureStep.Confirm(ActionOutcome.FAILED, why);
         }
@@ -102,7 +102,7 @@
         if (!report.leaving() && report.generation() < call.generation()) {
             return Drain.next(new VmProcedureStep.RequestDrain(call));
         }
-        if (observation.draining().compareTo(mWaits.drainTimeout()) >= 0) {
+        if (observation.draining().compareTo(mTimeouts.drainTimeout()) >= 0) {
             String left =
                     observation
                             .backend()
@@ -111,12 +111,14 @@
             return Drain.done(
                     "drain timed out after %d ms, %s, %d tasks"
                             .formatted(
-                                    mWaits.drainTimeout().toMillis(), left, observation.tasks()));
+                                    mTimeouts.drainTimeout().toMillis(),
+                                    left,
+                                    observation.tasks()));
         }
         // An entry that does not know yet that the VM is leaving may still send a request, which
         // the stop would abort. After the settle time entries send nothing new, so a count of 0
         // requests in flight is reliable only then.
-        if (observation.draining().compareTo(mWaits.settleTime()) < 0) {
+        if (observation.draining().compareTo(mTimeouts.settleTime()) < 0) {
             return Drain.next(new VmProcedureStep.Wait("entries to learn that it is leaving"));
         }
         if (observation.tasks() > 0) {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/ServiceDispatcher.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/dispatch/ServiceDispatcher.java
@@ -125,9 +125,9 @@
         }
         return mQueue.take(now)
                 .map(
-                        t -> {
+                        queued -> {
                             mRetries.deposit();
-                            return startAttempt(t.request(), target.get(), now);
+                            return startAttempt(queued.request(), target.get(), now);
                         });
     }
 
@@ -157,7 +157,7 @@
     /** Removes and returns requests that can no longer meet their deadline. */
     public List<T> removeExpired(long now) {
         return mQueue.removeExpired(requiredTime(now), now).stream()
-                .map(t -> t.request().item())
+                .map(queued -> queued.request().item())
                 .toList();
     }
 
@@ -178,7 +178,7 @@
     }
 
     private static <T> QueuedRequest<PendingRequest<T>> toQueued(PendingRequest<T> r) {
-        QueuedRequest<T> t = r.queuedRequest();
-        return new QueuedRequest<>(r, t.requestClass(), t.team(), t.deadline(), t.bytes());
+        QueuedRequest<T> q = r.queuedRequest();
+        return new QueuedRequest<>(r, q.requestClass(), q.team(), q.deadline(), q.bytes());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/log/AppendQueue.java
@@ -216,24 +216,24 @@
     }
 
     private List<GroupResult> settleAppended(long first, long end) {
-        List<GroupResult> settled = new ArrayList<>();
+        List<GroupResult> results = new ArrayList<>();
         long offset = first;
         for (AppendGroup group : mBatch) {
-            settled.add(new GroupResult(group, new AppendOutcome.Appended(offset, end)));
+            results.add(new GroupResult(group, new AppendOutcome.Appended(offset, end)));
             offset += group.ids().size();
         }
         endBatch();
         mBackoff.reset();
-        return settled;
+        return results;
     }
 
     private List<GroupResult> settleUnresolved(String reason) {
-        List<GroupResult> settled =
+        List<GroupResult> results =
                 mBatch.stream()
                         .map(g -> new GroupResult(g, new AppendOutcome.Unresolved(reason)))
                         .toList();
         endBatch();
-        return settled;
+        return results;
     }
 
     private void endBatch() {
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/membership/SilenceLimits.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/membership/SilenceLimits.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns timeouts that are extended by the propagation delay of gossip. */
-    public SilenceLimits plusPropagationDelay(Duration spread) {
-        return of(Duration.ofNanos(awayNanos).plus(spread));
+    public SilenceLimits plusPropagationDelay(Duration propagationDelay) {
+        return of(Duration.ofNanos(awayNanos).plus(propagationDelay));
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/ConfigurationFold.java
@@ -27,7 +27,7 @@
 /** Folds configuration changes into the configuration in force, the VMs and the pools. */
 public final class ConfigurationFold {
     private final FleetIndex mIndex;
-    private final Map<PoolId, PoolDefinition> mShapes = new HashMap<>();
+    private final Map<PoolId, PoolDefinition> mPoolDefinitions = new HashMap<>();
     private final Map<ZoneId, PatchedText> mOverlays = new TreeMap<>();
     private PatchedText mBase = new PatchedText("");
     private Optional<Configuration> mCurrent = Optional.empty();
@@ -53,8 +53,8 @@
     }
 
     /** Returns the pools as configured. */
-    public Map<PoolId, PoolDefinition> shapes() {
-        return Collections.unmodifiableMap(mShapes);
+    public Map<PoolId, PoolDefinition> poolDefinitions() {
+        return Collections.unmodifiableMap(mPoolDefinitions);
     }
 
     public Verdict apply(long offset, ConfigurationChange change) {
@@ -67,15 +67,15 @@
     }
 
     private Verdict applyPublished(long offset, ConfigurationPublished c) {
-        Optional<Verdict> wrong = checkRemovals(c.shape());
+        Optional<Verdict> wrong = checkRemovals(c.topology());
         if (wrong.isEmpty()) {
-            wrong = checkAdditions(c.shape(), c.shape().pools());
+            wrong = checkAdditions(c.topology(), c.topology().pools());
         }
         if (wrong.isPresent()) {
             return wrong.get();
         }
-        removeMissing(c.shape());
-        add(offset, c.shape());
+        removeMissing(c.topology());
+        add(offset, c.topology());
         restore(new Configuration(offset, c.base(), c.overlays(), c.author()));
         return Verdict.APPLIED;
     }
@@ -91,13 +91,13 @@
         if (!readable) {
             return Verdicts.malformed("a merge patch is not a JSON object");
         }
-        Map<PoolId, PoolDefinition> pools = new HashMap<>(mShapes);
-        pools.putAll(c.shapePatch().pools());
-        Optional<Verdict> wrong = checkAdditions(c.shapePatch(), pools);
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(mPoolDefinitions);
+        pools.putAll(c.topologyPatch().pools());
+        Optional<Verdict> wrong = checkAdditions(c.topologyPatch(), pools);
         if (wrong.isPresent()) {
             return wrong.get();
         }
-        add(offset, c.shapePatch());
+        add(offset, c.topologyPatch());
         mBase.patch(c.basePatch());
         c.overlayPatches()
                 .forEach(
@@ -119,8 +119,8 @@
     }
 
     /** Restores the configured definition of a pool. */
-    public void restore(PoolId id, PoolDefinition shape) {
-        mShapes.put(id, shape);
+    public void restore(PoolId id, PoolDefinition definition) {
+        mPoolDefinitions.put(id, definition);
     }
 
     private Configuration configuration(long version, Author author) {
@@ -130,10 +130,10 @@
     }
 
     /** Rejects the removal of a VM or pool in use: its VMs would stop without a drain. */
-    private Optional<Verdict> checkRemovals(FleetTopology shape) {
-        Set<PoolId> pools = shape.pools().keySet();
+    private Optional<Verdict> checkRemovals(FleetTopology topology) {
+        Set<PoolId> pools = topology.pools().keySet();
         for (VmState vm : mIndex.vms()) {
-            boolean kept = shape.vms().containsKey(vm.id());
+            boolean kept = topology.vms().containsKey(vm.id());
             if (!kept && !isIdle(vm)) {
                 return Optional.of(Verdicts.wrongPhase(vm, "removal by the configuration"));
             }
@@ -149,16 +149,16 @@
     }
 
     private Optional<Verdict> checkAdditions(
-            FleetTopology shape, Map<PoolId, PoolDefinition> pools) {
-        for (Map.Entry<VmId, VmLocation> e : shape.vms().entrySet()) {
+            FleetTopology topology, Map<PoolId, PoolDefinition> pools) {
+        for (Map.Entry<VmId, VmLocation> e : topology.vms().entrySet()) {
             if (!pools.containsKey(e.getValue().pool())) {
                 return Optional.of(
                         Verdicts.malformed(
                                 "VM " + e.getKey() + " names an initial pool that does not exist"));
             }
         }
-        for (Map.Entry<PoolId, PoolDefinition> e : shape.pools().entrySet()) {
-            PoolDefinition old = mShapes.get(e.getKey());
+        for (Map.Entry<PoolId, PoolDefinition> e : topology.pools().entrySet()) {
+            PoolDefinition old = mPoolDefinitions.get(e.getKey());
             if (old != null && !old.service().equals(e.getValue().service())) {
                 Optional<Verdict> wrong = checkServiceChange(e.getKey());
                 if (wrong.isPresent()) {
@@ -185,46 +185,52 @@
         return down && vm.pending().isEmpty() && vm.joining().isEmpty();
     }
 
-    private void removeMissing(FleetTopology shape) {
+    private void removeMissing(FleetTopology topology) {
         for (VmState vm : Set.copyOf(mIndex.vms())) {
-            if (!shape.vms().containsKey(vm.id())) {
+            if (!topology.vms().containsKey(vm.id())) {
                 mIndex.remove(vm.id());
             }
         }
-        for (PoolId p : Set.copyOf(mShapes.keySet())) {
-            if (!shape.pools().containsKey(p)) {
-                mShapes.remove(p);
+        for (PoolId p : Set.copyOf(mPoolDefinitions.keySet())) {
+            if (!topology.pools().containsKey(p)) {
+                mPoolDefinitions.remove(p);
                 mIndex.remove(p);
             }
         }
         for (ServiceId s : Set.copyOf(mIndex.minAvailable().keySet())) {
-            if (!shape.minAvailable().containsKey(s)) {
+            if (!topology.minAvailable().containsKey(s)) {
                 mIndex.dropMinAvailable(s);
             }
         }
     }
 
-    private void add(long offset, FleetTopology shape) {
-        shape.minAvailable().forEach(mIndex::setMinAvailable);
-        shape.pools().forEach((id, p) -> addPool(offset, id, p));
-        shape.vms()
+    private void add(long offset, FleetTopology topology) {
+        topology.minAvailable().forEach(mIndex::setMinAvailable);
+        topology.pools().forEach((id, p) -> addPool(offset, id, p));
+        topology.vms()
                 .forEach(
-                        (id, place) -> {
+                        (id, location) -> {
                             Optional<VmState> old = mIndex.vm(id);
                             if (old.isEmpty()) {
-                                mIndex.put(VmState.of(id, place, offset));
-                            } else if (!old.get().zone().equals(place.zone())
-                                    || !old.get().rack().equals(place.rack())) {
-                                mIndex.put(old.get().withPlace(place, offset));
+                                mIndex.put(VmState.of(id, location, offset));
+                            } else if (!old.get().zone().equals(location.zone())
+                                    || !old.get().rack().equals(location.rack())) {
+                                mIndex.put(old.get().withLocation(location, offset));
                             }
                         });
     }
 
     /** Keeps the target that was set through the log unless the configured pool changes. */
-    private void addPool(long offset, PoolId id, PoolDefinition shape) {
-        PoolDefinition old = mShapes.put(id, shape);
-        if (!shape.equals(old)) {
-            mIndex.put(new PoolState(id, shape.service(), shape.target(), shape.reserve(), offset));
+    private void addPool(long offset, PoolId id, PoolDefinition definition) {
+        PoolDefinition old = mPoolDefinitions.put(id, definition);
+        if (!definition.equals(old)) {
+            mIndex.put(
+                    new PoolState(
+                            id,
+                            definition.service(),
+                            definition.target(),
+                            definition.reserve(),
+                            offset));
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/state/RackCounts.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/state/RackCounts.java
@@ -15,7 +15,7 @@
     private int[] mRacksBySize = new int[FIRST_SIZE];
 
     private int mTotal;
-    private int mLargest;
+    private int mLargestRackSize;
 
     int total() {
         return mTotal;
@@ -23,7 +23,7 @@
 
     /** Returns the instances that remain after the loss of the largest rack. */
     int afterWorstRack() {
-        return mTotal - mLargest;
+        return mTotal - mLargestRackSize;
     }
 
     /**
@@ -31,9 +31,9 @@
      */
     int afterStopAndWorstRack(RackId rack) {
         int n = mByRack.getOrDefault(rack, 0);
-        boolean onlyLargest = n == mLargest && mRacksBySize[n] == 1;
-        int largest = onlyLargest ? mLargest - 1 : mLargest;
-        return mTotal - 1 - largest;
+        boolean onlyLargest = n == mLargestRackSize && mRacksBySize[n] == 1;
+        int largestRackSize = onlyLargest ? mLargestRackSize - 1 : mLargestRackSize;
+        return mTotal - 1 - largestRackSize;
     }
 
     void add(RackId rack) {
@@ -46,7 +46,7 @@
             mRacksBySize = Arrays.copyOf(mRacksBySize, n * 2);
         }
         mRacksBySize[n]++;
-        mLargest = Math.max(mLargest, n);
+        mLargestRackSize = Math.max(mLargestRackSize, n);
     }
 
     void remove(RackId rack) {
@@ -59,8 +59,8 @@
             mByRack.put(rack, n - 1);
             mRacksBySize[n - 1]++;
         }
-        if (mRacksBySize[mLargest] == 0) {
-            mLargest--;
+        if (mRacksBySize[mLargestRackSize] == 0) {
+            mLargestRackSize--;
         }
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/internal/wave/AvailabilityBudget.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/internal/wave/AvailabilityBudget.java
@@ -19,7 +19,7 @@
     private final Map<RackId, int[]> mByRack = new HashMap<>();
     private int[] mRacksBySize = new int[8];
     private int mServing;
-    private int mLargest;
+    private int mLargestRackSize;
     private int mPowered;
     private int mStopped;
 
@@ -47,10 +47,10 @@
         if (count == null || count[0] == 0) {
             return false;
         }
-        boolean shrinks = count[0] == mLargest && mRacksBySize[mLargest] == 1;
-        int largest = shrinks ? mLargest - 1 : mLargest;
+        boolean shrinks = count[0] == mLargestRackSize && mRacksBySize[mLargestRackSize] == 1;
+        int largestRackSize = shrinks ? mLargestRackSize - 1 : mLargestRackSize;
         int left = mServing - 1;
-        return left - largest >= mMinAvailable && left >= mDemand;
+        return left - largestRackSize >= mMinAvailable && left >= mDemand;
     }
 
     /** Takes one VM of the rack out of service. */
@@ -74,9 +74,9 @@
         mRacksBySize[count[0]]--;
         mRacksBySize[size]++;
         count[0] = size;
-        mLargest = Math.max(mLargest, size);
-        while (mLargest > 0 && mRacksBySize[mLargest] == 0) {
-            mLargest--;
+        mLargestRackSize = Math.max(mLargestRackSize, size);
+        while (mLargestRackSize > 0 && mRacksBySize[mLargestRackSize] == 0) {
+            mLargestRackSize--;
         }
     }
 
@@ -105,17 +105,17 @@
     }
 
     public int largestRackSize() {
-        return mLargest;
+        return mLargestRackSize;
     }
 
     /** Returns the number of VMs that may stop now if the largest rack keeps its size. */
     int slack() {
-        return Math.min(mServing - mLargest - mMinAvailable, mServing - mDemand);
+        return Math.min(mServing - mLargestRackSize - mMinAvailable, mServing - mDemand);
     }
 
     Optional<RackId> largestRack() {
         return mByRack.entrySet().stream()
-                .filter(e -> e.getValue()[0] == mLargest && mLargest > 0)
+                .filter(e -> e.getValue()[0] == mLargestRackSize && mLargestRackSize > 0)
                 .map(Map.Entry::getKey)
                 .min(RackId::compareTo);
     }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationChanged.java
@@ -9,13 +9,13 @@
  *
  * @param basePatch merge patch of the base
  * @param overlayPatches merge patch of each changed overlay
- * @param shapePatch new and changed entries of the fleet shape
+ * @param topologyPatch new and changed entries of the fleet topology
  * @param author who made the change, and why
  */
 public record ConfigurationChanged(
         String basePatch,
         Map<ZoneId, String> overlayPatches,
-        FleetTopology shapePatch,
+        FleetTopology topologyPatch,
         Author author)
         implements ConfigurationChange {
 
--- a/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/ConfigurationPublished.java
@@ -9,11 +9,11 @@
  *
  * @param base base file, JSON with comments
  * @param overlays overlay of each site
- * @param shape part of the configuration that the fold uses
+ * @param topology part of the configuration that the fold uses
  * @param author who published it, and why
  */
 public record ConfigurationPublished(
-        String base, Map<ZoneId, String> overlays, FleetTopology shape, Author author)
+        String base, Map<ZoneId, String> overlays, FleetTopology topology, Author author)
         implements ConfigurationChange {
 
     @Override
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetSnapshot.java
@@ -13,7 +13,7 @@
  * @param nextOffset offset of the next record
  * @param window ids and digests of the newest records, for the duplicate check
  * @param configuration configuration in force
- * @param shapes pools as configured
+ * @param poolDefinitions pools as configured
  * @param minAvailable availability budget of each service
  * @param pools pools
  * @param vms VMs
@@ -26,7 +26,7 @@
         long nextOffset,
         RecordWindowContents window,
         Optional<Configuration> configuration,
-        Map<PoolId, PoolDefinition> shapes,
+        Map<PoolId, PoolDefinition> poolDefinitions,
         Map<ServiceId, Integer> minAvailable,
         List<PoolState> pools,
         List<VmState> vms,
@@ -35,7 +35,7 @@
         List<EpochState> epochs,
         Map<TeamId, TeamQuota> quotas) {
     public FleetSnapshot {
-        shapes = Map.copyOf(shapes);
+        poolDefinitions = Map.copyOf(poolDefinitions);
         minAvailable = Map.copyOf(minAvailable);
         pools = List.copyOf(pools);
         vms = List.copyOf(vms);
--- a/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/FleetState.java
@@ -44,7 +44,7 @@
         state.mNext = s.nextOffset();
         state.mWindow = RecordWindow.of(s.window());
         s.configuration().ifPresent(state.mConfiguration::restore);
-        s.shapes().forEach(state.mConfiguration::restore);
+        s.poolDefinitions().forEach(state.mConfiguration::restore);
         s.minAvailable().forEach(state.mIndex::setMinAvailable);
         s.pools().forEach(state.mIndex::put);
         s.vms().forEach(state.mIndex::put);
@@ -68,7 +68,7 @@
                         mNext,
                         mWindow.contents(),
                         configuration(),
-                        mConfiguration.shapes(),
+                        mConfiguration.poolDefinitions(),
                         mIndex.minAvailable(),
                         List.copyOf(mIndex.pools()),
                         List.copyOf(mIndex.vms()),
--- a/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/Publication.java
@@ -15,11 +15,11 @@
  *
  * @param base base file
  * @param overlays overlay of each site
- * @param shape part of the configuration that the fold uses
+ * @param topology part of the configuration that the fold uses
  * @param author who publishes it, and why
  */
 public record Publication(
-        String base, Map<ZoneId, String> overlays, FleetTopology shape, Author author) {
+        String base, Map<ZoneId, String> overlays, FleetTopology topology, Author author) {
     /**
      * Longest configuration that is always published whole, with its comments. Larger ones are
      * patched, which bounds the log traffic of frequent changes.
@@ -38,7 +38,7 @@
         return view.configuration()
                 .filter(c -> c.version() == from && length() > MAX_FULL_LENGTH)
                 .flatMap(c -> patch(view, c))
-                .orElseGet(() -> new ConfigurationPublished(base, overlays, shape, author));
+                .orElseGet(() -> new ConfigurationPublished(base, overlays, topology, author));
     }
 
     private int length() {
@@ -46,7 +46,7 @@
     }
 
     private Optional<ConfigurationChange> patch(FleetView view, Configuration current) {
-        Optional<FleetTopology> shapePatch = shapePatch(view);
+        Optional<FleetTopology> topologyPatch = topologyPatch(view);
         Optional<String> basePatch = diff(current.base(), base);
         Map<ZoneId, String> overlayPatches = new HashMap<>();
         for (Map.Entry<ZoneId, String> e : overlays.entrySet()) {
@@ -59,12 +59,12 @@
         }
         overlayPatches.values().removeIf("{}"::equals);
         boolean removed = !overlays.keySet().containsAll(current.overlays().keySet());
-        if (removed || shapePatch.isEmpty() || basePatch.isEmpty()) {
+        if (removed || topologyPatch.isEmpty() || basePatch.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(
                 new ConfigurationChanged(
-                        basePatch.get(), overlayPatches, shapePatch.get(), author));
+                        basePatch.get(), overlayPatches, topologyPatch.get(), author));
     }
 
     private static Optional<String> diff(String from, String to) {
@@ -79,28 +79,30 @@
     /**
      * Returns new and changed entries; empty if an entry is removed, which a patch can't express.
      */
-    private Optional<FleetTopology> shapePatch(FleetView view) {
+    private Optional<FleetTopology> topologyPatch(FleetView view) {
         boolean removed =
-                view.vms().stream().anyMatch(v -> !shape.vms().containsKey(v.id()))
-                        || view.pools().stream().anyMatch(p -> !shape.pools().containsKey(p.id()));
+                view.vms().stream().anyMatch(v -> !topology.vms().containsKey(v.id()))
+                        || view.pools().stream()
+                                .anyMatch(p -> !topology.pools().containsKey(p.id()));
         if (removed) {
             return Optional.empty();
         }
-        Map<VmId, VmLocation> vms = new HashMap<>(shape.vms());
-        vms.entrySet().removeIf(e -> view.vm(e.getKey()).filter(v -> hasPlace(v, e)).isPresent());
-        Map<PoolId, PoolDefinition> pools = new HashMap<>(shape.pools());
+        Map<VmId, VmLocation> vms = new HashMap<>(topology.vms());
+        vms.entrySet()
+                .removeIf(e -> view.vm(e.getKey()).filter(v -> hasLocation(v, e)).isPresent());
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(topology.pools());
         pools.entrySet()
-                .removeIf(e -> view.pool(e.getKey()).filter(p -> hasShape(p, e)).isPresent());
-        Map<ServiceId, Integer> min = new HashMap<>(shape.minAvailable());
+                .removeIf(e -> view.pool(e.getKey()).filter(p -> hasDefinition(p, e)).isPresent());
+        Map<ServiceId, Integer> min = new HashMap<>(topology.minAvailable());
         min.entrySet().removeIf(e -> view.minAvailable(e.getKey()) == e.getValue());
         return Optional.of(new FleetTopology(vms, pools, min));
     }
 
-    private static boolean hasPlace(VmState vm, Map.Entry<VmId, VmLocation> e) {
+    private static boolean hasLocation(VmState vm, Map.Entry<VmId, VmLocation> e) {
         return vm.zone().equals(e.getValue().zone()) && vm.rack().equals(e.getValue().rack());
     }
 
-    private static boolean hasShape(PoolState p, Map.Entry<PoolId, PoolDefinition> e) {
+    private static boolean hasDefinition(PoolState p, Map.Entry<PoolId, PoolDefinition> e) {
         return new PoolDefinition(p.service(), p.target(), p.reserve()).equals(e.getValue());
     }
 }
--- a/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
+++ b/foxtail-core/src/main/java/org/foxtailplank/state/VmState.java
@@ -37,12 +37,12 @@
         long lastMaintained,
         long version) {
     /** Returns the initial state of a VM that the configuration adds. */
-    public static VmState of(VmId id, VmLocation place, long version) {
+    public static VmState of(VmId id, VmLocation location, long version) {
         return new VmState(
                 id,
-                place.zone(),
-                place.rack(),
-                place.pool(),
+                location.zone(),
+                location.rack(),
+                location.pool(),
                 1,
                 VmPhase.OFF,
                 0,
@@ -54,11 +54,11 @@
     }
 
     /** Returns a copy at another location. */
-    public VmState withPlace(VmLocation place, long offset) {
+    public VmState withLocation(VmLocation location, long offset) {
         return new VmState(
                 id,
-                place.zone(),
-                place.rack(),
+                location.zone(),
+                location.rack(),
                 pool,
                 poolGeneration,
                 phase,
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/admission/AdmissionQueueTest.java
@@ -24,9 +24,9 @@
 
     @Test
     public void servesUrgentRequestsFirst() {
-        mQueue.add(ticket("batch", RequestClass.BATCH, "big", FAR));
-        mQueue.add(ticket("interactive", RequestClass.INTERACTIVE, "big", FAR));
-        mQueue.add(ticket("urgent", RequestClass.URGENT, "big", FAR));
+        mQueue.add(queuedRequest("batch", RequestClass.BATCH, "big", FAR));
+        mQueue.add(queuedRequest("interactive", RequestClass.INTERACTIVE, "big", FAR));
+        mQueue.add(queuedRequest("urgent", RequestClass.URGENT, "big", FAR));
         assertEquals(take(), "urgent");
         assertEquals(take(), "interactive");
         assertEquals(take(), "batch");
@@ -35,10 +35,10 @@
     @Test
     public void sharesAmongTeamsByQuota() {
         for (int i = 0; i < 8; i++) {
-            mQueue.add(ticket("small", RequestClass.BATCH, "small", FAR));
+            mQueue.add(queuedRequest("small", RequestClass.BATCH, "small", FAR));
         }
         for (int i = 0; i < 8; i++) {
-            mQueue.add(ticket("big", RequestClass.BATCH, "big", FAR));
+            mQueue.add(queuedRequest("big", RequestClass.BATCH, "big", FAR));
         }
         int big = 0;
         for (int i = 0; i < 8; i++) {
@@ -50,13 +50,13 @@
     @Test
     public void idleTeamAccumulatesNoCredit() {
         for (int i = 0; i < 12; i++) {
-            mQueue.add(ticket("small", RequestClass.BATCH, "small", FAR));
+            mQueue.add(queuedRequest("small", RequestClass.BATCH, "small", FAR));
         }
         for (int i = 0; i < 4; i++) {
             take();
         }
         for (int i = 0; i < 12; i++) {
-            mQueue.add(ticket("big", RequestClass.BATCH, "big", FAR));
+            mQueue.add(queuedRequest("big", RequestClass.BATCH, "big", FAR));
         }
         int small = 0;
         for (int i = 0; i < 8; i++) {
@@ -71,7 +71,9 @@
         backlog(100, 10 * MS);
         Admission a =
                 mQueue.check(
-                        ticket("x", RequestClass.BATCH, "big", 1000 * MS + 500 * MS), 0, 1000 * MS);
+                        queuedRequest("x", RequestClass.BATCH, "big", 1000 * MS + 500 * MS),
+                        0,
+                        1000 * MS);
         assertEquals(a.reason(), Admission.Reason.TOO_LATE);
         assertTrue(a.waitNanos() >= 500 * MS, "retry after " + a.waitNanos());
     }
@@ -80,22 +82,22 @@
     public void admitsAnUrgentRequestDespiteABatchBacklog() {
         backlog(100, 10 * MS);
         QueuedRequest<String> urgent =
-                ticket("x", RequestClass.URGENT, "big", 1000 * MS + 500 * MS);
+                queuedRequest("x", RequestClass.URGENT, "big", 1000 * MS + 500 * MS);
         assertTrue(mQueue.check(urgent, 0, 1000 * MS).admitted());
     }
 
     @Test
     public void reportsThatATeamIsOverItsQuota() {
         backlog(100, 10 * MS);
-        mQueue.add(ticket("other", RequestClass.BATCH, "small", FAR));
-        QueuedRequest<String> t = ticket("x", RequestClass.BATCH, "big", 1100 * MS);
-        assertEquals(mQueue.check(t, 0, 1000 * MS).reason(), Admission.Reason.OVER_QUOTA);
+        mQueue.add(queuedRequest("other", RequestClass.BATCH, "small", FAR));
+        QueuedRequest<String> request = queuedRequest("x", RequestClass.BATCH, "big", 1100 * MS);
+        assertEquals(mQueue.check(request, 0, 1000 * MS).reason(), Admission.Reason.OVER_QUOTA);
     }
 
     @Test
     public void removesRequestsThatCanNoLongerMeetTheirDeadline() {
-        mQueue.add(ticket("soon", RequestClass.BATCH, "big", 100 * MS));
-        mQueue.add(ticket("later", RequestClass.BATCH, "big", 300 * MS));
+        mQueue.add(queuedRequest("soon", RequestClass.BATCH, "big", 100 * MS));
+        mQueue.add(queuedRequest("later", RequestClass.BATCH, "big", 300 * MS));
         List<QueuedRequest<String>> expired = mQueue.removeExpired(20 * MS, 90 * MS);
         assertEquals(expired.stream().map(QueuedRequest::request).toList(), List.of("soon"));
         assertEquals(mQueue.size(), 1);
@@ -116,14 +118,14 @@
     public void admitsRequestsWhileTheQueueIsEmpty() {
         assertFalse(mQueue.take(0).isPresent());
         assertTrue(
-                mQueue.check(ticket("x", RequestClass.BATCH, "big", 10 * MS), 5 * MS, 0)
+                mQueue.check(queuedRequest("x", RequestClass.BATCH, "big", 10 * MS), 5 * MS, 0)
                         .admitted());
     }
 
     /** Queues batch requests of one team, dispatched at a fixed interval until 1000 ms. */
     private void backlog(int size, long interval) {
         for (int i = 0; i < size + 10; i++) {
-            mQueue.add(ticket("b", RequestClass.BATCH, "big", FAR));
+            mQueue.add(queuedRequest("b", RequestClass.BATCH, "big", FAR));
         }
         long now = 1000 * MS - 10 * interval;
         mQueue.backlogStarted(now);
@@ -138,7 +140,7 @@
         return mQueue.take(0).orElseThrow().request();
     }
 
-    private static QueuedRequest<String> ticket(
+    private static QueuedRequest<String> queuedRequest(
             String item, RequestClass c, String team, long deadline) {
         return new QueuedRequest<>(item, c, team, deadline, 10);
     }
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendQueueTest.java
@@ -40,9 +40,9 @@
         offer(2, HOUR);
         findEnd(5);
         assertEquals(appendStep(), List.of(1L, 2L));
-        List<GroupResult> settled = mQueue.appended(5, 7);
-        assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 7));
-        assertEquals(settled.get(1).outcome(), new AppendOutcome.Appended(6, 7));
+        List<GroupResult> results = mQueue.appended(5, 7);
+        assertEquals(results.get(0).outcome(), new AppendOutcome.Appended(5, 7));
+        assertEquals(results.get(1).outcome(), new AppendOutcome.Appended(6, 7));
         assertTrue(mQueue.isEmpty());
     }
 
@@ -83,8 +83,8 @@
         appendStep();
         mQueue.responseLost(mNow);
         assertEquals(readBackStep(), 5);
-        List<GroupResult> settled = mQueue.readBack(page(1, 8, item(5, 9), item(6, 1)), mNow);
-        assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(6, 8));
+        List<GroupResult> results = mQueue.readBack(page(1, 8, record(5, 9), record(6, 1)), mNow);
+        assertEquals(results.get(0).outcome(), new AppendOutcome.Appended(6, 8));
         assertTrue(mQueue.isEmpty());
     }
 
@@ -98,8 +98,8 @@
         readBackStep();
         assertTrue(mQueue.readBack(page(1, 5), mNow).isEmpty());
         assertEquals(readBackStep(), 5);
-        List<GroupResult> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
-        assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 6));
+        List<GroupResult> results = mQueue.readBack(page(1, 6, record(5, 1)), mNow);
+        assertEquals(results.get(0).outcome(), new AppendOutcome.Appended(5, 6));
     }
 
     @Test
@@ -131,8 +131,8 @@
         }
         assertTrue(attempts < 5 * 3600, "attempts: " + attempts);
         readBackStep();
-        List<GroupResult> settled = mQueue.readBack(page(1, 6, item(5, 1)), mNow);
-        assertEquals(settled.get(0).outcome(), new AppendOutcome.Appended(5, 6));
+        List<GroupResult> results = mQueue.readBack(page(1, 6, record(5, 1)), mNow);
+        assertEquals(results.get(0).outcome(), new AppendOutcome.Appended(5, 6));
     }
 
     @Test
@@ -157,8 +157,8 @@
         appendStep();
         mQueue.responseLost(mNow);
         readBackStep();
-        List<GroupResult> settled = mQueue.readBack(page(9, 12), mNow);
-        assertTrue(settled.get(0).outcome() instanceof AppendOutcome.Unresolved);
+        List<GroupResult> results = mQueue.readBack(page(9, 12), mNow);
+        assertTrue(results.get(0).outcome() instanceof AppendOutcome.Unresolved);
     }
 
     @Test
@@ -168,8 +168,8 @@
         appendStep();
         mQueue.responseLost(mNow);
         readBackStep();
-        List<GroupResult> settled = mQueue.readBack(page(1, 1), mNow);
-        assertTrue(settled.get(0).outcome() instanceof AppendOutcome.Unresolved);
+        List<GroupResult> results = mQueue.readBack(page(1, 1), mNow);
+        assertTrue(results.get(0).outcome() instanceof AppendOutcome.Unresolved);
         offer(2, HOUR);
         assertEquals(appendStep(), List.of(2L));
     }
@@ -281,9 +281,9 @@
 
     private static AppendQueue queue(long seed) {
         AppendLimits limits = new AppendLimits(MAX_GROUPS, 3, 1000, LATE);
-        AppendRateLimiter share = new AppendRateLimiter(1e6, 1, 1, 0, 0);
+        AppendRateLimiter rateLimiter = new AppendRateLimiter(1e6, 1, 1, 0, 0);
         return new AppendQueue(
-                limits, share, new Backoff(10 * MILLI, 2000 * MILLI, new Random(seed)));
+                limits, rateLimiter, new Backoff(10 * MILLI, 2000 * MILLI, new Random(seed)));
     }
 
     private void offer(long number, long deadline) {
@@ -317,25 +317,25 @@
         return step;
     }
 
-    private static Map<Long, AppendOutcome> byNumber(List<GroupResult> settled) {
+    private static Map<Long, AppendOutcome> byNumber(List<GroupResult> results) {
         Map<Long, AppendOutcome> outcomes = new HashMap<>();
-        settled.forEach(s -> outcomes.put(s.group().number(), s.outcome()));
+        results.forEach(s -> outcomes.put(s.group().number(), s.outcome()));
         return outcomes;
     }
 
     private static LogPage pageOf(List<Long> log, long from, int limit) {
-        List<LoggedRecord> items = new ArrayList<>();
-        for (long offset = from; offset <= log.size() && items.size() < limit; offset++) {
-            items.add(item(offset, log.get((int) offset - 1)));
+        List<LoggedRecord> records = new ArrayList<>();
+        for (long offset = from; offset <= log.size() && records.size() < limit; offset++) {
+            records.add(record(offset, log.get((int) offset - 1)));
         }
-        return new LogPage(1, log.size() + 1, items);
+        return new LogPage(1, log.size() + 1, records);
     }
 
-    private static LogPage page(long oldest, long end, LoggedRecord... items) {
-        return new LogPage(oldest, end, List.of(items));
+    private static LogPage page(long oldest, long end, LoggedRecord... records) {
+        return new LogPage(oldest, end, List.of(records));
     }
 
-    private static LoggedRecord item(long offset, long number) {
+    private static LoggedRecord record(long offset, long number) {
         return new LoggedRecord(offset, id(number));
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendRateLimiterTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/log/AppendRateLimiterTest.java
@@ -48,10 +48,10 @@
     @Test
     public void busyNodesShareTheBudgetEqually() {
         long[] started = run(NODES, 2);
-        long[] taken = run(NODES, 22);
+        long[] acquired = run(NODES, 22);
         long all = 0;
         for (int i = 0; i < NODES; i++) {
-            long steady = taken[i] - started[i];
+            long steady = acquired[i] - started[i];
             assertEquals(steady, BUDGET / NODES * 20, BUDGET / NODES * 20 / 100);
             all += steady;
         }
@@ -73,8 +73,8 @@
     @Test
     public void singleBusyNodeBorrowsUnusedShares() {
         long started = run(1, 2)[0];
-        long taken = run(1, 22)[0];
-        assertEquals(taken - started, 1.875 * BUDGET / NODES * 20, 10.0);
+        long acquired = run(1, 22)[0];
+        assertEquals(acquired - started, 1.875 * BUDGET / NODES * 20, 10.0);
     }
 
     /** Simulates nodes that exchange heartbeats; the first {@code busy} append at full rate. */
@@ -83,16 +83,16 @@
         for (int i = 0; i < NODES; i++) {
             limiters.add(limiter());
         }
-        long[] taken = new long[NODES];
+        long[] acquired = new long[NODES];
         for (long now = 0; now < seconds * SECOND; now += MILLI) {
             for (int i = 0; i < busy; i++) {
-                taken[i] += limiters.get(i).tryAcquire(now) ? 1 : 0;
+                acquired[i] += limiters.get(i).tryAcquire(now) ? 1 : 0;
             }
             if (now % HEARTBEAT == 0) {
                 exchange(limiters, now);
             }
         }
-        return taken;
+        return acquired;
     }
 
     private static void exchange(List<AppendRateLimiter> limiters, long now) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/membership/BackoffTest.java
@@ -22,17 +22,17 @@
     @Test
     public void connectionAttemptsAreRateLimited() {
         ConnectRateLimiter limiter = new ConnectRateLimiter(10, 3, 0);
-        assertEquals(taken(limiter, 0), 3);
-        assertEquals(taken(limiter, 200_000_000L), 2);
-        assertEquals(taken(limiter, 3_600_000_000_000L), 3);
+        assertEquals(acquired(limiter, 0), 3);
+        assertEquals(acquired(limiter, 200_000_000L), 2);
+        assertEquals(acquired(limiter, 3_600_000_000_000L), 3);
     }
 
-    private static int taken(ConnectRateLimiter limiter, long now) {
-        int taken = 0;
+    private static int acquired(ConnectRateLimiter limiter, long now) {
+        int acquired = 0;
         while (limiter.tryAcquire(now)) {
-            taken++;
+            acquired++;
         }
-        return taken;
+        return acquired;
     }
 
     private static void assertBetween(long value, long low, long high) {
--- a/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerFoldTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/internal/wave/RackWavePlannerFoldTest.java
@@ -52,21 +52,23 @@
     @BeforeMethod
     public void publish() {
         mState = new FleetState();
-        Map<VmId, VmLocation> places = new HashMap<>();
+        Map<VmId, VmLocation> locations = new HashMap<>();
         PoolId pool = PoolId.of("claims");
         ServiceId service = ServiceId.of("claims");
         for (int i = 0; i < 20; i++) {
-            places.put(VmId.of("vm" + i), new VmLocation(ZONE, RackId.of("r" + i % 10), pool));
+            locations.put(VmId.of("vm" + i), new VmLocation(ZONE, RackId.of("r" + i % 10), pool));
         }
-        FleetTopology shape =
+        FleetTopology topology =
                 new FleetTopology(
-                        places,
+                        locations,
                         Map.of(pool, new PoolDefinition(Optional.of(service), 18, 0)),
                         Map.of(service, 9));
         apply(
-                new ConfigurationPublished("{}", Map.of(), shape, AUTHOR),
+                new ConfigurationPublished("{}", Map.of(), topology, AUTHOR),
                 Map.of(ObjectKey.configuration(), 0L));
-        places.keySet().forEach(vm -> apply(new VmObserved(vm, 0, VmHealth.UP, AUTHOR), Map.of()));
+        locations
+                .keySet()
+                .forEach(vm -> apply(new VmObserved(vm, 0, VmHealth.UP, AUTHOR), Map.of()));
         apply(new WaveStarted(WAVE, Set.of(ZONE), Set.of(), AUTHOR), Map.of());
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseModel.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/lease/LeaseModel.java
@@ -247,20 +247,23 @@
     }
 
     private long remainingMs(Owner o) {
-        ClockReading m = o.clock(now);
+        ClockReading reading = o.clock(now);
         CallLease lease = o.lease();
         if (lease.lastAppendSentAt().isEmpty()) {
             return 0;
         }
         ClockReading sentAt = lease.lastAppendSentAt().get();
         if (!guards.usesWallClock()) {
-            m = new ClockReading(m.steadyMs(), sentAt.wallMs());
+            reading = new ClockReading(reading.steadyMs(), sentAt.wallMs());
         }
         if (!guards.usesMonotonicClock()) {
             long frozenMs = Math.max(sentAt.steadyMs(), lease.waitUntilMs());
-            m = lease.isWaitOver(m.steadyMs()) ? new ClockReading(frozenMs, m.wallMs()) : m;
+            reading =
+                    lease.isWaitOver(reading.steadyMs())
+                            ? new ClockReading(frozenMs, reading.wallMs())
+                            : reading;
         }
-        return lease.remainingMs(m);
+        return lease.remainingMs(reading);
     }
 
     /** Lets the store accept or reject the append. */
--- a/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/ConfigurationTest.java
@@ -68,11 +68,11 @@
     @Test
     public void refusesToRemoveAVmThatServes() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        FleetTopology shape = FoldDriver.shape(4, 2);
-        Map<VmId, VmLocation> fewer = new HashMap<>(shape.vms());
+        FleetTopology topology = FoldDriver.topology(4, 2);
+        Map<VmId, VmLocation> fewer = new HashMap<>(topology.vms());
         fewer.remove(VmId.of("claims1"));
         ConfigurationPublished without =
-                published(new FleetTopology(fewer, shape.pools(), shape.minAvailable()));
+                published(new FleetTopology(fewer, topology.pools(), topology.minAvailable()));
         LogRecord early = d.record(without, configuration(version(d)));
         assertRefused(VoidReason.WRONG_PHASE, d.write(early));
         d.writeApplied(d.intent("claims1", VmAction.SLEEP));
@@ -84,13 +84,14 @@
     @Test
     public void refusesANewServiceForAPoolThatServes() {
         FoldDriver d = FoldDriver.serving(4, 2);
-        FleetTopology shape = FoldDriver.shape(4, 2);
-        Map<PoolId, PoolDefinition> pools = new HashMap<>(shape.pools());
+        FleetTopology topology = FoldDriver.topology(4, 2);
+        Map<PoolId, PoolDefinition> pools = new HashMap<>(topology.pools());
         Optional<ServiceId> other = Optional.of(ServiceId.of("letters"));
         pools.put(PoolId.of("claims"), new PoolDefinition(other, 4, 0));
         LogRecord r =
                 d.record(
-                        published(new FleetTopology(shape.vms(), pools, shape.minAvailable())),
+                        published(
+                                new FleetTopology(topology.vms(), pools, topology.minAvailable())),
                         configuration(version(d)));
         assertRefused(VoidReason.WRONG_PHASE, d.write(r));
     }
@@ -100,7 +101,7 @@
         FoldDriver d = FoldDriver.serving(4, 2);
         PoolId pool = PoolId.of("claims");
         d.writeApplied(new PoolTargetChanged(pool, 3, 1, AUTHOR));
-        d.writeApplied(published(FoldDriver.shape(4, 1)), configuration(version(d)));
+        d.writeApplied(published(FoldDriver.topology(4, 1)), configuration(version(d)));
         assertEquals(d.state().pool(pool).orElseThrow().target(), 3);
         assertEquals(d.state().minAvailable(ServiceId.of("claims")), 1);
         assertEquals(d.vm("claims1").phase(), VmPhase.SERVING);
@@ -110,8 +111,8 @@
         d.writeApplied(change(patch), configuration(version(d)));
     }
 
-    private static ConfigurationPublished published(FleetTopology shape) {
-        return new ConfigurationPublished("{}", Map.of(), shape, AUTHOR);
+    private static ConfigurationPublished published(FleetTopology topology) {
+        return new ConfigurationPublished("{}", Map.of(), topology, AUTHOR);
     }
 
     private static ConfigurationChanged change(String patch) {
--- a/foxtail-core/src/test/java/org/foxtailplank/state/ExploredState.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/ExploredState.java
@@ -199,7 +199,7 @@
                 new ConfigurationPublished(
                         "{\"by\":\"" + node(p) + mMade[p] + "\"}",
                         Map.of(),
-                        FoldDriver.shape(4, 2),
+                        FoldDriver.topology(4, 2),
                         FoldDriver.AUTHOR);
         all.add(withRecord(p, view, Optional.empty(), FoldDriver.configuration(version), publish));
         VmState vm = view.vm(VMS.get(0)).orElseThrow();
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldDriver.java
@@ -24,7 +24,7 @@
     private int mIds;
 
     /** Returns two pools that run a service of the same name, with one VM in each rack. */
-    public static FleetTopology shape(int racks, int minAvailable) {
+    public static FleetTopology topology(int racks, int minAvailable) {
         Map<VmId, VmLocation> vms = new HashMap<>();
         Map<PoolId, PoolDefinition> pools = new HashMap<>();
         Map<ServiceId, Integer> min = new HashMap<>();
@@ -39,12 +39,13 @@
         return new FleetTopology(vms, pools, min);
     }
 
-    /** Returns a driver whose state has all VMs of {@link #shape} serving. */
+    /** Returns a driver whose state has all VMs of {@link #topology} serving. */
     public static FoldDriver serving(int racks, int minAvailable) {
         FoldDriver d = new FoldDriver();
-        FleetTopology shape = shape(racks, minAvailable);
-        d.writeApplied(new ConfigurationPublished("{}", Map.of(), shape, AUTHOR), configuration(0));
-        shape.vms().keySet().forEach(d::serve);
+        FleetTopology topology = topology(racks, minAvailable);
+        d.writeApplied(
+                new ConfigurationPublished("{}", Map.of(), topology, AUTHOR), configuration(0));
+        topology.vms().keySet().forEach(d::serve);
         return d;
     }
 
--- a/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/FoldExplorationTest.java
@@ -112,7 +112,7 @@
                 s.nextOffset(),
                 s.window(),
                 s.configuration(),
-                s.shapes(),
+                s.poolDefinitions(),
                 s.minAvailable(),
                 Set.copyOf(s.pools()),
                 Set.copyOf(s.vms()),
@@ -122,11 +122,11 @@
     private static ExploredState start() {
         List<LogRecord> log = new ArrayList<>();
         FoldDriver d = new FoldDriver();
-        FleetTopology shape = FoldDriver.shape(4, 2);
-        Change first = new ConfigurationPublished("{}", Map.of(), shape, FoldDriver.AUTHOR);
+        FleetTopology topology = FoldDriver.topology(4, 2);
+        Change first = new ConfigurationPublished("{}", Map.of(), topology, FoldDriver.AUTHOR);
         log.add(d.record(first, FoldDriver.configuration(0)));
         d.write(log.get(0));
-        for (VmId vm : shape.vms().keySet().stream().sorted().toList()) {
+        for (VmId vm : topology.vms().keySet().stream().sorted().toList()) {
             LogRecord r = d.record(new VmObserved(vm, 0, VmHealth.UP, FoldDriver.AUTHOR));
             log.add(r);
             d.write(r);
--- a/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
+++ b/foxtail-core/src/test/java/org/foxtailplank/state/PublicationTest.java
@@ -42,13 +42,13 @@
     @Test
     public void publishesASmallChangeOfALargeConfigurationAsAPatch() {
         FoldDriver d = published("{" + FILLER + ",\"n\":1 /* first */ }");
-        FleetTopology shape = FoldDriver.shape(4, 1);
+        FleetTopology topology = FoldDriver.topology(4, 1);
         Publication p =
-                new Publication("{" + FILLER + ",\"n\":2}", Map.of(SITE, "{}"), shape, AUTHOR);
+                new Publication("{" + FILLER + ",\"n\":2}", Map.of(SITE, "{}"), topology, AUTHOR);
         ConfigurationChange c = p.toChange(d.state(), version(d));
         assertTrue(c instanceof ConfigurationChanged, c.toString());
         assertEquals(((ConfigurationChanged) c).basePatch(), "{\"n\":2}");
-        assertTrue(((ConfigurationChanged) c).shapePatch().vms().isEmpty());
+        assertTrue(((ConfigurationChanged) c).topologyPatch().vms().isEmpty());
         d.writeApplied(c, configuration(version(d)));
         assertEquals(
                 MergePatch.parse(d.state().configuration().orElseThrow().base()),
@@ -59,10 +59,10 @@
     @Test
     public void publishesWholeWhatAPatchCannotExpress() {
         FoldDriver d = published("{" + FILLER + "}");
-        FleetTopology same = FoldDriver.shape(4, 2);
+        FleetTopology same = FoldDriver.topology(4, 2);
         assertWhole(d, "{" + FILLER + ",\"n\":null}", Map.of(SITE, "{}"), same);
         assertWhole(d, "{" + FILLER + "}", Map.of(), same);
-        assertWhole(d, "{" + FILLER + "}", Map.of(SITE, "{}"), FoldDriver.shape(3, 2));
+        assertWhole(d, "{" + FILLER + "}", Map.of(SITE, "{}"), FoldDriver.topology(3, 2));
         assertWhole(d, "{\"n\":1}", Map.of(SITE, "{}"), same);
     }
 
@@ -70,9 +70,9 @@
     @Test
     public void publishesWholeOnAnUnknownVersion() {
         FoldDriver d = published("{" + FILLER + "}");
-        FleetTopology shape = FoldDriver.shape(4, 2);
+        FleetTopology topology = FoldDriver.topology(4, 2);
         String base = "{" + FILLER + ",\"n\":1}";
-        Publication p = new Publication(base, Map.of(SITE, "{}"), shape, AUTHOR);
+        Publication p = new Publication(base, Map.of(SITE, "{}"), topology, AUTHOR);
         assertTrue(p.toChange(d.state(), version(d)) instanceof ConfigurationChanged);
         assertTrue(p.toChange(d.state(), version(d) + 1) instanceof ConfigurationPublished);
     }
@@ -82,17 +82,17 @@
     }
 
     private static void assertWhole(
-            FoldDriver d, String base, Map<ZoneId, String> overlays, FleetTopology shape) {
+            FoldDriver d, String base, Map<ZoneId, String> overlays, FleetTopology topology) {
         ConfigurationChange c =
-                new Publication(base, overlays, shape, AUTHOR).toChange(d.state(), version(d));
-        assertEquals(c, new ConfigurationPublished(base, overlays, shape, AUTHOR));
+                new Publication(base, overlays, topology, AUTHOR).toChange(d.state(), version(d));
+        assertEquals(c, new ConfigurationPublished(base, overlays, topology, AUTHOR));
     }
 
     private static FoldDriver published(String base) {
         FoldDriver d = FoldDriver.serving(4, 2);
         d.writeApplied(
                 new ConfigurationPublished(
-                        base, Map.of(SITE, "{}"), FoldDriver.shape(4, 2), AUTHOR),
+                        base, Map.of(SITE, "{}"), FoldDriver.topology(4, 2), AUTHOR),
                 configuration(d.state().version(ObjectKey.configuration())));
         return d;
     }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryContext.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryContext.java
@@ -12,7 +12,7 @@
  * @param node name of the node in the settings
  * @param settings configuration in force
  * @param directory directory of backend servers
- * @param keyedRequests handler of requests with idempotency keys
+ * @param keyedRequestHandler handler of requests with idempotency keys
  * @param metrics registry for the entry's counters
  * @param inWave whether a maintenance wave has taken an instance of a service out of use
  */
@@ -20,7 +20,7 @@
         NodeId node,
         Settings settings,
         Directory directory,
-        KeyedRequestHandler keyedRequests,
+        KeyedRequestHandler keyedRequestHandler,
         MetricRegistry metrics,
         Predicate<ServiceId> inWave) {
 
@@ -36,17 +36,17 @@
     }
 
     /** Returns a copy with a handler of keyed requests. */
-    public EntryContext withKeys(KeyedRequestHandler keyed) {
-        return new EntryContext(node, settings, directory, keyed, metrics, inWave);
+    public EntryContext withKeys(KeyedRequestHandler handler) {
+        return new EntryContext(node, settings, directory, handler, metrics, inWave);
     }
 
     /** Returns a copy with a metric registry. */
     public EntryContext withMetrics(MetricRegistry registry) {
-        return new EntryContext(node, settings, directory, keyedRequests, registry, inWave);
+        return new EntryContext(node, settings, directory, keyedRequestHandler, registry, inWave);
     }
 
     /** Returns a copy with a test for services in a maintenance wave. */
     public EntryContext withWaves(Predicate<ServiceId> waves) {
-        return new EntryContext(node, settings, directory, keyedRequests, metrics, waves);
+        return new EntryContext(node, settings, directory, keyedRequestHandler, metrics, waves);
     }
 }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryServer.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/EntryServer.java
@@ -34,11 +34,11 @@
 
     /** Starts an entry that listens on its node's address for callers. */
     public static CompletionStage<EntryServer> start(
-            ClassicActorSystemProvider system, EntryContext parts) {
-        NodeSettings node = parts.settings().nodes().get(parts.node());
-        RequestFlow flow = RequestFlow.start(system, parts, node.zone());
-        RequestCounters counters = new RequestCounters(parts.metrics(), parts.inWave());
-        EntryServer entry = new EntryServer(parts.settings(), flow, counters);
+            ClassicActorSystemProvider system, EntryContext context) {
+        NodeSettings node = context.settings().nodes().get(context.node());
+        RequestFlow flow = RequestFlow.start(system, context, node.zone());
+        RequestCounters counters = new RequestCounters(context.metrics(), context.inWave());
+        EntryServer entry = new EntryServer(context.settings(), flow, counters);
         CallerHandler handler = new CallerHandler(system, entry.state(), flow, counters);
         return CallerEndpoint.bind(system, node.callers(), entry.state(), handler)
                 .thenApply(entry::bound);
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/FoxtailNode.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/FoxtailNode.java
@@ -76,7 +76,7 @@
 
     private Optional<EntryServer> mEntry = Optional.empty();
     private Optional<PlatformDirectory> mDirectory = Optional.empty();
-    private Optional<ClaimingRequestHandler> mKeys = Optional.empty();
+    private Optional<ClaimingRequestHandler> mKeyedRequestHandler = Optional.empty();
     private Optional<Controller> mController = Optional.empty();
     private Optional<HttpListener> mListener = Optional.empty();
     private Optional<Cancellable> mBurnTimer = Optional.empty();
@@ -170,7 +170,7 @@
         mController.ifPresent(Controller::stop);
         mListener.ifPresent(HttpListener::unbind);
         mDirectory.ifPresent(PlatformDirectory::stop);
-        mKeys.ifPresent(ClaimingRequestHandler::close);
+        mKeyedRequestHandler.ifPresent(ClaimingRequestHandler::close);
         mPeers.close();
         mFleet.close();
         mLog.close();
@@ -198,7 +198,7 @@
                 PlatformDirectory.polling(mPlatform.vms(), LIST_INTERVAL, mRuntime.system());
         mDirectory = Optional.of(directory);
         PeerLinkClaimPeers peers = PeerLinkClaimPeers.of(mPeers, mOptions.settings());
-        ClaimingRequestHandler keys =
+        ClaimingRequestHandler handler =
                 ClaimingRequestHandler.start(
                         mRuntime.system(),
                         peers.self(),
@@ -206,14 +206,14 @@
                         mPlatform.log(),
                         peers,
                         mMetrics);
-        mKeys = Optional.of(keys);
-        EntryContext parts =
+        mKeyedRequestHandler = Optional.of(handler);
+        EntryContext context =
                 EntryContext.of(mOptions.node(), mOptions.settings(), directory)
                         .withMetrics(mMetrics)
                         .withWaves(WaveTracker.of(mFleet))
-                        .withKeys(keys);
-        EntryServer entry = awaitBound(EntryServer.start(mRuntime.system(), parts));
-        peers.serve(keys, entry::attempt);
+                        .withKeys(handler);
+        EntryServer entry = awaitBound(EntryServer.start(mRuntime.system(), context));
+        peers.serve(handler, entry::attempt);
         mEntry = Optional.of(entry);
         mConfiguration.onChange(entry::configure);
     }
@@ -236,7 +236,7 @@
     private void startAdmin() throws ProcessException {
         Route routes = HealthRoutes.of(this::health, mMetrics);
         if (mOptions.roles().contains(NodeRole.CONTROL)) {
-            Controller controller = Controller.start(mRuntime, controllerParts());
+            Controller controller = Controller.start(mRuntime, controllerContext());
             mController = Optional.of(controller);
             mConfiguration.onChange(controller::configure);
             routes = Directives.concat(routes, controller.route());
@@ -245,7 +245,7 @@
         mListener = Optional.of(HttpListener.bind(mRuntime, address, routes));
     }
 
-    private ControllerContext controllerParts() {
+    private ControllerContext controllerContext() {
         return ControllerContext.of(mOptions.node(), mOptions.settings(), mFleet, mPlatform)
                 .withPeers(mPeers)
                 .withMetrics(mMetrics)
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Exchange.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/Exchange.java
@@ -37,17 +37,17 @@
     }
 
     PendingRequest<Exchange> pending() {
-        QueuedRequest<Exchange> ticket =
+        QueuedRequest<Exchange> queued =
                 new QueuedRequest<>(
                         this,
                         mRequest.requestClass(),
                         team(),
                         mRequest.deadline(),
                         mRequest.body().length + REQUEST_OVERHEAD_BYTES);
-        return PendingRequest.of(ticket, rule());
+        return PendingRequest.of(queued, retrySafety());
     }
 
-    private RetrySafety rule() {
+    private RetrySafety retrySafety() {
         if (mRequest.repeatable()) {
             return RetrySafety.IDEMPOTENT;
         }
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestDispatcher.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestDispatcher.java
@@ -39,7 +39,7 @@
     private final Directory mDirectory;
     private final InstancePools mPools;
     private final Prober mProber;
-    private final Map<ServiceId, ServiceDispatcher<Exchange>> mLanes = new HashMap<>();
+    private final Map<ServiceId, ServiceDispatcher<Exchange>> mDispatchers = new HashMap<>();
     private Settings mSettings;
 
     private RequestDispatcher(
@@ -83,29 +83,29 @@
 
     private Behavior<Command> check(Command.Check c) {
         Exchange x = c.exchange();
-        c.refusal().complete(refusal(x, x.pending(), lane(x)));
+        c.refusal().complete(refusal(x, x.pending(), dispatcherFor(x)));
         return this;
     }
 
     private Behavior<Command> queue(Exchange x) {
-        ServiceDispatcher<Exchange> lane = lane(x);
+        ServiceDispatcher<Exchange> dispatcher = dispatcherFor(x);
         PendingRequest<Exchange> pending = x.pending();
-        Optional<Answer> refusal = refusal(x, pending, lane);
+        Optional<Answer> refusal = refusal(x, pending, dispatcher);
         if (refusal.isPresent()) {
             x.complete(refusal.get());
             return this;
         }
-        lane.enqueue(pending);
-        sendWaiting(lane);
+        dispatcher.enqueue(pending);
+        sendWaiting(dispatcher);
         return this;
     }
 
     private Optional<Answer> refusal(
-            Exchange x, PendingRequest<Exchange> pending, ServiceDispatcher<Exchange> lane) {
-        if (!lane.hasServingInstance()) {
+            Exchange x, PendingRequest<Exchange> pending, ServiceDispatcher<Exchange> dispatcher) {
+        if (!dispatcher.hasServingInstance()) {
             return Optional.of(EntryAnswers.noBackendServer());
         }
-        Admission a = lane.checkAdmission(pending, System.nanoTime());
+        Admission a = dispatcher.checkAdmission(pending, System.nanoTime());
         Duration wait = Duration.ofNanos(a.waitNanos());
         return switch (a.reason()) {
             case ADMITTED -> Optional.empty();
@@ -116,11 +116,11 @@
     }
 
     /** Sends waiting requests while an instance has capacity. */
-    private void sendWaiting(ServiceDispatcher<Exchange> lane) {
-        Optional<Attempt<Exchange>> next = lane.nextAttempt(System.nanoTime());
+    private void sendWaiting(ServiceDispatcher<Exchange> dispatcher) {
+        Optional<Attempt<Exchange>> next = dispatcher.nextAttempt(System.nanoTime());
         while (next.isPresent()) {
             send(next.get());
-            next = lane.nextAttempt(System.nanoTime());
+            next = dispatcher.nextAttempt(System.nanoTime());
         }
     }
 
@@ -136,16 +136,16 @@
 
     private Behavior<Command> ended(Command.Ended e) {
         Exchange x = e.attempt().request().item();
-        ServiceDispatcher<Exchange> lane = lane(x);
+        ServiceDispatcher<Exchange> dispatcher = dispatcherFor(x);
         Optional<Attempt<Exchange>> another =
-                lane.attemptEnded(e.attempt(), endOf(e.result()), System.nanoTime());
+                dispatcher.attemptEnded(e.attempt(), outcomeOf(e.result()), System.nanoTime());
         if (another.isPresent()) {
             LOG.with("request", x.request().id()).info("Tried again after {0}.", e.result());
             send(another.get());
         } else {
             x.complete(finalAnswer(e.result()));
         }
-        sendWaiting(lane);
+        sendWaiting(dispatcher);
         return this;
     }
 
@@ -160,7 +160,7 @@
         return EntryAnswers.noServerAccepted(why);
     }
 
-    private static AttemptOutcome endOf(AttemptResult result) {
+    private static AttemptOutcome outcomeOf(AttemptResult result) {
         if (result instanceof AttemptResult.Answered a) {
             return a.status() >= SERVER_ERROR
                     ? AttemptOutcome.SERVER_ERROR
@@ -177,9 +177,9 @@
 
     private Behavior<Command> probed(Command.Probed p) {
         mProber.probeCompleted(p.target(), p.result());
-        ServiceDispatcher<Exchange> lane = mLanes.get(p.target().server().service());
-        if (lane != null) {
-            sendWaiting(lane);
+        ServiceDispatcher<Exchange> dispatcher = mDispatchers.get(p.target().server().service());
+        if (dispatcher != null) {
+            sendWaiting(dispatcher);
         }
         return this;
     }
@@ -196,19 +196,19 @@
         mPools.router().endDueEjections(now);
         mPools.closeIdle();
         mProber.tick(mPools, now);
-        mLanes.values().forEach(lane -> tick(lane, now));
+        mDispatchers.values().forEach(dispatcher -> tick(dispatcher, now));
         return this;
     }
 
-    private void tick(ServiceDispatcher<Exchange> lane, long now) {
-        Duration wait = Duration.ofNanos(lane.meanLatency());
-        for (Exchange x : lane.removeExpired(now)) {
+    private void tick(ServiceDispatcher<Exchange> dispatcher, long now) {
+        Duration wait = Duration.ofNanos(dispatcher.meanLatency());
+        for (Exchange x : dispatcher.removeExpired(now)) {
             x.complete(
-                    lane.hasServingInstance()
+                    dispatcher.hasServingInstance()
                             ? EntryAnswers.tooLate(wait)
                             : EntryAnswers.noBackendServer());
         }
-        sendWaiting(lane);
+        sendWaiting(dispatcher);
     }
 
     private Behavior<Command> stop() {
@@ -216,8 +216,8 @@
         return this;
     }
 
-    private ServiceDispatcher<Exchange> lane(Exchange x) {
-        return mLanes.computeIfAbsent(
+    private ServiceDispatcher<Exchange> dispatcherFor(Exchange x) {
+        return mDispatchers.computeIfAbsent(
                 x.request().service(),
                 s ->
                         new ServiceDispatcher<>(
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestFlow.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/flow/RequestFlow.java
@@ -23,23 +23,26 @@
     private static final Log LOG = Log.of("entry");
 
     private final ActorRef<Command> mDispatcher;
-    private final KeyedRequestHandler mKeyedRequests;
+    private final KeyedRequestHandler mKeyedRequestHandler;
 
-    private RequestFlow(ActorRef<Command> dispatcher, KeyedRequestHandler keyedRequests) {
+    private RequestFlow(ActorRef<Command> dispatcher, KeyedRequestHandler keyedRequestHandler) {
         mDispatcher = dispatcher;
-        mKeyedRequests = keyedRequests;
+        mKeyedRequestHandler = keyedRequestHandler;
     }
 
     /** Starts a flow for the instances listed by the directory. */
     public static RequestFlow start(
-            ClassicActorSystemProvider system, EntryContext parts, ZoneId zone) {
+            ClassicActorSystemProvider system, EntryContext context, ZoneId zone) {
         Behavior<Command> dispatcher =
                 RequestDispatcher.create(
-                        parts.directory(), zone, parts.settings(), RandomGenerator.getDefault());
+                        context.directory(),
+                        zone,
+                        context.settings(),
+                        RandomGenerator.getDefault());
         ActorRef<Command> ref =
                 Adapter.toTyped(system.classicSystem())
-                        .systemActorOf(dispatcher, "dispatcher-" + parts.node(), Props.empty());
-        return new RequestFlow(ref, parts.keyedRequests());
+                        .systemActorOf(dispatcher, "dispatcher-" + context.node(), Props.empty());
+        return new RequestFlow(ref, context.keyedRequestHandler());
     }
 
     /** Answers a request; never completes exceptionally. */
@@ -56,7 +59,7 @@
                                 r.<CompletionStage<Answer>>map(CompletableFuture::completedFuture)
                                         .orElseGet(
                                                 () ->
-                                                        mKeyedRequests.answer(
+                                                        mKeyedRequestHandler.answer(
                                                                 request, () -> queue(exchange))))
                 .exceptionally(e -> keyedFailed(request, e));
     }
@@ -73,7 +76,7 @@
 
     /** Issues an idempotency key; empty if keys are not protected. */
     public Optional<String> issueKey() {
-        return mKeyedRequests.issueKey();
+        return mKeyedRequestHandler.issueKey();
     }
 
     /** Applies a new configuration. */
--- a/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaimPeers.java
+++ b/foxtail-entry/src/main/java/org/foxtailplank/entry/internal/idempotency/PeerLinkClaimPeers.java
@@ -78,14 +78,15 @@
 
     /** Starts to answer peers; {@code attempt} runs the requests that they hand over. */
     public void serve(
-            ClaimingRequestHandler keys, Function<CallerRequest, CompletionStage<Answer>> attempt) {
+            ClaimingRequestHandler handler,
+            Function<CallerRequest, CompletionStage<Answer>> attempt) {
         mLink.handle(
                 ClaimsPositionRequest.class,
-                (from, m) -> keys.position().thenApply(ClaimsPosition::new));
+                (from, m) -> handler.position().thenApply(ClaimsPosition::new));
         mLink.handle(
                 RequestHandover.class,
                 (from, m) ->
-                        keys.handedOver(request(m), owner(m), attempt)
+                        handler.handedOver(request(m), owner(m), attempt)
                                 .thenApply(a -> new RequestHandoverResult(encode(a))));
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/PeerLink.java
@@ -26,7 +26,7 @@
     /** Returns the identity of this node, including the address it accepts connections on. */
     PeerIdentity self();
 
-    /** Replaces the seed addresses that were last given by a source. */
+    /** Replaces the seeds of a source. */
     void setSeeds(SeedSource source, Collection<Seed> seeds);
 
     /** Sets the log position that heartbeats carry. */
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/SharedState.java
@@ -24,7 +24,7 @@
     CompletionStage<Boolean> offerTail(StatePosition position, List<TailRecord> tail);
 
     /** Replaces the state by the snapshot of a peer if that is newer; false otherwise. */
-    CompletionStage<Boolean> offerSnapshot(byte[] state);
+    CompletionStage<Boolean> offerSnapshot(byte[] snapshot);
 
     /** Registers a listener that is called after each change. */
     void onChange(Runnable listener);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/HeartbeatSender.java
@@ -82,9 +82,9 @@
                 mSilenceLimits.plusPropagationDelay(
                         mPlan.propagationDelay(peers, mHeartbeatBytes)));
         mTable.tick(now);
-        int news = mPlan.digestLimit(peers, mHeartbeatBytes);
+        int digestLimit = mPlan.digestLimit(peers, mHeartbeatBytes);
         for (OutgoingLink link : mPlan.nextPeers(mLinks.open(), mHeartbeatBytes)) {
-            sendTo(link, news, now);
+            sendTo(link, digestLimit, now);
         }
     }
 
@@ -103,24 +103,24 @@
         return mSentAt;
     }
 
-    private void sendTo(OutgoingLink link, int newsLimit, long now) {
-        link.session().ifPresent(session -> sendOn(session, link, newsLimit, now));
+    private void sendTo(OutgoingLink link, int digestLimit, long now) {
+        link.session().ifPresent(session -> sendOn(session, link, digestLimit, now));
     }
 
     /** Sends a heartbeat, or skips it if the send buffer is full. */
-    private void sendOn(Session session, OutgoingLink link, int newsLimit, long now) {
+    private void sendOn(Session session, OutgoingLink link, int digestLimit, long now) {
         if (!session.isWritable()) {
             mCounters.mHeartbeatsDropped.increment();
             return;
         }
-        List<HeartbeatDigest> news = mTable.nextDigests(newsLimit);
+        List<HeartbeatDigest> digests = mTable.nextDigests(digestLimit);
         EnvelopeProto.Builder envelope =
                 EnvelopeProto.newBuilder()
                         .setHeartbeat(
                                 Heartbeats.encode(
                                         mNumber,
                                         mStatus,
-                                        news,
+                                        digests,
                                         mTable.nextDepartures(MAX_DEPARTURES)));
         if (link.needsConfirmation(mSilenceLimits.suspectNanos(), now)) {
             long request = mOutstandingRequests.nextNumber();
@@ -128,6 +128,6 @@
             envelope.setAsk(request);
         }
         mHeartbeatBytes =
-                session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_DIGEST * news.size();
+                session.write(envelope.build()) - HeartbeatPlan.BYTES_PER_DIGEST * digests.size();
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/Heartbeats.java
@@ -17,10 +17,10 @@
     private Heartbeats() {}
 
     static HeartbeatProto encode(
-            long beat, NodeStatus status, List<HeartbeatDigest> news, List<Integer> left) {
+            long sequence, NodeStatus status, List<HeartbeatDigest> digests, List<Integer> left) {
         HeartbeatProto.Builder proto =
                 HeartbeatProto.newBuilder()
-                        .setBeat(beat)
+                        .setBeat(sequence)
                         .setConfigurationVersion(status.configurationVersion())
                         .setPosition(Positions.encode(status.position()))
                         .addAllLeftTag(left);
@@ -29,12 +29,12 @@
                 .forEach(
                         (instance, count) ->
                                 proto.addLoadInstance(instance).addLoadInFlight(count));
-        ByteBuffer beats = ByteBuffer.allocate(news.size() * Short.BYTES);
-        for (HeartbeatDigest entry : news) {
-            proto.addHeardTag(entry.tag());
-            beats.putShort(entry.sequence());
+        ByteBuffer sequences = ByteBuffer.allocate(digests.size() * Short.BYTES);
+        for (HeartbeatDigest digest : digests) {
+            proto.addHeardTag(digest.tag());
+            sequences.putShort(digest.sequence());
         }
-        return proto.setHeardBeat(ByteString.copyFrom(beats.flip())).build();
+        return proto.setHeardBeat(ByteString.copyFrom(sequences.flip())).build();
     }
 
     static NodeStatus status(HeartbeatProto proto) {
@@ -49,13 +49,13 @@
                 new LoadSummary(load));
     }
 
-    static List<HeartbeatDigest> news(HeartbeatProto proto) {
-        ByteBuffer beats = proto.getHeardBeat().asReadOnlyByteBuffer();
-        int count = Math.min(proto.getHeardTagCount(), beats.remaining() / Short.BYTES);
-        List<HeartbeatDigest> news = new ArrayList<>(count);
+    static List<HeartbeatDigest> digests(HeartbeatProto proto) {
+        ByteBuffer sequences = proto.getHeardBeat().asReadOnlyByteBuffer();
+        int count = Math.min(proto.getHeardTagCount(), sequences.remaining() / Short.BYTES);
+        List<HeartbeatDigest> digests = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            news.add(new HeartbeatDigest(proto.getHeardTag(i), beats.getShort()));
+            digests.add(new HeartbeatDigest(proto.getHeardTag(i), sequences.getShort()));
         }
-        return news;
+        return digests;
     }
 }
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/MessageDispatcher.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/MessageDispatcher.java
@@ -68,8 +68,8 @@
         Incarnation sender = from.peer().incarnation();
         mTable.heartbeatReceived(sender, heartbeat.getBeat(), now);
         mTable.updateStatus(sender, Heartbeats.status(heartbeat));
-        for (HeartbeatDigest news : Heartbeats.news(heartbeat)) {
-            mTable.digestReceived(news, now);
+        for (HeartbeatDigest digest : Heartbeats.digests(heartbeat)) {
+            mTable.digestReceived(digest, now);
         }
         heartbeat.getLeftTagList().forEach(mTable::memberLeftByTag);
         if (envelope.getAsk() != 0) {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutgoingLinks.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/OutgoingLinks.java
@@ -27,17 +27,17 @@
     private final Map<InetSocketAddress, OutgoingLink> mLinks = new LinkedHashMap<>();
     private final Function<InetSocketAddress, ChannelFuture> mConnect;
     private final SilenceLimits mLimits;
-    private final ConnectRateLimiter mConnectBudget;
+    private final ConnectRateLimiter mConnectRateLimiter;
     private final Random mRandom;
 
     OutgoingLinks(
             Function<InetSocketAddress, ChannelFuture> connect,
             SilenceLimits limits,
-            ConnectRateLimiter connectBudget,
+            ConnectRateLimiter connectRateLimiter,
             Random random) {
         mConnect = connect;
         mLimits = limits;
-        mConnectBudget = connectBudget;
+        mConnectRateLimiter = connectRateLimiter;
         mRandom = random;
     }
 
@@ -60,7 +60,7 @@
                         .sorted(Comparator.comparingLong(OutgoingLink::nextAttemptAt))
                         .toList();
         for (OutgoingLink link : due) {
-            if (!mConnectBudget.tryAcquire(now)) {
+            if (!mConnectRateLimiter.tryAcquire(now)) {
                 return;
             }
             connect(link);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/peer/PeerNode.java
@@ -329,8 +329,8 @@
     }
 
     private void onConfirmation(Session session, EnvelopeProto envelope, long now) {
-        long beat = envelope.getConfirmation().getBeat();
-        mTable.heartbeatReceived(session.peer().incarnation(), beat, now);
+        long sequence = envelope.getConfirmation().getBeat();
+        mTable.heartbeatReceived(session.peer().incarnation(), sequence, now);
     }
 
     private void maintain() {
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeDecoder.java
@@ -88,7 +88,7 @@
         return new ConfigurationPublished(
                 p.getBase(),
                 byZone(p.getOverlaysMap()),
-                ShapeCodec.decode(p.getShape()),
+                FleetTopologyCodec.decode(p.getShape()),
                 author(p.getAuthor()));
     }
 
@@ -96,7 +96,7 @@
         return new ConfigurationChanged(
                 p.getBasePatch(),
                 byZone(p.getOverlayPatchesMap()),
-                ShapeCodec.decode(p.getShapePatch()),
+                FleetTopologyCodec.decode(p.getShapePatch()),
                 author(p.getAuthor()));
     }
 
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ChangeEncoder.java
@@ -98,7 +98,7 @@
             ConfigurationPublishedProto.Builder b =
                     ConfigurationPublishedProto.newBuilder()
                             .setBase(c.base())
-                            .setShape(ShapeCodec.encode(c.shape()))
+                            .setShape(FleetTopologyCodec.encode(c.topology()))
                             .setAuthor(author(c.author()));
             c.overlays().forEach((z, t) -> b.putOverlays(z.value(), t));
             to.setConfigurationPublished(b);
@@ -106,7 +106,7 @@
             ConfigurationChangedProto.Builder b =
                     ConfigurationChangedProto.newBuilder()
                             .setBasePatch(c.basePatch())
-                            .setShapePatch(ShapeCodec.encode(c.shapePatch()))
+                            .setShapePatch(FleetTopologyCodec.encode(c.topologyPatch()))
                             .setAuthor(author(c.author()));
             c.overlayPatches().forEach((z, t) -> b.putOverlayPatches(z.value(), t));
             to.setConfigurationChanged(b);
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/ShapeCodec.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/FleetTopologyCodec.java
@@ -15,20 +15,20 @@
 import org.foxtailplank.wire.generated.records.ShapeProto;
 import org.foxtailplank.wire.generated.records.VmPlaceProto;
 
-/** Protobuf codec of fleet shapes. */
-public final class ShapeCodec {
-    private ShapeCodec() {}
+/** Protobuf codec of fleet topologies. */
+public final class FleetTopologyCodec {
+    private FleetTopologyCodec() {}
 
-    /** Encodes a fleet shape. */
-    public static ShapeProto encode(FleetTopology shape) {
+    /** Encodes a fleet topology. */
+    public static ShapeProto encode(FleetTopology topology) {
         ShapeProto.Builder b = ShapeProto.newBuilder();
-        shape.vms().forEach((id, v) -> b.putVms(id.value(), place(v)));
-        shape.pools().forEach((id, p) -> b.putPools(id.value(), encode(p)));
-        shape.minAvailable().forEach((s, n) -> b.putMinAvailable(s.value(), n));
+        topology.vms().forEach((id, v) -> b.putVms(id.value(), location(v)));
+        topology.pools().forEach((id, p) -> b.putPools(id.value(), encode(p)));
+        topology.minAvailable().forEach((s, n) -> b.putMinAvailable(s.value(), n));
         return b.build();
     }
 
-    /** Decodes a fleet shape; repeated ids share one instance. */
+    /** Decodes a fleet topology; repeated ids share one instance. */
     public static FleetTopology decode(ShapeProto p) {
         Map<String, ZoneId> zones = new HashMap<>();
         Map<String, RackId> racks = new HashMap<>();
@@ -51,22 +51,24 @@
         return new FleetTopology(vms, pools, min);
     }
 
-    /** Encodes the configured shape of a pool. */
-    public static PoolShapeProto encode(PoolDefinition shape) {
+    /** Encodes the definition of a pool. */
+    public static PoolShapeProto encode(PoolDefinition definition) {
         PoolShapeProto.Builder b =
-                PoolShapeProto.newBuilder().setTarget(shape.target()).setReserve(shape.reserve());
-        shape.service().ifPresent(s -> b.setService(s.value()));
+                PoolShapeProto.newBuilder()
+                        .setTarget(definition.target())
+                        .setReserve(definition.reserve());
+        definition.service().ifPresent(s -> b.setService(s.value()));
         return b.build();
     }
 
-    /** Decodes the configured shape of a pool. */
+    /** Decodes the definition of a pool. */
     public static PoolDefinition decode(PoolShapeProto p) {
         Optional<ServiceId> service =
                 p.hasService() ? Optional.of(ServiceId.of(p.getService())) : Optional.empty();
         return new PoolDefinition(service, p.getTarget(), p.getReserve());
     }
 
-    private static VmPlaceProto place(VmLocation v) {
+    private static VmPlaceProto location(VmLocation v) {
         return VmPlaceProto.newBuilder()
                 .setZone(v.zone().value())
                 .setRack(v.rack().value())
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotDecoder.java
@@ -55,8 +55,11 @@
     /** Decodes a state. */
     public static StoredState decode(SnapshotProto p) {
         SnapshotDecoder d = new SnapshotDecoder(p);
-        Map<PoolId, PoolDefinition> shapes = new HashMap<>();
-        p.getShapesMap().forEach((id, s) -> shapes.put(PoolId.of(id), ShapeCodec.decode(s)));
+        Map<PoolId, PoolDefinition> poolDefinitions = new HashMap<>();
+        p.getShapesMap()
+                .forEach(
+                        (id, s) ->
+                                poolDefinitions.put(PoolId.of(id), FleetTopologyCodec.decode(s)));
         Map<ServiceId, Integer> min = new HashMap<>();
         p.getMinAvailableMap().forEach((id, n) -> min.put(ServiceId.of(id), n));
         Map<TeamId, TeamQuota> quotas = new HashMap<>();
@@ -73,7 +76,7 @@
                         p.hasConfiguration()
                                 ? Optional.of(configuration(p.getConfiguration()))
                                 : Optional.empty(),
-                        shapes,
+                        poolDefinitions,
                         min,
                         list(p.getPoolsList(), SnapshotDecoder::pool),
                         list(p.getVmsList(), d::vm),
--- a/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotEncoder.java
+++ b/foxtail-wire/src/main/java/org/foxtailplank/wire/internal/records/SnapshotEncoder.java
@@ -43,7 +43,8 @@
             e.mProto.addDigests(digest);
         }
         s.configuration().ifPresent(c -> e.mProto.setConfiguration(configuration(c)));
-        s.shapes().forEach((id, p) -> e.mProto.putShapes(id.value(), ShapeCodec.encode(p)));
+        s.poolDefinitions()
+                .forEach((id, p) -> e.mProto.putShapes(id.value(), FleetTopologyCodec.encode(p)));
         s.minAvailable().forEach((id, n) -> e.mProto.putMinAvailable(id.value(), n));
         s.pools().forEach(p -> e.mProto.addPools(pool(p)));
         s.vms().forEach(v -> e.mProto.addVms(e.vm(v)));
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/RecordCodecTest.java
@@ -71,7 +71,7 @@
     /** One change of each kind. */
     @DataProvider
     public static Object[] changes() {
-        FleetTopology shape =
+        FleetTopology topology =
                 new FleetTopology(
                         Map.of(VM, new VmLocation(ZONE, RackId.of("r1"), POOL)),
                         Map.of(
@@ -82,8 +82,8 @@
                         Map.of(ServiceId.of("claims"), 2));
         JobSpec spec = new JobSpec(TeamId.of("desk"), POOL, RequestClass.URGENT, 4, 1L << 34, 1, 8);
         return new Object[] {
-            new ConfigurationPublished("{ /* é */ }", Map.of(ZONE, "{}"), shape, AUTHOR),
-            new ConfigurationChanged("{\"a\":1}", Map.of(ZONE, "{}"), shape, AUTHOR),
+            new ConfigurationPublished("{ /* é */ }", Map.of(ZONE, "{}"), topology, AUTHOR),
+            new ConfigurationChanged("{\"a\":1}", Map.of(ZONE, "{}"), topology, AUTHOR),
             new EpochTaken(ZONE, 4, NodeId.of("entry-2")),
             new VmReleased(VM, POOL, PoolId.of("spare"), AUTHOR),
             new VmJoined(VM, PoolId.of("spare")),
@@ -112,7 +112,7 @@
 
     /** An older node must still learn which objects an unknown kind of change touches. */
     @Test(dataProvider = "changes")
-    public void decodesAnUnknownKindAsNotUnderstood(Change change) throws Exception {
+    public void decodesAnUnknownKindAsUnknownChange(Change change) throws Exception {
         RecordProto known = RecordProto.parseFrom(RecordCodec.encode(record(change)));
         UnknownFieldSet newer =
                 UnknownFieldSet.newBuilder()
@@ -123,28 +123,28 @@
                                         .build())
                         .build();
         RecordProto record = known.toBuilder().clearChange().setUnknownFields(newer).build();
-        assertNotUnderstood(record, change);
+        assertUnknownChange(record, change);
     }
 
     @Test
-    public void decodesANewerConstantAsNotUnderstood() throws Exception {
+    public void decodesANewerConstantAsUnknownChange() throws Exception {
         Change change = new VmActionConfirmed(VM, 5, ActionOutcome.DONE);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
         b.getVmActionConfirmedBuilder().setOutcomeValue(NEWER_FIELD);
-        assertNotUnderstood(b.build(), change);
+        assertUnknownChange(b.build(), change);
     }
 
     @Test
-    public void decodesARecordForANewerReaderAsNotUnderstood() throws Exception {
+    public void decodesARecordForANewerReaderAsUnknownChange() throws Exception {
         Change change = new VmJoined(VM, POOL);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
-        assertNotUnderstood(b.setReaderVersion(RecordCodec.READER_VERSION + 1).build(), change);
+        assertUnknownChange(b.setReaderVersion(RecordCodec.READER_VERSION + 1).build(), change);
     }
 
     @Test
-    public void decodesAnExpectationOfANewerKindAsNotUnderstood() throws Exception {
+    public void decodesAnExpectationOfANewerKindAsUnknownChange() throws Exception {
         Change change = new VmJoined(VM, POOL);
         RecordProto.Builder b =
                 RecordProto.parseFrom(RecordCodec.encode(record(change))).toBuilder();
@@ -161,7 +161,7 @@
         }
     }
 
-    private static void assertNotUnderstood(RecordProto record, Change change) throws Exception {
+    private static void assertUnknownChange(RecordProto record, Change change) throws Exception {
         LogRecord r = RecordCodec.decode(record.toByteArray());
         LogRecord expected = record(new UnknownChange(change.touches()));
         assertEquals(r, expected);
--- a/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/InMemorySharedState.java
+++ b/foxtail-wire/src/test/java/org/foxtailplank/wire/internal/exchange/InMemorySharedState.java
@@ -76,12 +76,12 @@
     }
 
     @Override
-    public synchronized CompletionStage<Boolean> offerSnapshot(byte[] state) {
-        boolean newer = state.length > mContent.length();
+    public synchronized CompletionStage<Boolean> offerSnapshot(byte[] snapshot) {
+        boolean newer = snapshot.length > mContent.length();
         if (newer) {
             mContent.setLength(0);
             mSnapshotsApplied++;
-            append(new String(state, StandardCharsets.UTF_8));
+            append(new String(snapshot, StandardCharsets.UTF_8));
         }
         return CompletableFuture.completedFuture(newer);
     }
